--- a/src/main/java/sycamorehill/experiment/OverloadExperiment.java
+++ b/src/main/java/sycamorehill/experiment/OverloadExperiment.java
@@ -110,8 +110,8 @@
 			EngineModel engine = EngineModel.create(time, number, HERE, ModelLoad.SERVICE, 1);
 			engines.put(engine.target().members().get(0), engine);
 		}
-		ModelNode.Setup setup = new ModelNode.Setup(way.policy(), truth(), TargetChooser.predicted(), engines,
-				engines.values().stream().map(EngineModel::target).toList());
+		ModelNode.Setup setup = new ModelNode.Setup(way.policy(), truth(), TargetChooser.lowestPredictedLatency(),
+				engines, engines.values().stream().map(EngineModel::target).toList());
 		List<ModelNode> nodes = new ArrayList<>();
 		for (int number = 0; number < NODES; number++) {
 			NodeIdentity identity = new NodeIdentity(NodeIncarnation.of(NodeName.of("n" + number), seed), HERE,
--- a/src/main/java/sycamorehill/experiment/RoutingExperiment.java
+++ b/src/main/java/sycamorehill/experiment/RoutingExperiment.java
@@ -76,7 +76,7 @@
 		choosers.put("random", TargetChooser.random());
 		choosers.put("two choices", TargetChooser.twoChoices());
 		choosers.put("least outstanding", TargetChooser.leastOutstanding());
-		choosers.put("predicted", TargetChooser.predicted());
+		choosers.put("predicted", TargetChooser.lowestPredictedLatency());
 		return choosers;
 	}
 
--- a/src/main/java/sycamorehill/logic/admission/Forecast.java
+++ b/src/main/java/sycamorehill/logic/admission/AdmissionForecast.java
@@ -19,21 +19,22 @@
  * @param idle whether nothing is in flight: then it is tried whatever was measured before
  * @param now the time
  */
-record Forecast(Duration queueWait, Duration limitWait, Duration firstToken, boolean idle, Instant now) {
+record AdmissionForecast(Duration queueWait, Duration limitWait, Duration firstToken, boolean idle, Instant now) {
 
-	private static final Duration SHORTEST_COME_BACK = Duration.ofMillis(200);
+	private static final Duration MINIMUM_RETRY_AFTER = Duration.ofMillis(200);
 
-	private static final double MILLIS = 1000;
+	private static final double MILLISECONDS_PER_SECOND = 1000;
 
-	static Forecast of(ServiceLoad load, LimitState.Entry entry, WorkspaceItem workspace, Instant now) {
-		double ahead = load.queue().ahead(workspace.name(), Math.max(1, workspace.weight()));
-		double share = entry.account().usable().requests();
-		double missing = entry.meter().waiting() + 1 - entry.meter().requestLevel();
+	static AdmissionForecast of(ServiceLoad load, LimitState.WorkspaceEntry entry, WorkspaceItem workspace,
+			Instant now) {
+		double ahead = load.queue().requestsAhead(workspace.name(), Math.max(1, workspace.weight()));
+		double requestRate = entry.account().usable().requests();
+		double missingRequests = entry.meter().waiting() + 1 - entry.meter().requestLevel();
 		// A share of 0 may mean that loans are on their way: it waits for them.
-		Duration limitWait = (share > 0 && missing > 0) ? Duration.ofMillis((long) (missing / share * MILLIS))
-				: Duration.ZERO;
-		Duration firstToken = (ahead > 0) ? load.estimate().bound(now) : load.estimate().rest();
-		return new Forecast(load.waitBehind(ahead), limitWait, firstToken, load.idle(), now);
+		Duration limitWait = (requestRate > 0 && missingRequests > 0)
+				? Duration.ofMillis((long) (missingRequests / requestRate * MILLISECONDS_PER_SECOND)) : Duration.ZERO;
+		Duration firstToken = (ahead > 0) ? load.estimate().upperBound(now) : load.estimate().baseline();
+		return new AdmissionForecast(load.estimatedWait(ahead), limitWait, firstToken, load.idle(), now);
 	}
 
 	Optional<Refusal> refusal(RequestDescription request, AdmissionPolicy policy) {
@@ -42,25 +43,26 @@
 			return Optional.of(Refusal.of(RefusalReason.DEADLINE_TOO_SHORT, "the deadline has passed"));
 		}
 		if (this.limitWait.compareTo(policy.longestLimitWait()) > 0 || this.limitWait.compareTo(slack) > 0) {
-			return Optional.of(limitReached(comeBack(this.limitWait)));
+			return Optional.of(limitReached(retryAfter(this.limitWait)));
 		}
 		Duration begin = this.queueWait.plus(this.firstToken);
 		if (!this.idle && begin.compareTo(slack) > 0) {
 			return Optional.of(Refusal.of(RefusalReason.DEADLINE_TOO_SHORT, "the answer can't begin by the deadline",
-					comeBack(begin.minus(slack))));
+					retryAfter(begin.minus(slack))));
 		}
 		if (this.queueWait.compareTo(policy.longestWait()) > 0) {
-			return Optional.of(Refusal.of(RefusalReason.OVERLOADED, "the queue is too long", comeBack(this.queueWait)));
+			return Optional
+				.of(Refusal.of(RefusalReason.OVERLOADED, "the queue is too long", retryAfter(this.queueWait)));
 		}
 		return Optional.empty();
 	}
 
-	static Refusal limitReached(Duration comeBack) {
-		return Refusal.of(RefusalReason.LIMIT_REACHED, "the workspace's limit is reached", comeBack);
+	static Refusal limitReached(Duration retryAfter) {
+		return Refusal.of(RefusalReason.LIMIT_REACHED, "the workspace's limit is reached", retryAfter);
 	}
 
-	static Duration comeBack(Duration wait) {
-		return (wait.compareTo(SHORTEST_COME_BACK) > 0) ? wait : SHORTEST_COME_BACK;
+	static Duration retryAfter(Duration wait) {
+		return (wait.compareTo(MINIMUM_RETRY_AFTER) > 0) ? wait : MINIMUM_RETRY_AFTER;
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/admission/AdmissionReducer.java
+++ b/src/main/java/sycamorehill/logic/admission/AdmissionReducer.java
@@ -6,7 +6,7 @@
 import sycamorehill.logic.NodeView;
 import sycamorehill.logic.Reducer;
 import sycamorehill.logic.Step;
-import sycamorehill.logic.admission.AdmissionState.Sent;
+import sycamorehill.logic.admission.AdmissionState.SentAttempt;
 import sycamorehill.model.event.Event;
 import sycamorehill.model.event.NodeEvent;
 import sycamorehill.model.event.PeerEvent;
@@ -35,77 +35,79 @@
 	@Override
 	public Step<AdmissionState> reduce(AdmissionState state, Instant now, Event event, NodeView view) {
 		if (event instanceof RequestEvent requestEvent) {
-			return request(AdmissionStep.of(state, now, view), now, requestEvent);
+			return handleRequestEvent(AdmissionStep.of(state, now, view), now, requestEvent);
 		}
 		if (event instanceof NodeEvent nodeEvent) {
-			return node(AdmissionStep.of(state, now, view), now, nodeEvent, view);
+			return handleNodeEvent(AdmissionStep.of(state, now, view), now, nodeEvent, view);
 		}
 		if (event instanceof PeerEvent.MessageReceived received) {
-			return peer(AdmissionStep.of(state, now, view), now, received, view);
+			return handlePeerMessage(AdmissionStep.of(state, now, view), now, received, view);
 		}
 		return Step.of(state);
 	}
 
-	private static Step<AdmissionState> request(AdmissionStep step, Instant now, RequestEvent event) {
+	private static Step<AdmissionState> handleRequestEvent(AdmissionStep step, Instant now, RequestEvent event) {
 		if (event instanceof RequestEvent.Arrived arrived) {
-			step.arrive(arrived.request());
+			step.handleArrival(arrived.request());
 		}
 		else if (event instanceof RequestEvent.CallerGone gone) {
-			step.forget(gone.request());
+			step.removeWaiting(gone.request());
 		}
 		else if (event instanceof RequestEvent.Finished finished) {
-			step.finish(finished.request().identifier(), finished.tokens());
+			step.handleFinished(finished.request().identifier(), finished.tokens());
 		}
 		else if (event instanceof RequestEvent.AttemptStarted started) {
-			Sent sent = new Sent(started.request().service(), now);
-			step.set(step.state().withAttempts(step.state().attempts().plus(started.attempt(), sent)));
+			SentAttempt sent = new SentAttempt(started.request().service(), now);
+			step.setState(step.state().withAttempts(step.state().attempts().plus(started.attempt(), sent)));
 		}
 		else if (event instanceof RequestEvent.FirstToken first) {
-			measure(step, first.attempt(), now, true);
+			recordLatency(step, first.attempt(), now, true);
 		}
 		else if (event instanceof RequestEvent.AttemptClosed closed) {
-			measure(step, closed.attempt(), now, closed.result() instanceof AttemptResult.Whole);
+			recordLatency(step, closed.attempt(), now, closed.result() instanceof AttemptResult.Whole);
 		}
-		return step.end();
+		return step.result();
 	}
 
-	private static void measure(AdmissionStep step, AttemptIdentifier attempt, Instant now, boolean counts) {
-		Sent sent = step.state().attempts().get(attempt);
+	private static void recordLatency(AdmissionStep step, AttemptIdentifier attempt, Instant now, boolean counts) {
+		SentAttempt sent = step.state().attempts().get(attempt);
 		if (sent == null) {
 			return;
 		}
-		step.set(step.state().withAttempts(step.state().attempts().minus(attempt)));
+		step.setState(step.state().withAttempts(step.state().attempts().minus(attempt)));
 		if (counts) {
-			ServiceLoad load = step.load(sent.service()).measured(Duration.between(sent.at(), now), now);
-			step.set(step.state().withService(sent.service(), load));
-			step.advance(sent.service());
+			ServiceLoad load = step.serviceLoad(sent.service()).withSample(Duration.between(sent.at(), now), now);
+			step.setState(step.state().withService(sent.service(), load));
+			step.admitWaiting(sent.service());
 		}
 	}
 
-	private static Step<AdmissionState> node(AdmissionStep step, Instant now, NodeEvent event, NodeView view) {
+	private static Step<AdmissionState> handleNodeEvent(AdmissionStep step, Instant now, NodeEvent event,
+			NodeView view) {
 		if (event instanceof NodeEvent.Started) {
-			step.set(step.state().withLimits(step.state().limits().started(now, view)));
+			step.setState(step.state().withLimits(step.state().limits().started(now, view)));
 		}
 		else if (event instanceof NodeEvent.StopRequested) {
-			step.set(step.state().stoppingFrom(now.plus(view.policy().request().stopGrace())));
+			step.setState(step.state().withStopFrom(now.plus(view.policy().request().stopGrace())));
 		}
 		else if (event instanceof NodeEvent.Ticked) {
-			step.takeIn(ShareExchange.tick(step.state().limits().following(view), now, view));
-			step.tick();
+			step.applyLimits(ShareExchange.tick(step.state().limits().withCurrentDivisor(view), now, view));
+			step.handleTick();
 		}
-		return step.end();
+		return step.result();
 	}
 
-	private static Step<AdmissionState> peer(AdmissionStep step, Instant now, PeerEvent.MessageReceived received,
-			NodeView view) {
+	private static Step<AdmissionState> handlePeerMessage(AdmissionStep step, Instant now,
+			PeerEvent.MessageReceived received, NodeView view) {
 		if (received.message() instanceof ShareAsk ask) {
-			step.takeIn(ShareExchange.asked(step.state().limits().following(view), now, view, received.from(), ask));
+			step.applyLimits(ShareExchange.handleAsk(step.state().limits().withCurrentDivisor(view), now, view,
+					received.from(), ask));
 		}
 		else if (received.message() instanceof ShareLoan loan) {
-			step.takeIn(ShareExchange.lent(step.state().limits(), now, view, received.from(), loan));
-			step.releaseAndAdvance(loan.loans());
+			step.applyLimits(ShareExchange.handleLoan(step.state().limits(), now, view, received.from(), loan));
+			step.releaseAndAdmit(loan.loans());
 		}
-		return step.end();
+		return step.result();
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/admission/AdmissionState.java
+++ b/src/main/java/sycamorehill/logic/admission/AdmissionState.java
@@ -25,9 +25,9 @@
  * @param stopFrom from when a stopping node refuses requests
  * @param nextPlace numbers the requests that wait
  */
-public record AdmissionState(PMap<ServiceName, ServiceLoad> services, PMap<RequestIdentifier, Waiting> waiting,
-		PSortedSet<Departure> departures, PMap<RequestIdentifier, Flight> flights,
-		PMap<AttemptIdentifier, Sent> attempts, LimitState limits, Optional<Instant> stopFrom, long nextPlace) {
+public record AdmissionState(PMap<ServiceName, ServiceLoad> services, PMap<RequestIdentifier, WaitingRequest> waiting,
+		PSortedSet<WaitDeadline> departures, PMap<RequestIdentifier, AdmittedRequest> flights,
+		PMap<AttemptIdentifier, SentAttempt> attempts, LimitState limits, Optional<Instant> stopFrom, long nextPlace) {
 
 	/**
 	 * The state of a fresh node.
@@ -48,31 +48,31 @@
 				this.flights, this.attempts, changed, this.stopFrom, this.nextPlace);
 	}
 
-	AdmissionState withWaiting(Waiting added) {
-		Departure departure = new Departure(added.leaveBy(), added.place().number(), added.request().identifier());
+	AdmissionState withWaiting(WaitingRequest added) {
+		WaitDeadline deadline = new WaitDeadline(added.leaveBy(), added.place().number(), added.request().identifier());
 		return new AdmissionState(this.services, this.waiting.plus(added.request().identifier(), added),
-				this.departures.plus(departure), this.flights, this.attempts, this.limits, this.stopFrom,
+				this.departures.plus(deadline), this.flights, this.attempts, this.limits, this.stopFrom,
 				this.nextPlace + 1);
 	}
 
-	AdmissionState withoutWaiting(Waiting gone) {
-		Departure departure = new Departure(gone.leaveBy(), gone.place().number(), gone.request().identifier());
+	AdmissionState withoutWaiting(WaitingRequest gone) {
+		WaitDeadline deadline = new WaitDeadline(gone.leaveBy(), gone.place().number(), gone.request().identifier());
 		return new AdmissionState(this.services, this.waiting.minus(gone.request().identifier()),
-				this.departures.minus(departure), this.flights, this.attempts, this.limits, this.stopFrom,
+				this.departures.minus(deadline), this.flights, this.attempts, this.limits, this.stopFrom,
 				this.nextPlace);
 	}
 
-	AdmissionState withFlights(PMap<RequestIdentifier, Flight> changed) {
+	AdmissionState withFlights(PMap<RequestIdentifier, AdmittedRequest> changed) {
 		return new AdmissionState(this.services, this.waiting, this.departures, changed, this.attempts, this.limits,
 				this.stopFrom, this.nextPlace);
 	}
 
-	AdmissionState withAttempts(PMap<AttemptIdentifier, Sent> changed) {
+	AdmissionState withAttempts(PMap<AttemptIdentifier, SentAttempt> changed) {
 		return new AdmissionState(this.services, this.waiting, this.departures, this.flights, changed, this.limits,
 				this.stopFrom, this.nextPlace);
 	}
 
-	AdmissionState stoppingFrom(Instant from) {
+	AdmissionState withStopFrom(Instant from) {
 		return new AdmissionState(this.services, this.waiting, this.departures, this.flights, this.attempts,
 				this.limits, Optional.of(from), this.nextPlace);
 	}
@@ -84,10 +84,10 @@
 	 * @param number tells requests of the same moment apart
 	 * @param request the request
 	 */
-	record Departure(Instant at, long number, RequestIdentifier request) implements Comparable<Departure> {
+	record WaitDeadline(Instant at, long number, RequestIdentifier request) implements Comparable<WaitDeadline> {
 
 		@Override
-		public int compareTo(Departure other) {
+		public int compareTo(WaitDeadline other) {
 			int byTime = this.at.compareTo(other.at);
 			return (byTime != 0) ? byTime : Long.compare(this.number, other.number);
 		}
@@ -101,7 +101,7 @@
 	 * @param service what it asked for
 	 * @param tokens tokens that were admitted for its answer
 	 */
-	record Flight(WorkspaceName workspace, ServiceName service, int tokens) {
+	record AdmittedRequest(WorkspaceName workspace, ServiceName service, int tokens) {
 	}
 
 	/**
@@ -110,7 +110,7 @@
 	 * @param service what it asked for
 	 * @param at when it was sent
 	 */
-	record Sent(ServiceName service, Instant at) {
+	record SentAttempt(ServiceName service, Instant at) {
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/admission/AdmissionStep.java
+++ b/src/main/java/sycamorehill/logic/admission/AdmissionStep.java
@@ -8,7 +8,7 @@
 
 import sycamorehill.logic.NodeView;
 import sycamorehill.logic.Step;
-import sycamorehill.logic.admission.AdmissionState.Flight;
+import sycamorehill.logic.admission.AdmissionState.AdmittedRequest;
 import sycamorehill.model.effect.Effect;
 import sycamorehill.model.effect.NodeEffect;
 import sycamorehill.model.event.RequestEvent;
@@ -31,7 +31,7 @@
  */
 final class AdmissionStep {
 
-	private static final int YOUNG_PART = 4;
+	private static final int RECENT_ARRIVAL_DIVISOR = 4;
 
 	private final NodeView view;
 
@@ -54,7 +54,7 @@
 		return new AdmissionStep(state, now, view);
 	}
 
-	Step<AdmissionState> end() {
+	Step<AdmissionState> result() {
 		return Step.of(this.state, this.effects);
 	}
 
@@ -62,11 +62,11 @@
 		return this.state;
 	}
 
-	void set(AdmissionState changed) {
+	void setState(AdmissionState changed) {
 		this.state = changed;
 	}
 
-	void takeIn(Step<LimitState> limits) {
+	void applyLimits(Step<LimitState> limits) {
 		this.state = this.state.withLimits(limits.state());
 		this.effects.addAll(limits.effects());
 	}
@@ -75,7 +75,7 @@
 	 * Takes a request in, or refuses it at once.
 	 * @param request the request
 	 */
-	void arrive(RequestDescription request) {
+	void handleArrival(RequestDescription request) {
 		RequestCheck check = RequestCheck.of(request, this.view);
 		if (check.refusal().isPresent()) {
 			refuse(request.identifier(), check.refusal().get());
@@ -87,46 +87,47 @@
 			return;
 		}
 		WorkspaceItem workspace = check.workspace().orElseThrow();
-		this.state = this.state.withLimits(this.state.limits().following(this.view));
-		LimitState.Entry entry = this.state.limits().entry(workspace.name(), this.now, this.view);
-		entry = entry.with(entry.meter().offer(tokens(request)));
+		this.state = this.state.withLimits(this.state.limits().withCurrentDivisor(this.view));
+		LimitState.WorkspaceEntry entry = this.state.limits().entry(workspace.name(), this.now, this.view);
+		entry = entry.with(entry.meter().recordOffered(tokens(request)));
 		put(workspace.name(), entry);
-		ServiceLoad load = load(request.service());
-		Optional<Refusal> refusal = Forecast.of(load, entry, workspace, this.now).refusal(request, this.policy);
+		ServiceLoad load = serviceLoad(request.service());
+		Optional<Refusal> refusal = AdmissionForecast.of(load, entry, workspace, this.now)
+			.refusal(request, this.policy);
 		if (refusal.isPresent()) {
 			refuse(request.identifier(), refusal.get());
 			return;
 		}
 		enqueue(request, check.handling(), workspace, load, entry);
-		advance(request.service());
+		admitWaiting(request.service());
 	}
 
 	/**
 	 * Lets waiting requests of a service go on while there is room.
 	 * @param service the service
 	 */
-	void advance(ServiceName service) {
-		ServiceLoad load = load(service);
-		while (load.hasRoom()) {
-			Optional<WorkspaceName> next = load.queue().next();
+	void admitWaiting(ServiceName service) {
+		ServiceLoad load = serviceLoad(service);
+		while (load.hasCapacity()) {
+			Optional<WorkspaceName> next = load.queue().nextWorkspace();
 			if (next.isEmpty()) {
 				break;
 			}
-			LimitState.Entry entry = this.state.limits().entry(next.get(), this.now, this.view);
+			LimitState.WorkspaceEntry entry = this.state.limits().entry(next.get(), this.now, this.view);
 			if (!entry.admits()) {
 				load = load.with(load.queue().hold(next.get()));
-				takeIn(ShareExchange.missed(this.state.limits(), this.now, this.view, next.get()));
+				applyLimits(ShareExchange.askForShortfall(this.state.limits(), this.now, this.view, next.get()));
 				continue;
 			}
-			Waiting first = load.queue().first(next.get());
-			if (inTime(first, load)) {
+			WaitingRequest first = load.queue().firstOf(next.get());
+			if (canMeetDeadline(first, load)) {
 				load = admit(first, load, entry);
 			}
-			else if (isYoung(first)) {
+			else if (arrivedRecently(first)) {
 				load = load.with(load.queue().hold(next.get()));
 			}
 			else {
-				load = drop(first, load, tooLate(load));
+				load = refuseWaiting(first, load, deadlineTooShort(load));
 			}
 		}
 		put(service, load);
@@ -135,17 +136,18 @@
 	/**
 	 * Refuses what has waited to its last moment and lets the others go on.
 	 */
-	void tick() {
+	void handleTick() {
 		while (!this.state.departures().isEmpty() && !this.state.departures().first().at().isAfter(this.now)) {
-			Waiting late = this.state.waiting().get(this.state.departures().first().request());
-			ServiceLoad load = load(late.request().service());
-			boolean held = load.queue().held().contains(late.workspace());
-			Refusal refusal = held ? Forecast.limitReached(Duration.ofSeconds(1)) : tooLate(load);
-			put(late.request().service(), drop(late, load, refusal));
+			WaitingRequest expired = this.state.waiting().get(this.state.departures().first().request());
+			ServiceLoad load = serviceLoad(expired.request().service());
+			boolean waitsForLimit = load.queue().held().contains(expired.workspace());
+			Refusal refusal = waitsForLimit ? AdmissionForecast.limitReached(Duration.ofSeconds(1))
+					: deadlineTooShort(load);
+			put(expired.request().service(), refuseWaiting(expired, load, refusal));
 		}
 		for (ServiceName service : List.copyOf(this.state.services().keySet())) {
 			releaseHeld(service);
-			advance(service);
+			admitWaiting(service);
 		}
 	}
 
@@ -153,10 +155,10 @@
 	 * Forgets a request that still waits.
 	 * @param request the request
 	 */
-	void forget(RequestIdentifier request) {
-		Waiting waiting = this.state.waiting().get(request);
+	void removeWaiting(RequestIdentifier request) {
+		WaitingRequest waiting = this.state.waiting().get(request);
 		if (waiting != null) {
-			put(waiting.request().service(), takeOut(waiting, load(waiting.request().service())));
+			put(waiting.request().service(), dequeue(waiting, serviceLoad(waiting.request().service())));
 		}
 	}
 
@@ -165,46 +167,47 @@
 	 * @param request the request
 	 * @param tokens tokens that it generated
 	 */
-	void finish(RequestIdentifier request, int tokens) {
-		Flight flight = this.state.flights().get(request);
-		if (flight == null) {
-			forget(request);
+	void handleFinished(RequestIdentifier request, int tokens) {
+		AdmittedRequest admitted = this.state.flights().get(request);
+		if (admitted == null) {
+			removeWaiting(request);
 			return;
 		}
 		this.state = this.state.withFlights(this.state.flights().minus(request));
-		LimitState.Entry entry = this.state.limits().entry(flight.workspace(), this.now, this.view);
-		put(flight.workspace(), entry.with(entry.meter().finish(Math.max(0, flight.tokens() - tokens))));
-		ServiceLoad load = load(flight.service()).finish(this.now);
-		put(flight.service(), load.with(load.queue().release(flight.workspace())));
-		advance(flight.service());
+		LimitState.WorkspaceEntry entry = this.state.limits().entry(admitted.workspace(), this.now, this.view);
+		put(admitted.workspace(), entry.with(entry.meter().finish(Math.max(0, admitted.tokens() - tokens))));
+		ServiceLoad load = serviceLoad(admitted.service()).finish(this.now);
+		put(admitted.service(), load.with(load.queue().release(admitted.workspace())));
+		admitWaiting(admitted.service());
 	}
 
-	ServiceLoad load(ServiceName service) {
+	ServiceLoad serviceLoad(ServiceName service) {
 		ServiceLoad load = this.state.services().get(service);
 		return (load != null) ? load : ServiceLoad.fresh(this.policy, this.now);
 	}
 
 	private void enqueue(RequestDescription request, Handling handling, WorkspaceItem workspace, ServiceLoad load,
-			LimitState.Entry entry) {
-		Instant countsFrom = this.now.plus(this.policy.priorityStep().multipliedBy(behind(request.priority())));
-		Instant lastStart = request.deadline().minus(load.estimate().rest());
-		Instant longest = this.now.plus(this.policy.longestWait());
-		Waiting waiting = new Waiting(request, handling, workspace.name(),
-				new Waiting.Place(countsFrom, this.state.nextPlace()), this.now,
-				lastStart.isBefore(longest) ? lastStart : longest);
+			LimitState.WorkspaceEntry entry) {
+		Instant effectiveArrival = this.now
+			.plus(this.policy.priorityStep().multipliedBy(priorityLevel(request.priority())));
+		Instant lastStart = request.deadline().minus(load.estimate().baseline());
+		Instant queueDeadline = this.now.plus(this.policy.longestWait());
+		WaitingRequest waiting = new WaitingRequest(request, handling, workspace.name(),
+				new WaitingRequest.QueuePosition(effectiveArrival, this.state.nextPlace()), this.now,
+				lastStart.isBefore(queueDeadline) ? lastStart : queueDeadline);
 		this.state = this.state.withWaiting(waiting);
 		put(request.service(), load.with(load.queue().plus(waiting, workspace.weight())));
-		put(workspace.name(), entry.with(entry.meter().waiting(1)));
-		if (load(request.service()).queue().size() > this.policy.queueLimit()) {
-			ServiceLoad full = load(request.service());
-			Waiting last = full.queue().lastOfHeaviest().orElseThrow();
+		put(workspace.name(), entry.with(entry.meter().withWaitingChange(1)));
+		if (serviceLoad(request.service()).queue().size() > this.policy.queueLimit()) {
+			ServiceLoad full = serviceLoad(request.service());
+			WaitingRequest last = full.queue().lastOfMostLoaded().orElseThrow();
 			Refusal refusal = Refusal.of(RefusalReason.OVERLOADED, "the queue is full",
-					Forecast.comeBack(full.waitBehind(full.queue().size())));
-			put(request.service(), drop(last, full, refusal));
+					AdmissionForecast.retryAfter(full.estimatedWait(full.queue().size())));
+			put(request.service(), refuseWaiting(last, full, refusal));
 		}
 	}
 
-	private static int behind(Priority priority) {
+	private static int priorityLevel(Priority priority) {
 		return switch (priority) {
 			case HIGH -> 0;
 			case NORMAL -> 1;
@@ -212,68 +215,69 @@
 		};
 	}
 
-	private boolean inTime(Waiting waiting, ServiceLoad load) {
+	private boolean canMeetDeadline(WaitingRequest waiting, ServiceLoad load) {
 		// An estimate that stays too high would refuse everything, and nothing would ever
 		// be measured again to lower it: while nothing is in flight, the next goes on.
 		return load.inFlight() == 0
-				|| !this.now.plus(load.estimate().bound(this.now)).isAfter(waiting.request().deadline());
+				|| !this.now.plus(load.estimate().upperBound(this.now)).isAfter(waiting.request().deadline());
 	}
 
 	// Latency that is high for a moment is no reason to refuse what has just come: the
 	// estimate falls while nothing is sent. It would hit small workspaces hardest, whose
 	// requests never wait behind their own.
-	private boolean isYoung(Waiting waiting) {
-		Duration patience = Duration.between(waiting.arrivedAt(), waiting.request().deadline());
-		return this.now.isBefore(waiting.arrivedAt().plus(patience.dividedBy(YOUNG_PART)));
+	private boolean arrivedRecently(WaitingRequest waiting) {
+		Duration timeout = Duration.between(waiting.arrivedAt(), waiting.request().deadline());
+		return this.now.isBefore(waiting.arrivedAt().plus(timeout.dividedBy(RECENT_ARRIVAL_DIVISOR)));
 	}
 
-	private ServiceLoad admit(Waiting waiting, ServiceLoad load, LimitState.Entry entry) {
+	private ServiceLoad admit(WaitingRequest waiting, ServiceLoad load, LimitState.WorkspaceEntry entry) {
 		this.state = this.state.withoutWaiting(waiting);
 		int tokens = tokens(waiting.request());
-		put(waiting.workspace(), entry.with(entry.meter().waiting(-1).admit(tokens)));
-		Flight flight = new Flight(waiting.workspace(), waiting.request().service(), waiting.request().maximumTokens());
-		this.state = this.state.withFlights(this.state.flights().plus(waiting.request().identifier(), flight));
+		put(waiting.workspace(), entry.with(entry.meter().withWaitingChange(-1).admit(tokens)));
+		AdmittedRequest admitted = new AdmittedRequest(waiting.workspace(), waiting.request().service(),
+				waiting.request().maximumTokens());
+		this.state = this.state.withFlights(this.state.flights().plus(waiting.request().identifier(), admitted));
 		this.effects.add(new NodeEffect.Raise(new RequestEvent.Admitted(waiting.request(), waiting.handling())));
 		return load.admit(load.queue().admit(waiting));
 	}
 
-	private ServiceLoad drop(Waiting waiting, ServiceLoad load, Refusal refusal) {
+	private ServiceLoad refuseWaiting(WaitingRequest waiting, ServiceLoad load, Refusal refusal) {
 		refuse(waiting.request().identifier(), refusal);
-		return takeOut(waiting, load);
+		return dequeue(waiting, load);
 	}
 
-	private ServiceLoad takeOut(Waiting waiting, ServiceLoad load) {
+	private ServiceLoad dequeue(WaitingRequest waiting, ServiceLoad load) {
 		this.state = this.state.withoutWaiting(waiting);
-		LimitState.Entry entry = this.state.limits().entry(waiting.workspace(), this.now, this.view);
-		put(waiting.workspace(), entry.with(entry.meter().waiting(-1)));
+		LimitState.WorkspaceEntry entry = this.state.limits().entry(waiting.workspace(), this.now, this.view);
+		put(waiting.workspace(), entry.with(entry.meter().withWaitingChange(-1)));
 		return load.with(load.queue().minus(waiting));
 	}
 
-	private static Refusal tooLate(ServiceLoad load) {
+	private static Refusal deadlineTooShort(ServiceLoad load) {
 		return Refusal.of(RefusalReason.DEADLINE_TOO_SHORT, "the answer can't begin by the deadline",
-				Forecast.comeBack(load.waitBehind(load.queue().size())));
+				AdmissionForecast.retryAfter(load.estimatedWait(load.queue().size())));
 	}
 
 	/**
 	 * Lets the workspaces go on that were lent something.
 	 * @param loans what was lent
 	 */
-	void releaseAndAdvance(List<WorkspaceShare> loans) {
+	void releaseAndAdmit(List<WorkspaceShare> loans) {
 		for (ServiceName service : List.copyOf(this.state.services().keySet())) {
-			ServiceLoad load = load(service);
+			ServiceLoad load = serviceLoad(service);
 			FairQueue queue = load.queue();
 			for (WorkspaceShare loan : loans) {
 				queue = queue.release(loan.workspace());
 			}
 			if (queue != load.queue()) {
 				put(service, load.with(queue));
-				advance(service);
+				admitWaiting(service);
 			}
 		}
 	}
 
 	private void releaseHeld(ServiceName service) {
-		ServiceLoad load = load(service);
+		ServiceLoad load = serviceLoad(service);
 		FairQueue queue = load.queue();
 		for (WorkspaceName workspace : queue.held()) {
 			queue = queue.release(workspace);
@@ -289,7 +293,7 @@
 		this.state = this.state.withService(service, load);
 	}
 
-	private void put(WorkspaceName workspace, LimitState.Entry entry) {
+	private void put(WorkspaceName workspace, LimitState.WorkspaceEntry entry) {
 		this.state = this.state.withLimits(this.state.limits().with(workspace, entry));
 	}
 
--- a/src/main/java/sycamorehill/logic/admission/ConcurrencyLimit.java
+++ b/src/main/java/sycamorehill/logic/admission/ConcurrencyLimit.java
@@ -23,7 +23,7 @@
 	 * @param now the time
 	 * @return the limit after it
 	 */
-	ConcurrencyLimit measured(Duration latency, int inFlight, Instant now);
+	ConcurrencyLimit withSample(Duration latency, int inFlight, Instant now);
 
 	/**
 	 * A limit that never changes.
@@ -51,7 +51,7 @@
 	record Fixed(int limit) implements ConcurrencyLimit {
 
 		@Override
-		public ConcurrencyLimit measured(Duration latency, int inFlight, Instant now) {
+		public ConcurrencyLimit withSample(Duration latency, int inFlight, Instant now) {
 			return this;
 		}
 
--- a/src/main/java/sycamorehill/logic/admission/Coordinators.java
+++ b/src/main/java/sycamorehill/logic/admission/Coordinators.java
@@ -23,13 +23,14 @@
 record Coordinators(Map<DataCentreName, List<NodeIdentity>> byDataCentre) {
 
 	static Coordinators of(LiveNodes nodes) {
-		Map<DataCentreName, List<NodeIdentity>> found = new TreeMap<>();
+		Map<DataCentreName, List<NodeIdentity>> nodesByDataCentre = new TreeMap<>();
 		for (LiveNode node : nodes.nodes().values()) {
 			if (!node.stopping()) {
-				found.computeIfAbsent(node.identity().dataCentre(), (name) -> new ArrayList<>()).add(node.identity());
+				nodesByDataCentre.computeIfAbsent(node.identity().dataCentre(), (name) -> new ArrayList<>())
+					.add(node.identity());
 			}
 		}
-		return new Coordinators(found);
+		return new Coordinators(nodesByDataCentre);
 	}
 
 	/**
@@ -38,7 +39,7 @@
 	 * @param dataCentre the data centre
 	 * @return the node, empty if none is known to live
 	 */
-	Optional<NodeIdentity> of(WorkspaceName workspace, DataCentreName dataCentre) {
+	Optional<NodeIdentity> coordinator(WorkspaceName workspace, DataCentreName dataCentre) {
 		NodeIdentity best = null;
 		long bestWeight = 0;
 		for (NodeIdentity node : nodes(dataCentre)) {
@@ -58,14 +59,14 @@
 	/**
 	 * The coordinators of a workspace in the other data centres.
 	 * @param workspace the workspace
-	 * @param own the data centre to leave out
+	 * @param excluded the data centre to leave out
 	 * @return one node for each data centre with live nodes
 	 */
-	List<NodeIdentity> elsewhere(WorkspaceName workspace, DataCentreName own) {
+	List<NodeIdentity> inOtherDataCentres(WorkspaceName workspace, DataCentreName excluded) {
 		return this.byDataCentre.keySet()
 			.stream()
-			.filter((dataCentre) -> !dataCentre.equals(own))
-			.flatMap((dataCentre) -> of(workspace, dataCentre).stream())
+			.filter((dataCentre) -> !dataCentre.equals(excluded))
+			.flatMap((dataCentre) -> coordinator(workspace, dataCentre).stream())
 			.toList();
 	}
 
--- a/src/main/java/sycamorehill/logic/admission/FairQueue.java
+++ b/src/main/java/sycamorehill/logic/admission/FairQueue.java
@@ -27,7 +27,7 @@
  * @param virtualTime virtual start of the request admitted last
  * @param size requests that wait
  */
-record FairQueue(PMap<WorkspaceName, Flow> flows, PSortedSet<Rank> order, PSortedSet<Rank> loads,
+record FairQueue(PMap<WorkspaceName, Flow> flows, PSortedSet<WorkspaceRank> order, PSortedSet<WorkspaceRank> loads,
 		PSet<WorkspaceName> held, double weight, double virtualTime, int size) {
 
 	static FairQueue empty() {
@@ -40,12 +40,12 @@
 	 * @param weight the weight of its workspace
 	 * @return the queue
 	 */
-	FairQueue plus(Waiting waiting, int weight) {
+	FairQueue plus(WaitingRequest waiting, int weight) {
 		Flow flow = this.flows.getOrDefault(waiting.workspace(), Flow.idle());
 		double start = flow.requests().isEmpty() ? Math.max(flow.start(), this.virtualTime) : flow.start();
-		Flow longer = new Flow(flow.requests().plus(waiting.place(), waiting), start, flow.cost() + waiting.cost(),
+		Flow extended = new Flow(flow.requests().plus(waiting.place(), waiting), start, flow.cost() + waiting.cost(),
 				Math.max(1, weight));
-		return replace(waiting.workspace(), flow, longer, this.virtualTime, this.size + 1);
+		return replaceFlow(waiting.workspace(), flow, extended, this.virtualTime, this.size + 1);
 	}
 
 	/**
@@ -53,12 +53,13 @@
 	 * @param waiting the request
 	 * @return the queue
 	 */
-	FairQueue minus(Waiting waiting) {
+	FairQueue minus(WaitingRequest waiting) {
 		Flow flow = this.flows.get(waiting.workspace());
 		if (flow == null || !flow.requests().containsKey(waiting.place())) {
 			return this;
 		}
-		return replace(waiting.workspace(), flow, flow.without(waiting, flow.start()), this.virtualTime, this.size - 1);
+		return replaceFlow(waiting.workspace(), flow, flow.without(waiting, flow.start()), this.virtualTime,
+				this.size - 1);
 	}
 
 	/**
@@ -66,11 +67,11 @@
 	 * @param waiting the first request of its workspace
 	 * @return the queue
 	 */
-	FairQueue admit(Waiting waiting) {
+	FairQueue admit(WaitingRequest waiting) {
 		Flow flow = this.flows.get(waiting.workspace());
 		double next = flow.start() + waiting.cost() / flow.weight();
-		return replace(waiting.workspace(), flow, flow.without(waiting, next), Math.max(this.virtualTime, flow.start()),
-				this.size - 1);
+		return replaceFlow(waiting.workspace(), flow, flow.without(waiting, next),
+				Math.max(this.virtualTime, flow.start()), this.size - 1);
 	}
 
 	/**
@@ -78,7 +79,7 @@
 	 * @param workspace the workspace
 	 * @return its request that waits longest by priority
 	 */
-	Waiting first(WorkspaceName workspace) {
+	WaitingRequest firstOf(WorkspaceName workspace) {
 		return this.flows.get(workspace).requests().firstEntry().getValue();
 	}
 
@@ -87,7 +88,7 @@
 	 * has the most waiting for its weight.
 	 * @return the request, if any waits
 	 */
-	Optional<Waiting> lastOfHeaviest() {
+	Optional<WaitingRequest> lastOfMostLoaded() {
 		if (this.loads.isEmpty()) {
 			return Optional.empty();
 		}
@@ -97,20 +98,20 @@
 	/**
 	 * How many requests go ahead of one that a workspace would add now.
 	 * @param workspace the workspace
-	 * @param ofWeight its weight
+	 * @param workspaceWeight its weight
 	 * @return the requests ahead of it, by fair shares
 	 */
-	double ahead(WorkspaceName workspace, int ofWeight) {
+	double requestsAhead(WorkspaceName workspace, int workspaceWeight) {
 		Flow flow = this.flows.getOrDefault(workspace, Flow.idle());
-		double weights = flow.requests().isEmpty() ? this.weight + ofWeight : this.weight;
-		return Math.min(this.size, flow.requests().size() * weights / ofWeight);
+		double totalWeight = flow.requests().isEmpty() ? this.weight + workspaceWeight : this.weight;
+		return Math.min(this.size, flow.requests().size() * totalWeight / workspaceWeight);
 	}
 
 	/**
 	 * The workspace whose turn it is.
 	 * @return the workspace, if any waits for nothing but its turn
 	 */
-	Optional<WorkspaceName> next() {
+	Optional<WorkspaceName> nextWorkspace() {
 		return this.order.isEmpty() ? Optional.empty() : Optional.of(this.order.first().workspace());
 	}
 
@@ -120,7 +121,7 @@
 	 * @return the queue
 	 */
 	FairQueue hold(WorkspaceName workspace) {
-		Rank rank = new Rank(this.flows.get(workspace).start(), workspace);
+		WorkspaceRank rank = new WorkspaceRank(this.flows.get(workspace).start(), workspace);
 		return new FairQueue(this.flows, this.order.minus(rank), this.loads, this.held.plus(workspace), this.weight,
 				this.virtualTime, this.size);
 	}
@@ -135,27 +136,30 @@
 			return this;
 		}
 		Flow flow = this.flows.get(workspace);
-		Flow moved = new Flow(flow.requests(), Math.max(flow.start(), this.virtualTime), flow.cost(), flow.weight());
-		return new FairQueue(this.flows.plus(workspace, moved), this.order.plus(new Rank(moved.start(), workspace)),
-				this.loads, this.held.minus(workspace), this.weight, this.virtualTime, this.size);
+		Flow resumed = new Flow(flow.requests(), Math.max(flow.start(), this.virtualTime), flow.cost(), flow.weight());
+		return new FairQueue(this.flows.plus(workspace, resumed),
+				this.order.plus(new WorkspaceRank(resumed.start(), workspace)), this.loads, this.held.minus(workspace),
+				this.weight, this.virtualTime, this.size);
 	}
 
-	private FairQueue replace(WorkspaceName workspace, Flow before, Flow after, double time, int changedSize) {
+	private FairQueue replaceFlow(WorkspaceName workspace, Flow before, Flow after, double changedVirtualTime,
+			int changedSize) {
 		boolean isHeld = this.held.contains(workspace);
-		PSortedSet<Rank> ordered = this.order.minus(new Rank(before.start(), workspace));
-		PSortedSet<Rank> loaded = this.loads.minus(new Rank(before.load(), workspace));
-		double weights = this.weight - (before.requests().isEmpty() ? 0 : before.weight());
+		PSortedSet<WorkspaceRank> changedOrder = this.order.minus(new WorkspaceRank(before.start(), workspace));
+		PSortedSet<WorkspaceRank> changedLoads = this.loads.minus(new WorkspaceRank(before.load(), workspace));
+		double otherWeights = this.weight - (before.requests().isEmpty() ? 0 : before.weight());
 		if (after.requests().isEmpty()) {
-			PMap<WorkspaceName, Flow> kept = (after.start() > time) ? this.flows.plus(workspace, after)
+			PMap<WorkspaceName, Flow> kept = (after.start() > changedVirtualTime) ? this.flows.plus(workspace, after)
 					: this.flows.minus(workspace);
-			return new FairQueue(kept, ordered, loaded, this.held.minus(workspace), weights, time, changedSize);
+			return new FairQueue(kept, changedOrder, changedLoads, this.held.minus(workspace), otherWeights,
+					changedVirtualTime, changedSize);
 		}
 		if (!isHeld) {
-			ordered = ordered.plus(new Rank(after.start(), workspace));
+			changedOrder = changedOrder.plus(new WorkspaceRank(after.start(), workspace));
 		}
-		loaded = loaded.plus(new Rank(after.load(), workspace));
-		return new FairQueue(this.flows.plus(workspace, after), ordered, loaded, this.held, weights + after.weight(),
-				time, changedSize);
+		changedLoads = changedLoads.plus(new WorkspaceRank(after.load(), workspace));
+		return new FairQueue(this.flows.plus(workspace, after), changedOrder, changedLoads, this.held,
+				otherWeights + after.weight(), changedVirtualTime, changedSize);
 	}
 
 	/**
@@ -166,7 +170,8 @@
 	 * @param cost their cost together
 	 * @param weight the workspace's weight
 	 */
-	record Flow(TreePMap<Waiting.Place, Waiting> requests, double start, double cost, int weight) {
+	record Flow(TreePMap<WaitingRequest.QueuePosition, WaitingRequest> requests, double start, double cost,
+			int weight) {
 
 		static Flow idle() {
 			return new Flow(TreePMap.empty(), 0, 0, 1);
@@ -176,7 +181,7 @@
 			return this.cost / this.weight;
 		}
 
-		Flow without(Waiting waiting, double nextStart) {
+		Flow without(WaitingRequest waiting, double nextStart) {
 			return new Flow(this.requests.minus(waiting.place()), nextStart, this.cost - waiting.cost(), this.weight);
 		}
 
@@ -188,10 +193,10 @@
 	 * @param value what orders
 	 * @param workspace the workspace
 	 */
-	record Rank(double value, WorkspaceName workspace) implements Comparable<Rank> {
+	record WorkspaceRank(double value, WorkspaceName workspace) implements Comparable<WorkspaceRank> {
 
 		@Override
-		public int compareTo(Rank other) {
+		public int compareTo(WorkspaceRank other) {
 			int byValue = Double.compare(this.value, other.value);
 			return (byValue != 0) ? byValue : this.workspace.compareTo(other.workspace);
 		}
--- a/src/main/java/sycamorehill/logic/admission/GradientLimit.java
+++ b/src/main/java/sycamorehill/logic/admission/GradientLimit.java
@@ -24,13 +24,13 @@
 
 	private static final Duration WINDOW = Duration.ofMillis(500);
 
-	private static final int FEWEST_SAMPLES = 5;
+	private static final int MINIMUM_SAMPLES = 5;
 
-	private static final double REST_RISE = 1.002;
+	private static final double BASELINE_GROWTH_FACTOR = 1.002;
 
-	private static final double SMALLEST_GRADIENT = 0.8;
+	private static final double MINIMUM_GRADIENT = 0.8;
 
-	private static final double NANOS = 1e9;
+	private static final double NANOSECONDS_PER_SECOND = 1e9;
 
 	static GradientLimit of(AdmissionPolicy policy) {
 		return new GradientLimit(policy, policy.firstConcurrent(), 0, 0, 0, 0, Instant.MIN);
@@ -42,19 +42,20 @@
 	}
 
 	@Override
-	public ConcurrencyLimit measured(Duration latency, int inFlight, Instant now) {
+	public ConcurrencyLimit withSample(Duration latency, int inFlight, Instant now) {
 		Instant end = this.windowEnd.equals(Instant.MIN) ? now.plus(WINDOW) : this.windowEnd;
-		GradientLimit longer = new GradientLimit(this.policy, this.exact, this.atRest,
-				this.sum + latency.toNanos() / NANOS, this.count + 1, Math.max(this.busiest, inFlight), end);
-		boolean full = longer.count >= FEWEST_SAMPLES && !now.isBefore(end);
-		return full ? longer.closeWindow(now) : longer;
+		GradientLimit updated = new GradientLimit(this.policy, this.exact, this.atRest,
+				this.sum + latency.toNanos() / NANOSECONDS_PER_SECOND, this.count + 1, Math.max(this.busiest, inFlight),
+				end);
+		boolean windowComplete = updated.count >= MINIMUM_SAMPLES && !now.isBefore(end);
+		return windowComplete ? updated.closeWindow(now) : updated;
 	}
 
 	private GradientLimit closeWindow(Instant now) {
 		double average = this.sum / this.count;
-		double rest = (this.atRest == 0) ? average : Math.min(average, this.atRest * REST_RISE);
-		double gradient = Math.max(SMALLEST_GRADIENT,
-				Math.min(1, this.policy.latencyTolerance() * rest / Math.max(average, 1e-9)));
+		double baseline = (this.atRest == 0) ? average : Math.min(average, this.atRest * BASELINE_GROWTH_FACTOR);
+		double gradient = Math.max(MINIMUM_GRADIENT,
+				Math.min(1, this.policy.latencyTolerance() * baseline / Math.max(average, 1e-9)));
 		double changed = this.exact;
 		// An idle node's latency says nothing about a higher limit: it grows only in use.
 		if (gradient < 1) {
@@ -64,7 +65,7 @@
 			changed = this.exact + Math.sqrt(this.exact) / 2;
 		}
 		double bounded = Math.max(this.policy.fewestConcurrent(), Math.min(this.policy.mostConcurrent(), changed));
-		return new GradientLimit(this.policy, bounded, rest, 0, 0, 0, now.plus(WINDOW));
+		return new GradientLimit(this.policy, bounded, baseline, 0, 0, 0, now.plus(WINDOW));
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/admission/LatencyEstimate.java
+++ b/src/main/java/sycamorehill/logic/admission/LatencyEstimate.java
@@ -16,37 +16,37 @@
  */
 record LatencyEstimate(double mean, double deviation, double atRest, Instant measuredAt) {
 
-	private static final double GAIN = 0.05;
+	private static final double SMOOTHING_GAIN = 0.05;
 
-	private static final double DEVIATIONS = 5;
+	private static final double DEVIATION_MULTIPLIER = 5;
 
-	private static final double REST_RISE = 1.0005;
+	private static final double BASELINE_GROWTH_FACTOR = 1.0005;
 
-	private static final double FORGET_SECONDS = 0.5;
+	private static final double DECAY_SECONDS = 0.5;
 
-	private static final double NANOS = 1e9;
+	private static final double NANOSECONDS_PER_SECOND = 1e9;
 
 	static LatencyEstimate none() {
 		return new LatencyEstimate(0, 0, 0, Instant.EPOCH);
 	}
 
-	LatencyEstimate measured(Duration latency, Instant now) {
-		double seconds = latency.toNanos() / NANOS;
+	LatencyEstimate withSample(Duration latency, Instant now) {
+		double seconds = latency.toNanos() / NANOSECONDS_PER_SECOND;
 		if (this.mean == 0) {
 			return new LatencyEstimate(seconds, seconds / 4, seconds, now);
 		}
-		double off = Math.abs(seconds - this.mean);
-		double smoothed = this.mean + GAIN * (seconds - this.mean);
-		return new LatencyEstimate(smoothed, this.deviation + GAIN * (off - this.deviation),
-				Math.min(smoothed, this.atRest * REST_RISE), now);
+		double absoluteDeviation = Math.abs(seconds - this.mean);
+		double smoothed = this.mean + SMOOTHING_GAIN * (seconds - this.mean);
+		return new LatencyEstimate(smoothed, this.deviation + SMOOTHING_GAIN * (absoluteDeviation - this.deviation),
+				Math.min(smoothed, this.atRest * BASELINE_GROWTH_FACTOR), now);
 	}
 
 	/**
 	 * The latency at rest.
 	 * @return the smallest smoothed latency of late
 	 */
-	Duration rest() {
-		return Duration.ofNanos((long) (this.atRest * NANOS));
+	Duration baseline() {
+		return Duration.ofNanos((long) (this.atRest * NANOSECONDS_PER_SECOND));
 	}
 
 	/**
@@ -54,11 +54,11 @@
 	 * @param now the time
 	 * @return the bound, zero before anything was measured
 	 */
-	Duration bound(Instant now) {
-		double above = this.mean + DEVIATIONS * this.deviation - this.atRest;
-		double age = Duration.between(this.measuredAt, now).toNanos() / NANOS;
-		double kept = Math.exp(-Math.max(0, age) / FORGET_SECONDS);
-		return Duration.ofNanos((long) ((this.atRest + above * kept) * NANOS));
+	Duration upperBound(Instant now) {
+		double margin = this.mean + DEVIATION_MULTIPLIER * this.deviation - this.atRest;
+		double age = Duration.between(this.measuredAt, now).toNanos() / NANOSECONDS_PER_SECOND;
+		double decay = Math.exp(-Math.max(0, age) / DECAY_SECONDS);
+		return Duration.ofNanos((long) ((this.atRest + margin * decay) * NANOSECONDS_PER_SECOND));
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/admission/LimitState.java
+++ b/src/main/java/sycamorehill/logic/admission/LimitState.java
@@ -31,7 +31,7 @@
  * @param asks when the asks of this life were sent, by number
  * @param lastAsk number of the last one
  */
-record LimitState(Instant ownsFrom, int divisor, long divisorOf, PMap<WorkspaceName, Entry> workspaces,
+record LimitState(Instant ownsFrom, int divisor, long divisorOf, PMap<WorkspaceName, WorkspaceEntry> workspaces,
 		PMap<Long, Instant> asks, long lastAsk) {
 
 	static LimitState initial() {
@@ -48,15 +48,16 @@
 	 * @param view what the other parts know
 	 * @return the state
 	 */
-	LimitState following(NodeView view) {
+	LimitState withCurrentDivisor(NodeView view) {
 		Optional<Truth> truth = view.truth();
 		if (truth.isEmpty() || truth.get().number() == this.divisorOf) {
 			return this;
 		}
-		PMap<DataCentreName, Boolean> named = TicketedDataCentres.of(truth.get());
-		int changed = named.containsKey(view.self().dataCentre())
-				? named.size() * view.policy().admission().nodesPerDataCentre() : 0;
-		return new LimitState(this.ownsFrom, changed, truth.get().number(), this.workspaces, this.asks, this.lastAsk);
+		PMap<DataCentreName, Boolean> dataCentres = TicketedDataCentres.of(truth.get());
+		int newDivisor = dataCentres.containsKey(view.self().dataCentre())
+				? dataCentres.size() * view.policy().admission().nodesPerDataCentre() : 0;
+		return new LimitState(this.ownsFrom, newDivisor, truth.get().number(), this.workspaces, this.asks,
+				this.lastAsk);
 	}
 
 	/**
@@ -66,17 +67,17 @@
 	 * @param view what the other parts know
 	 * @return the entry
 	 */
-	Entry entry(WorkspaceName workspace, Instant now, NodeView view) {
-		Entry entry = this.workspaces.get(workspace);
-		Entry known = (entry != null) ? entry : Entry.fresh(now);
-		return known.at(now, owned(workspace, now, view));
+	WorkspaceEntry entry(WorkspaceName workspace, Instant now, NodeView view) {
+		WorkspaceEntry entry = this.workspaces.get(workspace);
+		WorkspaceEntry known = (entry != null) ? entry : WorkspaceEntry.fresh(now);
+		return known.updatedTo(now, owned(workspace, now, view));
 	}
 
-	LimitState with(WorkspaceName workspace, Entry entry) {
+	LimitState with(WorkspaceName workspace, WorkspaceEntry entry) {
 		return withWorkspaces(this.workspaces.plus(workspace, entry));
 	}
 
-	LimitState withWorkspaces(PMap<WorkspaceName, Entry> changed) {
+	LimitState withWorkspaces(PMap<WorkspaceName, WorkspaceEntry> changed) {
 		return new LimitState(this.ownsFrom, this.divisor, this.divisorOf, changed, this.asks, this.lastAsk);
 	}
 
@@ -119,31 +120,32 @@
 	 * @param nextAsk when to ask others again
 	 * @param turn where the coordinator goes on asking
 	 */
-	record Entry(ShareAccount account, UseMeter meter, Wants wants, Instant nextAsk, int turn) {
+	record WorkspaceEntry(ShareAccount account, UsageMeter meter, OutstandingAsks wants, Instant nextAsk, int turn) {
 
-		static Entry fresh(Instant now) {
-			return new Entry(ShareAccount.empty(), UseMeter.fresh(now), Wants.none(), now, 0);
+		static WorkspaceEntry fresh(Instant now) {
+			return new WorkspaceEntry(ShareAccount.empty(), UsageMeter.fresh(now), OutstandingAsks.none(), now, 0);
 		}
 
-		Entry at(Instant now, ShareAmounts owned) {
-			ShareAccount current = this.account.owning(owned, now);
-			return new Entry(current, this.meter.at(now, current.usable()), this.wants, this.nextAsk, this.turn);
+		WorkspaceEntry updatedTo(Instant now, ShareAmounts owned) {
+			ShareAccount current = this.account.withOwned(owned, now);
+			return new WorkspaceEntry(current, this.meter.updatedTo(now, current.usable()), this.wants, this.nextAsk,
+					this.turn);
 		}
 
-		Entry with(ShareAccount changed) {
-			return new Entry(changed, this.meter, this.wants, this.nextAsk, this.turn);
+		WorkspaceEntry with(ShareAccount changed) {
+			return new WorkspaceEntry(changed, this.meter, this.wants, this.nextAsk, this.turn);
 		}
 
-		Entry with(UseMeter changed) {
-			return new Entry(this.account, changed, this.wants, this.nextAsk, this.turn);
+		WorkspaceEntry with(UsageMeter changed) {
+			return new WorkspaceEntry(this.account, changed, this.wants, this.nextAsk, this.turn);
 		}
 
-		Entry with(Wants changed) {
-			return new Entry(this.account, this.meter, changed, this.nextAsk, this.turn);
+		WorkspaceEntry with(OutstandingAsks changed) {
+			return new WorkspaceEntry(this.account, this.meter, changed, this.nextAsk, this.turn);
 		}
 
-		Entry asked(Instant next, int nextTurn) {
-			return new Entry(this.account, this.meter, this.wants, next, nextTurn);
+		WorkspaceEntry withNextAsk(Instant next, int nextTurn) {
+			return new WorkspaceEntry(this.account, this.meter, this.wants, next, nextTurn);
 		}
 
 		boolean admits() {
--- a/src/main/java/sycamorehill/logic/admission/Leases.java
+++ b/src/main/java/sycamorehill/logic/admission/LoanSet.java
@@ -14,10 +14,10 @@
  *
  * @param loans the loans, the first to end first
  */
-record Leases(PVector<Loan> loans) {
+record LoanSet(PVector<Loan> loans) {
 
-	static Leases none() {
-		return new Leases(TreePVector.empty());
+	static LoanSet none() {
+		return new LoanSet(TreePVector.empty());
 	}
 
 	/**
@@ -27,7 +27,7 @@
 	 * @param now the time
 	 * @return the loans
 	 */
-	Leases plus(ShareAmounts amounts, Instant end, Instant now) {
+	LoanSet plus(ShareAmounts amounts, Instant end, Instant now) {
 		PVector<Loan> kept = TreePVector.empty();
 		for (Loan loan : this.loans) {
 			boolean dominated = !loan.end().isAfter(end) && loan.amounts().max(amounts).equals(amounts);
@@ -35,7 +35,7 @@
 				kept = kept.plus(loan);
 			}
 		}
-		return new Leases(kept.plus(new Loan(amounts, end)));
+		return new LoanSet(kept.plus(new Loan(amounts, end)));
 	}
 
 	/**
@@ -43,7 +43,7 @@
 	 * @param instant the instant
 	 * @return the greatest loan that has not ended at it
 	 */
-	ShareAmounts through(Instant instant) {
+	ShareAmounts outstandingAt(Instant instant) {
 		ShareAmounts greatest = ShareAmounts.NONE;
 		for (Loan loan : this.loans) {
 			if (loan.end().isAfter(instant)) {
--- a/src/main/java/sycamorehill/logic/admission/Wants.java
+++ b/src/main/java/sycamorehill/logic/admission/OutstandingAsks.java
@@ -14,14 +14,14 @@
  *
  * @param asked the last ask of each node
  */
-record Wants(PMap<NodeIdentity, Want> asked) {
+record OutstandingAsks(PMap<NodeIdentity, OutstandingAsk> asked) {
 
-	static Wants none() {
-		return new Wants(HashTreePMap.empty());
+	static OutstandingAsks none() {
+		return new OutstandingAsks(HashTreePMap.empty());
 	}
 
-	Wants plus(NodeIdentity node, Want want) {
-		return new Wants(this.asked.plus(node, want));
+	OutstandingAsks plus(NodeIdentity node, OutstandingAsk ask) {
+		return new OutstandingAsks(this.asked.plus(node, ask));
 	}
 
 	/**
@@ -29,14 +29,14 @@
 	 * @param now the time
 	 * @return the wants that still hold
 	 */
-	Wants at(Instant now) {
-		PMap<NodeIdentity, Want> kept = this.asked;
+	OutstandingAsks withoutExpired(Instant now) {
+		PMap<NodeIdentity, OutstandingAsk> kept = this.asked;
 		for (var entry : this.asked.entrySet()) {
 			if (!entry.getValue().until().isAfter(now)) {
 				kept = kept.minus(entry.getKey());
 			}
 		}
-		return (kept != this.asked) ? new Wants(kept) : this;
+		return (kept != this.asked) ? new OutstandingAsks(kept) : this;
 	}
 
 	/**
@@ -46,9 +46,9 @@
 	 */
 	ShareAmounts total(boolean withOtherDataCentres) {
 		ShareAmounts total = ShareAmounts.NONE;
-		for (Want want : this.asked.values()) {
-			if (withOtherDataCentres || want.scope() == ShareAsk.Scope.TO_COORDINATOR) {
-				total = total.plus(want.amounts());
+		for (OutstandingAsk ask : this.asked.values()) {
+			if (withOtherDataCentres || ask.scope() == ShareAsk.Scope.TO_COORDINATOR) {
+				total = total.plus(ask.amounts());
 			}
 		}
 		return total;
@@ -67,10 +67,10 @@
 	 * @param until when it is forgotten unless asked again
 	 * @param answersLeft how often it may still be answered later
 	 */
-	record Want(ShareAmounts amounts, long number, ShareAsk.Scope scope, Instant until, int answersLeft) {
+	record OutstandingAsk(ShareAmounts amounts, long number, ShareAsk.Scope scope, Instant until, int answersLeft) {
 
-		Want answered() {
-			return new Want(this.amounts, this.number, this.scope, this.until, this.answersLeft - 1);
+		OutstandingAsk answered() {
+			return new OutstandingAsk(this.amounts, this.number, this.scope, this.until, this.answersLeft - 1);
 		}
 
 	}
--- a/src/main/java/sycamorehill/logic/admission/RequestCheck.java
+++ b/src/main/java/sycamorehill/logic/admission/RequestCheck.java
@@ -21,7 +21,7 @@
  */
 record RequestCheck(Optional<Refusal> refusal, Optional<WorkspaceItem> workspace, Handling handling) {
 
-	private static final Duration TRUTH_WAIT = Duration.ofSeconds(1);
+	private static final Duration NOT_READY_RETRY_AFTER = Duration.ofSeconds(1);
 
 	/**
 	 * Checks a request against the state in force.
@@ -33,7 +33,7 @@
 		Optional<Truth> truth = view.truth();
 		if (truth.isEmpty()) {
 			return refused(Refusal.of(RefusalReason.NODE_NOT_READY, "the node does not know the state in force yet",
-					TRUTH_WAIT));
+					NOT_READY_RETRY_AFTER));
 		}
 		Optional<WorkspaceItem> workspace = truth.get().workspaceByKeyHash(request.keyHash());
 		if (workspace.isEmpty()) {
--- a/src/main/java/sycamorehill/logic/admission/ServiceLoad.java
+++ b/src/main/java/sycamorehill/logic/admission/ServiceLoad.java
@@ -18,9 +18,9 @@
 record ServiceLoad(FairQueue queue, ConcurrencyLimit limit, int inFlight, LatencyEstimate estimate, double rate,
 		Instant rateAt) {
 
-	private static final double RATE_SECONDS = 2;
+	private static final double RATE_SMOOTHING_SECONDS = 2;
 
-	private static final double NANOS = 1e9;
+	private static final double NANOSECONDS_PER_SECOND = 1e9;
 
 	static ServiceLoad fresh(AdmissionPolicy policy, Instant now) {
 		return new ServiceLoad(FairQueue.empty(), ConcurrencyLimit.gradient(policy), 0, LatencyEstimate.none(), 0, now);
@@ -35,14 +35,15 @@
 	}
 
 	ServiceLoad finish(Instant now) {
-		double fade = Math.exp(-Duration.between(this.rateAt, now).toNanos() / NANOS / RATE_SECONDS);
+		double decay = Math
+			.exp(-Duration.between(this.rateAt, now).toNanos() / NANOSECONDS_PER_SECOND / RATE_SMOOTHING_SECONDS);
 		return new ServiceLoad(this.queue, this.limit, this.inFlight - 1, this.estimate,
-				this.rate * fade + 1 / RATE_SECONDS, now);
+				this.rate * decay + 1 / RATE_SMOOTHING_SECONDS, now);
 	}
 
-	ServiceLoad measured(Duration latency, Instant now) {
-		return new ServiceLoad(this.queue, this.limit.measured(latency, this.inFlight, now), this.inFlight,
-				this.estimate.measured(latency, now), this.rate, this.rateAt);
+	ServiceLoad withSample(Duration latency, Instant now) {
+		return new ServiceLoad(this.queue, this.limit.withSample(latency, this.inFlight, now), this.inFlight,
+				this.estimate.withSample(latency, now), this.rate, this.rateAt);
 	}
 
 	/**
@@ -50,14 +51,14 @@
 	 * @param ahead requests ahead
 	 * @return the wait, zero while nothing was measured
 	 */
-	Duration waitBehind(double ahead) {
+	Duration estimatedWait(double ahead) {
 		if (this.rate <= 0 || ahead <= 0) {
 			return Duration.ZERO;
 		}
-		return Duration.ofNanos((long) (ahead / this.rate * NANOS));
+		return Duration.ofNanos((long) (ahead / this.rate * NANOSECONDS_PER_SECOND));
 	}
 
-	boolean hasRoom() {
+	boolean hasCapacity() {
 		return this.inFlight < this.limit.limit();
 	}
 
--- a/src/main/java/sycamorehill/logic/admission/ShareAccount.java
+++ b/src/main/java/sycamorehill/logic/admission/ShareAccount.java
@@ -32,7 +32,7 @@
  * @param usable cached difference
  * @param usableUntil when the cached difference changes by itself
  */
-record ShareAccount(ShareAmounts owned, PMap<NodeIncarnation, Leases> borrowed, PMap<NodeIncarnation, Leases> lent,
+record ShareAccount(ShareAmounts owned, PMap<NodeIncarnation, LoanSet> borrowed, PMap<NodeIncarnation, LoanSet> lent,
 		ShareAmounts usable, Instant usableUntil) {
 
 	static ShareAccount empty() {
@@ -40,7 +40,7 @@
 				Instant.MIN);
 	}
 
-	ShareAccount owning(ShareAmounts changed, Instant now) {
+	ShareAccount withOwned(ShareAmounts changed, Instant now) {
 		if (changed.equals(this.owned) && now.isBefore(this.usableUntil)) {
 			return this;
 		}
@@ -59,8 +59,8 @@
 		if (!end.isAfter(now)) {
 			return this;
 		}
-		Leases leases = this.borrowed.getOrDefault(lender, Leases.none()).plus(amounts, end, now);
-		return of(this.owned, this.borrowed.plus(lender, leases), this.lent, now);
+		LoanSet loans = this.borrowed.getOrDefault(lender, LoanSet.none()).plus(amounts, end, now);
+		return of(this.owned, this.borrowed.plus(lender, loans), this.lent, now);
 	}
 
 	/**
@@ -84,8 +84,8 @@
 	 * @return the account
 	 */
 	ShareAccount lend(NodeIncarnation borrower, ShareAmounts amounts, Instant end, Instant now) {
-		Leases leases = this.lent.getOrDefault(borrower, Leases.none()).plus(amounts, end, now);
-		return of(this.owned, this.borrowed, this.lent.plus(borrower, leases), now);
+		LoanSet loans = this.lent.getOrDefault(borrower, LoanSet.none()).plus(amounts, end, now);
+		return of(this.owned, this.borrowed, this.lent.plus(borrower, loans), now);
 	}
 
 	/**
@@ -95,7 +95,7 @@
 	 * @return what it may count on now
 	 */
 	ShareAmounts lentTo(NodeIncarnation borrower, Instant now) {
-		return this.lent.getOrDefault(borrower, Leases.none()).through(now);
+		return this.lent.getOrDefault(borrower, LoanSet.none()).outstandingAt(now);
 	}
 
 	/**
@@ -116,17 +116,17 @@
 		return !total(this.borrowed, now).negligible() || !total(this.lent, now).negligible();
 	}
 
-	private static ShareAccount of(ShareAmounts owned, PMap<NodeIncarnation, Leases> borrowed,
-			PMap<NodeIncarnation, Leases> lent, Instant now) {
-		PMap<NodeIncarnation, Leases> liveBorrowed = live(borrowed, now);
-		PMap<NodeIncarnation, Leases> liveLent = live(lent, now);
+	private static ShareAccount of(ShareAmounts owned, PMap<NodeIncarnation, LoanSet> borrowed,
+			PMap<NodeIncarnation, LoanSet> lent, Instant now) {
+		PMap<NodeIncarnation, LoanSet> liveBorrowed = withoutExpired(borrowed, now);
+		PMap<NodeIncarnation, LoanSet> liveLent = withoutExpired(lent, now);
 		ShareAmounts usable = owned.plus(total(liveBorrowed, now)).minus(total(liveLent, now));
 		return new ShareAccount(owned, liveBorrowed, liveLent, usable, nextEnd(liveBorrowed, liveLent, now));
 	}
 
-	private static PMap<NodeIncarnation, Leases> live(PMap<NodeIncarnation, Leases> leases, Instant now) {
-		PMap<NodeIncarnation, Leases> live = leases;
-		for (var entry : leases.entrySet()) {
+	private static PMap<NodeIncarnation, LoanSet> withoutExpired(PMap<NodeIncarnation, LoanSet> loans, Instant now) {
+		PMap<NodeIncarnation, LoanSet> live = loans;
+		for (var entry : loans.entrySet()) {
 			if (entry.getValue().nextEnd(now).equals(Instant.MAX)) {
 				live = live.minus(entry.getKey());
 			}
@@ -134,22 +134,22 @@
 		return live;
 	}
 
-	private static Instant nextEnd(PMap<NodeIncarnation, Leases> borrowed, PMap<NodeIncarnation, Leases> lent,
+	private static Instant nextEnd(PMap<NodeIncarnation, LoanSet> borrowed, PMap<NodeIncarnation, LoanSet> lent,
 			Instant now) {
 		Instant next = Instant.MAX;
-		for (PMap<NodeIncarnation, Leases> side : List.of(borrowed, lent)) {
-			for (Leases leases : side.values()) {
-				Instant end = leases.nextEnd(now);
+		for (PMap<NodeIncarnation, LoanSet> side : List.of(borrowed, lent)) {
+			for (LoanSet loans : side.values()) {
+				Instant end = loans.nextEnd(now);
 				next = end.isBefore(next) ? end : next;
 			}
 		}
 		return next;
 	}
 
-	private static ShareAmounts total(PMap<NodeIncarnation, Leases> side, Instant instant) {
+	private static ShareAmounts total(PMap<NodeIncarnation, LoanSet> side, Instant instant) {
 		ShareAmounts total = ShareAmounts.NONE;
-		for (Leases leases : side.values()) {
-			total = total.plus(leases.through(instant));
+		for (LoanSet loans : side.values()) {
+			total = total.plus(loans.outstandingAt(instant));
 		}
 		return total;
 	}
--- a/src/main/java/sycamorehill/logic/admission/ShareExchange.java
+++ b/src/main/java/sycamorehill/logic/admission/ShareExchange.java
@@ -11,7 +11,7 @@
 
 import sycamorehill.logic.NodeView;
 import sycamorehill.logic.Step;
-import sycamorehill.logic.admission.LimitState.Entry;
+import sycamorehill.logic.admission.LimitState.WorkspaceEntry;
 import sycamorehill.model.effect.Effect;
 import sycamorehill.model.effect.PeerEffect;
 import sycamorehill.model.identity.NodeIdentity;
@@ -31,26 +31,26 @@
 final class ShareExchange {
 
 	/** What two monotonic clocks may drift apart, as a part of the lease. */
-	private static final long DRIFT_PART = 100;
+	private static final long CLOCK_DRIFT_DIVISOR = 100;
 
 	/**
 	 * How often one ask is answered after the first answer. Without a bound, two nodes
 	 * that each take the other for the coordinator would answer every loan with a loan,
 	 * and fill the network with messages.
 	 */
-	private static final int LATER_ANSWERS = 4;
+	private static final int MAXIMUM_FURTHER_LOANS = 4;
 
-	private static final int KEPT_ASKS = 64;
+	private static final int MAXIMUM_RECENT_ASKS = 64;
 
 	/** A loan from a node's own part; what it carries is lent on for less. */
-	private static final double FULL_LEASE = 1.0;
+	private static final double TO_NODE_LEASE_FRACTION = 1.0;
 
-	private static final double DATA_CENTRE_LEASE = 0.75;
+	private static final double TO_DATA_CENTRE_LEASE_FRACTION = 0.75;
 
-	private static final double NODE_LEASE = 0.5;
+	private static final double TO_COORDINATOR_LEASE_FRACTION = 0.5;
 
 	/** How much more is asked for in all than is wanted: some have nothing to spare. */
-	private static final double OVER_ASK = 2;
+	private static final double OVER_ASK_FACTOR = 2;
 
 	private final NodeView view;
 
@@ -81,7 +81,7 @@
 			return Step.of(state);
 		}
 		ShareExchange exchange = new ShareExchange(state, now, view);
-		exchange.askForMissing();
+		exchange.askForAllShortfalls();
 		return Step.of(exchange.state, exchange.effects);
 	}
 
@@ -90,18 +90,19 @@
 	 * @param state the limits
 	 * @param now the time
 	 * @param view what the other parts know
-	 * @param from who asks
+	 * @param borrower who asks
 	 * @param ask what for
 	 * @return the limits after it and the answer
 	 */
-	static Step<LimitState> asked(LimitState state, Instant now, NodeView view, NodeIdentity from, ShareAsk ask) {
+	static Step<LimitState> handleAsk(LimitState state, Instant now, NodeView view, NodeIdentity borrower,
+			ShareAsk ask) {
 		ShareExchange exchange = new ShareExchange(state, now, view);
 		List<WorkspaceShare> loans = new ArrayList<>();
 		for (WorkspaceShare want : ask.wants()) {
-			exchange.remember(from, ask, want);
-			exchange.lend(from, ask.scope(), want, loans);
+			exchange.recordAsk(borrower, ask, want);
+			exchange.lend(borrower, ask.scope(), want, loans);
 		}
-		exchange.answer(from, ask.number(), ask.scope(), loans);
+		exchange.sendLoan(borrower, ask.number(), ask.scope(), loans);
 		if (ask.scope() != ShareAsk.Scope.TO_NODE) {
 			exchange.askFor(ask.wants().stream().map(WorkspaceShare::workspace).toList());
 		}
@@ -113,11 +114,12 @@
 	 * @param state the limits
 	 * @param now the time
 	 * @param view what the other parts know
-	 * @param from who lends
+	 * @param lender who lends
 	 * @param loan what
 	 * @return the limits after it and what is passed on
 	 */
-	static Step<LimitState> lent(LimitState state, Instant now, NodeView view, NodeIdentity from, ShareLoan loan) {
+	static Step<LimitState> handleLoan(LimitState state, Instant now, NodeView view, NodeIdentity lender,
+			ShareLoan loan) {
 		Instant askedAt = state.asks().get(loan.number());
 		// A loan for an ask of this node's earlier life would count from a later ask of
 		// the same number, and so longer than its lender counts it.
@@ -125,13 +127,13 @@
 			return Step.of(state);
 		}
 		ShareExchange exchange = new ShareExchange(state, now, view);
-		long drift = loan.leaseMilliseconds() / DRIFT_PART;
+		long drift = loan.leaseMilliseconds() / CLOCK_DRIFT_DIVISOR;
 		Instant end = askedAt.plusMillis(loan.leaseMilliseconds() - drift);
 		for (WorkspaceShare share : loan.loans()) {
-			Entry entry = state.entry(share.workspace(), now, view);
-			ShareAccount account = entry.account().borrow(from.incarnation(), share.amounts(), end, now);
+			WorkspaceEntry entry = state.entry(share.workspace(), now, view);
+			ShareAccount account = entry.account().borrow(lender.incarnation(), share.amounts(), end, now);
 			exchange.put(share.workspace(), entry.with(account));
-			exchange.passOn(share.workspace(), from);
+			exchange.lendToOutstandingAsks(share.workspace(), lender);
 		}
 		return Step.of(exchange.state, exchange.effects);
 	}
@@ -144,21 +146,21 @@
 	 * @param workspace the workspace
 	 * @return the limits after it and the messages
 	 */
-	static Step<LimitState> missed(LimitState state, Instant now, NodeView view, WorkspaceName workspace) {
+	static Step<LimitState> askForShortfall(LimitState state, Instant now, NodeView view, WorkspaceName workspace) {
 		ShareExchange exchange = new ShareExchange(state, now, view);
 		exchange.askFor(List.of(workspace));
 		return Step.of(exchange.state, exchange.effects);
 	}
 
-	private void put(WorkspaceName workspace, Entry entry) {
+	private void put(WorkspaceName workspace, WorkspaceEntry entry) {
 		this.state = this.state.with(workspace, entry);
 	}
 
-	private void askForMissing() {
+	private void askForAllShortfalls() {
 		List<WorkspaceName> active = new ArrayList<>();
 		for (WorkspaceName workspace : List.copyOf(this.state.workspaces().keySet())) {
-			Entry entry = this.state.entry(workspace, this.now, this.view);
-			entry = entry.with(entry.wants().at(this.now));
+			WorkspaceEntry entry = this.state.entry(workspace, this.now, this.view);
+			entry = entry.with(entry.wants().withoutExpired(this.now));
 			if (entry.idle(this.now)) {
 				this.state = this.state.withWorkspaces(this.state.workspaces().minus(workspace));
 			}
@@ -174,8 +176,8 @@
 		Map<Recipient, List<WorkspaceShare>> asks = new LinkedHashMap<>();
 		Coordinators coordinators = null;
 		for (WorkspaceName workspace : workspaces) {
-			Entry entry = this.state.entry(workspace, this.now, this.view);
-			if (!entry.nextAsk().isAfter(this.now) && !missing(workspace, entry, true).negligible()) {
+			WorkspaceEntry entry = this.state.entry(workspace, this.now, this.view);
+			if (!entry.nextAsk().isAfter(this.now) && !shortfall(workspace, entry, true).negligible()) {
 				coordinators = (coordinators != null) ? coordinators : Coordinators.of(this.view.liveNodes());
 				ask(workspace, entry, coordinators, asks);
 			}
@@ -183,46 +185,47 @@
 		asks.forEach(this::send);
 	}
 
-	private ShareAmounts missing(WorkspaceName workspace, Entry entry, boolean forOtherDataCentres) {
+	private ShareAmounts shortfall(WorkspaceName workspace, WorkspaceEntry entry, boolean forOtherDataCentres) {
 		ShareAmounts wanted = entry.meter().demand().plus(entry.wants().total(forOtherDataCentres));
 		return wanted.min(LimitState.limits(workspace, this.view)).minus(entry.account().owned());
 	}
 
-	private void ask(WorkspaceName workspace, Entry entry, Coordinators coordinators,
+	private void ask(WorkspaceName workspace, WorkspaceEntry entry, Coordinators coordinators,
 			Map<Recipient, List<WorkspaceShare>> asks) {
 		NodeIdentity self = this.view.self();
-		NodeIdentity coordinator = coordinators.of(workspace, self.dataCentre()).orElse(self);
+		NodeIdentity coordinator = coordinators.coordinator(workspace, self.dataCentre()).orElse(self);
 		int turn = entry.turn();
 		if (!coordinator.incarnation().equals(self.incarnation())) {
-			add(asks, coordinator, ShareAsk.Scope.TO_COORDINATOR, workspace, missing(workspace, entry, true));
+			add(asks, coordinator, ShareAsk.Scope.TO_COORDINATOR, workspace, shortfall(workspace, entry, true));
 		}
 		else {
 			turn = askAsCoordinator(workspace, entry, coordinators, asks);
 		}
-		put(workspace, entry.asked(this.now.plus(this.policy.shareInterval()), turn));
+		put(workspace, entry.withNextAsk(this.now.plus(this.policy.shareInterval()), turn));
 	}
 
-	private int askAsCoordinator(WorkspaceName workspace, Entry entry, Coordinators coordinators,
+	private int askAsCoordinator(WorkspaceName workspace, WorkspaceEntry entry, Coordinators coordinators,
 			Map<Recipient, List<WorkspaceShare>> asks) {
 		NodeIdentity self = this.view.self();
-		List<NodeIdentity> others = coordinators.elsewhere(workspace, self.dataCentre());
-		ShareAmounts own = missing(workspace, entry, false);
-		for (NodeIdentity other : others) {
-			add(asks, other, ShareAsk.Scope.TO_DATA_CENTRE, workspace, own.times(part(others.size())));
+		List<NodeIdentity> remoteCoordinators = coordinators.inOtherDataCentres(workspace, self.dataCentre());
+		ShareAmounts localShortfall = shortfall(workspace, entry, false);
+		for (NodeIdentity remote : remoteCoordinators) {
+			add(asks, remote, ShareAsk.Scope.TO_DATA_CENTRE, workspace,
+					localShortfall.times(askFraction(remoteCoordinators.size())));
 		}
 		List<NodeIdentity> nodes = new ArrayList<>(coordinators.nodes(self.dataCentre()));
 		nodes.removeIf((node) -> node.incarnation().equals(self.incarnation()));
 		int asked = Math.min(this.policy.shareFanOut(), nodes.size());
-		ShareAmounts all = missing(workspace, entry, true).times(part(asked));
-		for (int place = 0; place < asked; place++) {
-			NodeIdentity node = nodes.get((entry.turn() + place) % nodes.size());
-			add(asks, node, ShareAsk.Scope.TO_NODE, workspace, all);
+		ShareAmounts shortfallPerNode = shortfall(workspace, entry, true).times(askFraction(asked));
+		for (int index = 0; index < asked; index++) {
+			NodeIdentity node = nodes.get((entry.turn() + index) % nodes.size());
+			add(asks, node, ShareAsk.Scope.TO_NODE, workspace, shortfallPerNode);
 		}
 		return nodes.isEmpty() ? 0 : (entry.turn() + asked) % nodes.size();
 	}
 
-	private static double part(int asked) {
-		return Math.min(1, OVER_ASK / Math.max(1, asked));
+	private static double askFraction(int asked) {
+		return Math.min(1, OVER_ASK_FACTOR / Math.max(1, asked));
 	}
 
 	private static void add(Map<Recipient, List<WorkspaceShare>> asks, NodeIdentity to, ShareAsk.Scope scope,
@@ -236,99 +239,105 @@
 	private void send(Recipient recipient, List<WorkspaceShare> wants) {
 		this.state = this.state.withAsk(this.now);
 		long number = this.state.lastAsk();
-		PMap<Long, Instant> recent = this.state.asks().minus(number - KEPT_ASKS);
+		PMap<Long, Instant> recent = this.state.asks().minus(number - MAXIMUM_RECENT_ASKS);
 		this.state = this.state.withAsks(recent);
 		this.effects.add(new PeerEffect.Send(recipient.node(), new ShareAsk(number, recipient.scope(), wants)));
 	}
 
-	private void remember(NodeIdentity from, ShareAsk ask, WorkspaceShare want) {
+	private void recordAsk(NodeIdentity borrower, ShareAsk ask, WorkspaceShare want) {
 		if (ask.scope() == ShareAsk.Scope.TO_NODE) {
 			return;
 		}
-		Entry entry = this.state.entry(want.workspace(), this.now, this.view);
-		Wants.Want remembered = new Wants.Want(want.amounts(), ask.number(), ask.scope(),
-				this.now.plus(this.policy.shareInterval().multipliedBy(2)), LATER_ANSWERS);
-		put(want.workspace(), entry.with(entry.wants().plus(from, remembered)));
+		WorkspaceEntry entry = this.state.entry(want.workspace(), this.now, this.view);
+		OutstandingAsks.OutstandingAsk outstanding = new OutstandingAsks.OutstandingAsk(want.amounts(), ask.number(),
+				ask.scope(), this.now.plus(this.policy.shareInterval().multipliedBy(2)), MAXIMUM_FURTHER_LOANS);
+		put(want.workspace(), entry.with(entry.wants().plus(borrower, outstanding)));
 	}
 
-	private void lend(NodeIdentity to, ShareAsk.Scope scope, WorkspaceShare want, List<WorkspaceShare> loans) {
-		Entry entry = this.state.entry(want.workspace(), this.now, this.view);
-		Instant end = this.now.plus(lease(scope));
-		ShareAmounts most = entry.account().lendable(to.incarnation(), end, this.now);
-		ShareAmounts spare = most.minus(kept(entry, scope));
-		ShareAmounts amounts = want.amounts().min(spare).min(fairPart(entry, scope, want.amounts()));
-		ShareAmounts held = entry.account().lentTo(to.incarnation(), this.now).min(want.amounts()).min(most);
+	private void lend(NodeIdentity borrower, ShareAsk.Scope scope, WorkspaceShare want, List<WorkspaceShare> loans) {
+		WorkspaceEntry entry = this.state.entry(want.workspace(), this.now, this.view);
+		Instant end = this.now.plus(leaseLength(scope));
+		ShareAmounts lendable = entry.account().lendable(borrower.incarnation(), end, this.now);
+		ShareAmounts spare = lendable.minus(reserved(entry, scope));
+		ShareAmounts amounts = want.amounts().min(spare).min(fairShare(entry, scope, want.amounts()));
+		ShareAmounts alreadyLent = entry.account()
+			.lentTo(borrower.incarnation(), this.now)
+			.min(want.amounts())
+			.min(lendable);
 		// Requests that run on a borrowed part of the in-flight limit can't be called
 		// back: while their node asks for it, it keeps it, or more would run than the
 		// limit.
 		ShareAmounts loan = new ShareAmounts(amounts.requests(), amounts.tokens(),
-				Math.max(amounts.inFlight(), held.inFlight()));
+				Math.max(amounts.inFlight(), alreadyLent.inFlight()));
 		if (loan.negligible()) {
 			return;
 		}
-		put(want.workspace(), entry.with(entry.account().lend(to.incarnation(), loan, end, this.now)));
+		put(want.workspace(), entry.with(entry.account().lend(borrower.incarnation(), loan, end, this.now)));
 		loans.add(new WorkspaceShare(want.workspace(), loan));
 	}
 
-	private static ShareAmounts kept(Entry entry, ShareAsk.Scope scope) {
-		ShareAmounts own = entry.meter().demand();
-		return (scope == ShareAsk.Scope.TO_DATA_CENTRE) ? own.plus(entry.wants().total(false)) : own;
+	private static ShareAmounts reserved(WorkspaceEntry entry, ShareAsk.Scope scope) {
+		ShareAmounts demand = entry.meter().demand();
+		return (scope == ShareAsk.Scope.TO_DATA_CENTRE) ? demand.plus(entry.wants().total(false)) : demand;
 	}
 
-	private ShareAmounts fairPart(Entry entry, ShareAsk.Scope scope, ShareAmounts want) {
+	private ShareAmounts fairShare(WorkspaceEntry entry, ShareAsk.Scope scope, ShareAmounts want) {
 		if (scope != ShareAsk.Scope.TO_COORDINATOR) {
 			return want;
 		}
 		ShareAmounts pool = entry.account()
 			.lendable(this.view.self().incarnation(), this.now, this.now)
-			.plus(lentToAll(entry))
+			.plus(totalLent(entry))
 			.minus(entry.meter().demand());
-		ShareAmounts all = entry.wants().total(true);
-		return new ShareAmounts(part(pool.requests(), want.requests(), all.requests()),
-				part(pool.tokens(), want.tokens(), all.tokens()),
-				part(pool.inFlight(), want.inFlight(), all.inFlight()));
+		ShareAmounts total = entry.wants().total(true);
+		return new ShareAmounts(proportionalPart(pool.requests(), want.requests(), total.requests()),
+				proportionalPart(pool.tokens(), want.tokens(), total.tokens()),
+				proportionalPart(pool.inFlight(), want.inFlight(), total.inFlight()));
 	}
 
-	private ShareAmounts lentToAll(Entry entry) {
+	private ShareAmounts totalLent(WorkspaceEntry entry) {
 		ShareAmounts sum = ShareAmounts.NONE;
-		for (Leases leases : entry.account().lent().values()) {
-			sum = sum.plus(leases.through(this.now));
+		for (LoanSet loans : entry.account().lent().values()) {
+			sum = sum.plus(loans.outstandingAt(this.now));
 		}
 		return sum;
 	}
 
-	private static double part(double pool, double want, double all) {
-		return (all > 0) ? pool * want / all : 0;
+	private static double proportionalPart(double pool, double want, double total) {
+		return (total > 0) ? pool * want / total : 0;
 	}
 
-	private Duration lease(ShareAsk.Scope scope) {
-		double part = switch (scope) {
-			case TO_NODE -> FULL_LEASE;
-			case TO_DATA_CENTRE -> DATA_CENTRE_LEASE;
-			case TO_COORDINATOR -> NODE_LEASE;
+	private Duration leaseLength(ShareAsk.Scope scope) {
+		double fraction = switch (scope) {
+			case TO_NODE -> TO_NODE_LEASE_FRACTION;
+			case TO_DATA_CENTRE -> TO_DATA_CENTRE_LEASE_FRACTION;
+			case TO_COORDINATOR -> TO_COORDINATOR_LEASE_FRACTION;
 		};
-		return Duration.ofMillis((long) (this.policy.shareLease().toMillis() * part));
+		return Duration.ofMillis((long) (this.policy.shareLease().toMillis() * fraction));
 	}
 
-	private void answer(NodeIdentity to, long number, ShareAsk.Scope scope, List<WorkspaceShare> loans) {
+	private void sendLoan(NodeIdentity borrower, long number, ShareAsk.Scope scope, List<WorkspaceShare> loans) {
 		if (!loans.isEmpty()) {
-			this.effects
-				.add(new PeerEffect.Send(to, new ShareLoan(to.incarnation(), number, lease(scope).toMillis(), loans)));
+			this.effects.add(new PeerEffect.Send(borrower,
+					new ShareLoan(borrower.incarnation(), number, leaseLength(scope).toMillis(), loans)));
 		}
 	}
 
-	private void passOn(WorkspaceName workspace, NodeIdentity lender) {
-		Entry entry = this.state.entry(workspace, this.now, this.view);
-		for (Map.Entry<NodeIdentity, Wants.Want> waiting : entry.wants().at(this.now).asked().entrySet()) {
-			NodeIdentity node = waiting.getKey();
-			Wants.Want want = waiting.getValue();
-			ShareAmounts has = entry.account().lentTo(node.incarnation(), this.now);
-			if (want.answersLeft() > 0 && !node.equals(lender) && !want.amounts().minus(has).negligible()) {
-				Entry current = this.state.entry(workspace, this.now, this.view);
-				put(workspace, current.with(current.wants().plus(node, want.answered())));
+	private void lendToOutstandingAsks(WorkspaceName workspace, NodeIdentity lender) {
+		WorkspaceEntry entry = this.state.entry(workspace, this.now, this.view);
+		for (Map.Entry<NodeIdentity, OutstandingAsks.OutstandingAsk> outstanding : entry.wants()
+			.withoutExpired(this.now)
+			.asked()
+			.entrySet()) {
+			NodeIdentity borrower = outstanding.getKey();
+			OutstandingAsks.OutstandingAsk ask = outstanding.getValue();
+			ShareAmounts alreadyLent = entry.account().lentTo(borrower.incarnation(), this.now);
+			if (ask.answersLeft() > 0 && !borrower.equals(lender) && !ask.amounts().minus(alreadyLent).negligible()) {
+				WorkspaceEntry current = this.state.entry(workspace, this.now, this.view);
+				put(workspace, current.with(current.wants().plus(borrower, ask.answered())));
 				List<WorkspaceShare> loans = new ArrayList<>();
-				lend(node, want.scope(), new WorkspaceShare(workspace, want.amounts()), loans);
-				answer(node, want.number(), want.scope(), loans);
+				lend(borrower, ask.scope(), new WorkspaceShare(workspace, ask.amounts()), loans);
+				sendLoan(borrower, ask.number(), ask.scope(), loans);
 			}
 		}
 	}
--- a/src/main/java/sycamorehill/logic/admission/TicketedDataCentres.java
+++ b/src/main/java/sycamorehill/logic/admission/TicketedDataCentres.java
@@ -30,8 +30,8 @@
 
 	private static PMap<DataCentreName, Boolean> of(Item item) {
 		PMap<DataCentreName, Boolean> named = TreePMap.empty();
-		if (item instanceof ModelGroupItem set) {
-			named = named.plus(set.dataCentre(), true);
+		if (item instanceof ModelGroupItem group) {
+			named = named.plus(group.dataCentre(), true);
 		}
 		else if (item instanceof ServiceItem service) {
 			for (PlainTarget target : service.plainTargets()) {
--- a/src/main/java/sycamorehill/logic/admission/UseMeter.java
+++ b/src/main/java/sycamorehill/logic/admission/UsageMeter.java
@@ -17,45 +17,46 @@
  * @param offeredTokens smoothed tokens a second of them
  * @param updatedAt when levels and smoothed values were brought up to date
  */
-record UseMeter(double requestLevel, double tokenLevel, int inFlight, int waiting, double offered, double offeredTokens,
-		Instant updatedAt) {
+record UsageMeter(double requestLevel, double tokenLevel, int inFlight, int waiting, double offered,
+		double offeredTokens, Instant updatedAt) {
 
-	private static final double SMOOTHING_SECONDS = 1.0;
+	private static final double RATE_SMOOTHING_SECONDS = 1.0;
 
 	private static final double BURST_SECONDS = 0.5;
 
-	private static final double HEADROOM = 1.25;
+	private static final double HEADROOM_FACTOR = 1.25;
 
-	private static final double NANOS = 1e9;
+	private static final double NANOSECONDS_PER_SECOND = 1e9;
 
-	static UseMeter fresh(Instant now) {
-		Instant longIdle = now.minusMillis((long) (BURST_SECONDS * 1000));
-		return new UseMeter(1, 1, 0, 0, 0, 0, longIdle);
+	static UsageMeter fresh(Instant now) {
+		Instant burstAgo = now.minusMillis((long) (BURST_SECONDS * 1000));
+		return new UsageMeter(1, 1, 0, 0, 0, 0, burstAgo);
 	}
 
-	UseMeter at(Instant now, ShareAmounts share) {
-		double seconds = Duration.between(this.updatedAt, now).toNanos() / NANOS;
+	UsageMeter updatedTo(Instant now, ShareAmounts share) {
+		double seconds = Duration.between(this.updatedAt, now).toNanos() / NANOSECONDS_PER_SECOND;
 		if (seconds <= 0) {
 			return this;
 		}
-		double fade = Math.exp(-seconds / SMOOTHING_SECONDS);
-		return new UseMeter(fill(this.requestLevel, share.requests(), seconds, 1),
-				fill(this.tokenLevel, share.tokens(), seconds, 1), this.inFlight, this.waiting, this.offered * fade,
-				this.offeredTokens * fade, now);
+		double decay = Math.exp(-seconds / RATE_SMOOTHING_SECONDS);
+		return new UsageMeter(refill(this.requestLevel, share.requests(), seconds, 1),
+				refill(this.tokenLevel, share.tokens(), seconds, 1), this.inFlight, this.waiting, this.offered * decay,
+				this.offeredTokens * decay, now);
 	}
 
-	private static double fill(double level, double rate, double seconds, double smallestBurst) {
-		double capacity = Math.max(smallestBurst, rate * BURST_SECONDS);
+	private static double refill(double level, double rate, double seconds, double minimumBurst) {
+		double capacity = Math.max(minimumBurst, rate * BURST_SECONDS);
 		return Math.min(capacity, level + rate * seconds);
 	}
 
-	UseMeter offer(double tokens) {
-		return new UseMeter(this.requestLevel, this.tokenLevel, this.inFlight, this.waiting,
-				this.offered + 1 / SMOOTHING_SECONDS, this.offeredTokens + tokens / SMOOTHING_SECONDS, this.updatedAt);
+	UsageMeter recordOffered(double tokens) {
+		return new UsageMeter(this.requestLevel, this.tokenLevel, this.inFlight, this.waiting,
+				this.offered + 1 / RATE_SMOOTHING_SECONDS, this.offeredTokens + tokens / RATE_SMOOTHING_SECONDS,
+				this.updatedAt);
 	}
 
-	UseMeter waiting(int change) {
-		return new UseMeter(this.requestLevel, this.tokenLevel, this.inFlight, this.waiting + change, this.offered,
+	UsageMeter withWaitingChange(int change) {
+		return new UsageMeter(this.requestLevel, this.tokenLevel, this.inFlight, this.waiting + change, this.offered,
 				this.offeredTokens, this.updatedAt);
 	}
 
@@ -69,8 +70,8 @@
 				&& this.inFlight + 1 <= share.inFlight();
 	}
 
-	UseMeter admit(double tokens) {
-		return new UseMeter(this.requestLevel - 1, this.tokenLevel - tokens, this.inFlight + 1, this.waiting,
+	UsageMeter admit(double tokens) {
+		return new UsageMeter(this.requestLevel - 1, this.tokenLevel - tokens, this.inFlight + 1, this.waiting,
 				this.offered, this.offeredTokens, this.updatedAt);
 	}
 
@@ -79,8 +80,8 @@
 	 * @param unusedTokens tokens that were admitted but not generated
 	 * @return the meter
 	 */
-	UseMeter finish(double unusedTokens) {
-		return new UseMeter(this.requestLevel, this.tokenLevel + unusedTokens, this.inFlight - 1, this.waiting,
+	UsageMeter finish(double unusedTokens) {
+		return new UsageMeter(this.requestLevel, this.tokenLevel + unusedTokens, this.inFlight - 1, this.waiting,
 				this.offered, this.offeredTokens, this.updatedAt);
 	}
 
@@ -90,10 +91,10 @@
 	 */
 	ShareAmounts demand() {
 		double backlogTokens = (this.offered > 0) ? this.waiting * this.offeredTokens / this.offered : 0;
-		int busy = this.inFlight + this.waiting;
-		return new ShareAmounts(this.offered * HEADROOM + this.waiting,
-				this.offeredTokens * HEADROOM + backlogTokens + Math.max(0, -this.tokenLevel),
-				(busy > 0) ? Math.ceil(busy * HEADROOM) + 1 : Math.min(1, this.offered));
+		int active = this.inFlight + this.waiting;
+		return new ShareAmounts(this.offered * HEADROOM_FACTOR + this.waiting,
+				this.offeredTokens * HEADROOM_FACTOR + backlogTokens + Math.max(0, -this.tokenLevel),
+				(active > 0) ? Math.ceil(active * HEADROOM_FACTOR) + 1 : Math.min(1, this.offered));
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/admission/Waiting.java
+++ b/src/main/java/sycamorehill/logic/admission/WaitingRequest.java
@@ -16,8 +16,8 @@
  * @param arrivedAt when it came
  * @param leaveBy when it is refused at the latest if it still waits
  */
-record Waiting(RequestDescription request, Handling handling, WorkspaceName workspace, Place place, Instant arrivedAt,
-		Instant leaveBy) {
+record WaitingRequest(RequestDescription request, Handling handling, WorkspaceName workspace, QueuePosition place,
+		Instant arrivedAt, Instant leaveBy) {
 
 	/**
 	 * Its part of the work: prompt and answer in tokens.
@@ -35,10 +35,10 @@
 	 * @param countsFrom when it counts as having come
 	 * @param number tells requests of the same instant apart
 	 */
-	record Place(Instant countsFrom, long number) implements Comparable<Place> {
+	record QueuePosition(Instant countsFrom, long number) implements Comparable<QueuePosition> {
 
 		@Override
-		public int compareTo(Place other) {
+		public int compareTo(QueuePosition other) {
 			int byTime = this.countsFrom.compareTo(other.countsFrom);
 			return (byTime != 0) ? byTime : Long.compare(this.number, other.number);
 		}
--- a/src/main/java/sycamorehill/logic/node/StateView.java
+++ b/src/main/java/sycamorehill/logic/node/StateView.java
@@ -30,7 +30,7 @@
  */
 final class StateView implements NodeView {
 
-	private static final TargetChooser CHOOSER = TargetChooser.predicted();
+	private static final TargetChooser CHOOSER = TargetChooser.lowestPredictedLatency();
 
 	private final NodeState state;
 
--- a/src/main/java/sycamorehill/logic/routing/PrefixHomes.java
+++ b/src/main/java/sycamorehill/logic/routing/PrefixTargets.java
@@ -16,30 +16,32 @@
  * @param homes by prefix hash
  * @param oldest the same prefixes, the longest unused first
  */
-record PrefixHomes(PMap<Long, Home> homes, PSortedSet<Age> oldest) {
+record PrefixTargets(PMap<Long, RecentTargets> homes, PSortedSet<LastUse> oldest) {
 
-	static PrefixHomes none() {
-		return new PrefixHomes(HashTreePMap.empty(), TreePSet.empty());
+	static PrefixTargets none() {
+		return new PrefixTargets(HashTreePMap.empty(), TreePSet.empty());
 	}
 
-	PrefixHomes sent(List<Long> prefixes, TargetName target, Instant now, int most) {
-		PrefixHomes changed = this;
+	PrefixTargets withSent(List<Long> prefixes, TargetName target, Instant now, int maximum) {
+		PrefixTargets changed = this;
 		for (Long prefix : prefixes) {
 			changed = changed.plus(prefix, target, now);
 		}
-		while (changed.homes.size() > most) {
-			Age first = changed.oldest.first();
-			changed = new PrefixHomes(changed.homes.minus(first.prefix()), changed.oldest.minus(first));
+		while (changed.homes.size() > maximum) {
+			LastUse leastRecent = changed.oldest.first();
+			changed = new PrefixTargets(changed.homes.minus(leastRecent.prefix()), changed.oldest.minus(leastRecent));
 		}
 		return changed;
 	}
 
-	private PrefixHomes plus(Long prefix, TargetName target, Instant now) {
-		Home before = this.homes.get(prefix);
-		PSortedSet<Age> ages = (before != null) ? this.oldest.minus(new Age(before.at(), prefix)) : this.oldest;
-		TargetName second = (before == null || before.last().equals(target))
+	private PrefixTargets plus(Long prefix, TargetName target, Instant now) {
+		RecentTargets before = this.homes.get(prefix);
+		PSortedSet<LastUse> lastUses = (before != null) ? this.oldest.minus(new LastUse(before.at(), prefix))
+				: this.oldest;
+		TargetName previous = (before == null || before.last().equals(target))
 				? ((before != null) ? before.other() : target) : before.last();
-		return new PrefixHomes(this.homes.plus(prefix, new Home(target, second, now)), ages.plus(new Age(now, prefix)));
+		return new PrefixTargets(this.homes.plus(prefix, new RecentTargets(target, previous, now)),
+				lastUses.plus(new LastUse(now, prefix)));
 	}
 
 	/**
@@ -49,10 +51,10 @@
 	 * @param notBefore older sends do not count
 	 * @return the longest prefix sent to it, in blocks
 	 */
-	int cached(List<Long> prefixes, TargetName target, Instant notBefore) {
+	int cachedBlocks(List<Long> prefixes, TargetName target, Instant notBefore) {
 		for (int blocks = prefixes.size(); blocks > 0; blocks--) {
-			Home home = this.homes.get(prefixes.get(blocks - 1));
-			if (home != null && home.at().isAfter(notBefore) && home.names(target)) {
+			RecentTargets recent = this.homes.get(prefixes.get(blocks - 1));
+			if (recent != null && recent.at().isAfter(notBefore) && recent.contains(target)) {
 				return blocks;
 			}
 		}
@@ -64,11 +66,11 @@
 	 * @param prefixes the prompt's, shortest first
 	 * @return up to two targets
 	 */
-	List<TargetName> of(List<Long> prefixes) {
+	List<TargetName> targetsOf(List<Long> prefixes) {
 		for (int blocks = prefixes.size(); blocks > 0; blocks--) {
-			Home home = this.homes.get(prefixes.get(blocks - 1));
-			if (home != null) {
-				return List.of(home.last(), home.other());
+			RecentTargets recent = this.homes.get(prefixes.get(blocks - 1));
+			if (recent != null) {
+				return List.of(recent.last(), recent.other());
 			}
 		}
 		return List.of();
@@ -81,9 +83,9 @@
 	 * @param other the one before, or the same
 	 * @param at when
 	 */
-	record Home(TargetName last, TargetName other, Instant at) {
+	record RecentTargets(TargetName last, TargetName other, Instant at) {
 
-		boolean names(TargetName target) {
+		boolean contains(TargetName target) {
 			return this.last.equals(target) || this.other.equals(target);
 		}
 
@@ -95,10 +97,10 @@
 	 * @param at when
 	 * @param prefix its hash
 	 */
-	record Age(Instant at, long prefix) implements Comparable<Age> {
+	record LastUse(Instant at, long prefix) implements Comparable<LastUse> {
 
 		@Override
-		public int compareTo(Age other) {
+		public int compareTo(LastUse other) {
 			int byTime = this.at.compareTo(other.at);
 			return (byTime != 0) ? byTime : Long.compare(this.prefix, other.prefix);
 		}
--- a/src/main/java/sycamorehill/logic/routing/RouteContext.java
+++ b/src/main/java/sycamorehill/logic/routing/RouteContext.java
@@ -28,7 +28,7 @@
 		return this.view.self().dataCentre();
 	}
 
-	Optional<VmSight> sight(ServingTarget target) {
+	Optional<VmSight> observation(ServingTarget target) {
 		return target.members().isEmpty() ? Optional.empty() : this.view.sight(target.members().get(0));
 	}
 
@@ -37,8 +37,8 @@
 	 * @param target the target
 	 * @return the estimate
 	 */
-	int requests(ServingTarget target) {
-		return this.state.load(target.name()).requests(sight(target));
+	int estimatedRequests(ServingTarget target) {
+		return this.state.load(target.name()).estimatedRequests(observation(target));
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/routing/RoutingReducer.java
+++ b/src/main/java/sycamorehill/logic/routing/RoutingReducer.java
@@ -19,7 +19,7 @@
  */
 public final class RoutingReducer implements Reducer<RoutingState> {
 
-	private static final double NANOS = 1e9;
+	private static final double NANOSECONDS_PER_SECOND = 1e9;
 
 	private RoutingReducer() {
 	}
@@ -35,13 +35,13 @@
 	@Override
 	public Step<RoutingState> reduce(RoutingState state, Instant now, Event event, NodeView view) {
 		if (event instanceof RequestEvent.AttemptStarted started) {
-			return Step.of(started(state, now, started, view));
+			return Step.of(handleAttemptStarted(state, now, started, view));
 		}
 		if (event instanceof RequestEvent.FirstToken first) {
-			return Step.of(begun(state, now, first.attempt()));
+			return Step.of(handleFirstToken(state, now, first.attempt()));
 		}
 		if (event instanceof RequestEvent.AttemptClosed closed) {
-			return Step.of(closed(state, now, closed));
+			return Step.of(handleAttemptClosed(state, now, closed));
 		}
 		if (event instanceof NodeEvent.Started started) {
 			return Step.of(new RoutingState(started.seed(), state.loads(), state.attempts(), state.homes()));
@@ -49,44 +49,45 @@
 		return Step.of(state);
 	}
 
-	private static RoutingState started(RoutingState state, Instant now, RequestEvent.AttemptStarted event,
+	private static RoutingState handleAttemptStarted(RoutingState state, Instant now, RequestEvent.AttemptStarted event,
 			NodeView view) {
 		RouteContext context = new RouteContext(event.request(), state, view, now);
-		double predicted = PredictedChooser.firstToken(event.target(), context, true);
+		double predicted = PredictedLatencyChooser.predictFirstToken(event.target(), context, true);
 		OpenAttempt attempt = new OpenAttempt(event.target().name(), now, predicted, false);
 		TargetLoad load = state.load(event.target().name())
-			.sent(event.attempt().number(), now, context.sight(event.target()));
-		PrefixHomes homes = state.homes()
-			.sent(event.request().prefixHashes(), event.target().name(), now,
+			.withSent(event.attempt().number(), now, context.observation(event.target()));
+		PrefixTargets homes = state.homes()
+			.withSent(event.request().prefixHashes(), event.target().name(), now,
 					view.policy().routing().rememberedPrefixes());
 		return state.withLoad(event.target().name(), load)
 			.withAttempts(state.attempts().plus(event.attempt(), attempt))
 			.withHomes(homes);
 	}
 
-	private static RoutingState begun(RoutingState state, Instant now, AttemptIdentifier identifier) {
+	private static RoutingState handleFirstToken(RoutingState state, Instant now, AttemptIdentifier identifier) {
 		OpenAttempt attempt = state.attempts().get(identifier);
 		if (attempt == null || attempt.begun()) {
 			return state;
 		}
-		TargetLoad load = state.load(attempt.target()).measured(attempt.predicted(), seconds(attempt, now));
+		TargetLoad load = state.load(attempt.target())
+			.withMeasured(attempt.predicted(), secondsSinceSent(attempt, now));
 		OpenAttempt begun = new OpenAttempt(attempt.target(), attempt.at(), attempt.predicted(), true);
 		return state.withLoad(attempt.target(), load).withAttempts(state.attempts().plus(identifier, begun));
 	}
 
-	private static RoutingState closed(RoutingState state, Instant now, RequestEvent.AttemptClosed event) {
+	private static RoutingState handleAttemptClosed(RoutingState state, Instant now, RequestEvent.AttemptClosed event) {
 		OpenAttempt attempt = state.attempts().get(event.attempt());
 		if (attempt == null) {
 			return state;
 		}
 		boolean whole = event.result() instanceof AttemptResult.Whole;
 		TargetLoad load = state.load(attempt.target())
-			.ended(event.attempt().number(), whole ? seconds(attempt, now) : 0, now);
+			.withEnded(event.attempt().number(), whole ? secondsSinceSent(attempt, now) : 0, now);
 		return state.withLoad(attempt.target(), load).withAttempts(state.attempts().minus(event.attempt()));
 	}
 
-	private static double seconds(OpenAttempt attempt, Instant now) {
-		return Duration.between(attempt.at(), now).toNanos() / NANOS;
+	private static double secondsSinceSent(OpenAttempt attempt, Instant now) {
+		return Duration.between(attempt.at(), now).toNanos() / NANOSECONDS_PER_SECOND;
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/routing/RoutingState.java
+++ b/src/main/java/sycamorehill/logic/routing/RoutingState.java
@@ -17,14 +17,14 @@
  * @param homes where prefixes were sent
  */
 public record RoutingState(long seed, PMap<TargetName, TargetLoad> loads, PMap<AttemptIdentifier, OpenAttempt> attempts,
-		PrefixHomes homes) {
+		PrefixTargets homes) {
 
 	/**
 	 * The state of a fresh node.
 	 * @return the state before the first event
 	 */
 	public static RoutingState initial() {
-		return new RoutingState(0, HashTreePMap.empty(), HashTreePMap.empty(), PrefixHomes.none());
+		return new RoutingState(0, HashTreePMap.empty(), HashTreePMap.empty(), PrefixTargets.none());
 	}
 
 	TargetLoad load(TargetName target) {
@@ -39,7 +39,7 @@
 		return new RoutingState(this.seed, this.loads, changed, this.homes);
 	}
 
-	RoutingState withHomes(PrefixHomes changed) {
+	RoutingState withHomes(PrefixTargets changed) {
 		return new RoutingState(this.seed, this.loads, this.attempts, changed);
 	}
 
--- a/src/main/java/sycamorehill/logic/routing/TargetChooser.java
+++ b/src/main/java/sycamorehill/logic/routing/TargetChooser.java
@@ -38,9 +38,10 @@
 			if (targets.isEmpty()) {
 				return Optional.empty();
 			}
-			ServingTarget one = targets.get(context.random(0, targets.size()));
-			ServingTarget other = targets.get(context.random(1, targets.size()));
-			return Optional.of((context.requests(one) <= context.requests(other)) ? one : other);
+			ServingTarget first = targets.get(context.random(0, targets.size()));
+			ServingTarget second = targets.get(context.random(1, targets.size()));
+			return Optional
+				.of((context.estimatedRequests(first) <= context.estimatedRequests(second)) ? first : second);
 		};
 	}
 
@@ -50,11 +51,11 @@
 	 */
 	static TargetChooser leastOutstanding() {
 		return (targets, context) -> {
-			int turn = targets.isEmpty() ? 0 : context.random(0, targets.size());
+			int offset = targets.isEmpty() ? 0 : context.random(0, targets.size());
 			return targets.stream()
 				.min(Comparator
 					.comparingInt((ServingTarget target) -> context.state().load(target.name()).outstanding())
-					.thenComparingInt((target) -> Math.floorMod(targets.indexOf(target) - turn, targets.size())));
+					.thenComparingInt((target) -> Math.floorMod(targets.indexOf(target) - offset, targets.size())));
 		};
 	}
 
@@ -62,8 +63,8 @@
 	 * The one with the least predicted time to the first token.
 	 * @return the chooser
 	 */
-	static TargetChooser predicted() {
-		return PredictedChooser.create();
+	static TargetChooser lowestPredictedLatency() {
+		return PredictedLatencyChooser.create();
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/routing/TargetLoad.java
+++ b/src/main/java/sycamorehill/logic/routing/TargetLoad.java
@@ -20,42 +20,43 @@
  * @param places requests that it ran at once when others queued, 0 while that was not
  * seen
  */
-record TargetLoad(TreePMap<Long, Instant> open, PVector<Closed> closed, double ratio, double duration, int places) {
+record TargetLoad(TreePMap<Long, Instant> open, PVector<ClosedAttempt> closed, double ratio, double duration,
+		int places) {
 
-	private static final int KEPT_CLOSED = 64;
+	private static final int MAXIMUM_CLOSED_ATTEMPTS = 64;
 
-	private static final double GAIN = 0.2;
+	private static final double SMOOTHING_GAIN = 0.2;
 
-	private static final double SMALLEST_RATIO = 0.25;
+	private static final double MINIMUM_RATIO = 0.25;
 
-	private static final double GREATEST_RATIO = 10;
+	private static final double MAXIMUM_RATIO = 10;
 
 	static TargetLoad none() {
 		return new TargetLoad(TreePMap.empty(), TreePVector.empty(), 1, 1, 0);
 	}
 
-	TargetLoad sent(long attempt, Instant now, Optional<VmSight> sight) {
-		int seen = sight.filter((found) -> found.report().queued() > 0)
+	TargetLoad withSent(long attempt, Instant now, Optional<VmSight> observation) {
+		int observedPlaces = observation.filter((found) -> found.report().queued() > 0)
 			.map((found) -> found.report().running())
 			.orElse(this.places);
-		return new TargetLoad(this.open.plus(attempt, now), this.closed, this.ratio, this.duration, seen);
+		return new TargetLoad(this.open.plus(attempt, now), this.closed, this.ratio, this.duration, observedPlaces);
 	}
 
-	TargetLoad ended(long attempt, double seconds, Instant now) {
+	TargetLoad withEnded(long attempt, double seconds, Instant now) {
 		Instant sentAt = this.open.get(attempt);
 		if (sentAt == null) {
 			return this;
 		}
-		PVector<Closed> kept = this.closed.plus(new Closed(sentAt, now));
-		PVector<Closed> bounded = (kept.size() > KEPT_CLOSED) ? kept.minus(0) : kept;
-		double smoothed = (seconds > 0) ? this.duration + GAIN * (seconds - this.duration) : this.duration;
+		PVector<ClosedAttempt> kept = this.closed.plus(new ClosedAttempt(sentAt, now));
+		PVector<ClosedAttempt> bounded = (kept.size() > MAXIMUM_CLOSED_ATTEMPTS) ? kept.minus(0) : kept;
+		double smoothed = (seconds > 0) ? this.duration + SMOOTHING_GAIN * (seconds - this.duration) : this.duration;
 		return new TargetLoad(this.open.minus(attempt), bounded, this.ratio, smoothed, this.places);
 	}
 
-	TargetLoad measured(double predicted, double seconds) {
-		double now = Math.max(SMALLEST_RATIO, Math.min(GREATEST_RATIO, seconds / Math.max(predicted, 1e-6)));
-		return new TargetLoad(this.open, this.closed, this.ratio + GAIN * (now - this.ratio), this.duration,
-				this.places);
+	TargetLoad withMeasured(double predicted, double seconds) {
+		double currentRatio = Math.max(MINIMUM_RATIO, Math.min(MAXIMUM_RATIO, seconds / Math.max(predicted, 1e-6)));
+		return new TargetLoad(this.open, this.closed, this.ratio + SMOOTHING_GAIN * (currentRatio - this.ratio),
+				this.duration, this.places);
 	}
 
 	int outstanding() {
@@ -64,30 +65,30 @@
 
 	/**
 	 * Requests at the target now: the report's, and this node's own changes since.
-	 * @param sight the last sight of its head
+	 * @param observation the last observation of its head
 	 * @return the estimate
 	 */
-	int requests(Optional<VmSight> sight) {
-		if (sight.isEmpty()) {
+	int estimatedRequests(Optional<VmSight> observation) {
+		if (observation.isEmpty()) {
 			return outstanding();
 		}
-		VmReport report = sight.get().report();
-		int estimate = report.running() + report.queued() + sentSince(sight.get().seenAt())
-				- endedSince(sight.get().seenAt());
+		VmReport report = observation.get().report();
+		int estimate = report.running() + report.queued() + sentSince(observation.get().seenAt())
+				- endedSince(observation.get().seenAt());
 		return Math.max(outstanding(), estimate);
 	}
 
 	/**
 	 * Seconds that a request waits for a place: those ahead end one after another.
-	 * @param sight the last sight of its head
+	 * @param observation the last observation of its head
 	 * @return the wait, 0 while the target is not known to be full
 	 */
-	double wait(Optional<VmSight> sight) {
-		int full = sight.filter((found) -> found.report().queued() > 0)
+	double estimatedWait(Optional<VmSight> observation) {
+		int capacity = observation.filter((found) -> found.report().queued() > 0)
 			.map((found) -> found.report().running())
 			.orElse(this.places);
-		int ahead = requests(sight) - full;
-		return (full > 0 && ahead >= 0) ? (ahead + 1) * this.duration / full : 0;
+		int ahead = estimatedRequests(observation) - capacity;
+		return (capacity > 0 && ahead >= 0) ? (ahead + 1) * this.duration / capacity : 0;
 	}
 
 	private int sentSince(Instant seenAt) {
@@ -103,8 +104,8 @@
 
 	private int endedSince(Instant seenAt) {
 		int count = 0;
-		for (Closed one : this.closed) {
-			if (one.endedAt().isAfter(seenAt) && !one.sentAt().isAfter(seenAt)) {
+		for (ClosedAttempt attempt : this.closed) {
+			if (attempt.endedAt().isAfter(seenAt) && !attempt.sentAt().isAfter(seenAt)) {
 				count++;
 			}
 		}
@@ -117,7 +118,7 @@
 	 * @param sentAt when it was sent
 	 * @param endedAt when it ended
 	 */
-	record Closed(Instant sentAt, Instant endedAt) {
+	record ClosedAttempt(Instant sentAt, Instant endedAt) {
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/admission/AdmissionRun.java
+++ b/src/test/java/sycamorehill/logic/admission/AdmissionHarness.java
@@ -30,9 +30,9 @@
 /**
  * Feeds one node's admission and keeps what it decided.
  */
-final class AdmissionRun {
+final class AdmissionHarness {
 
-	private static final DataCentreName HERE = DataCentreName.of("one");
+	private static final DataCentreName LOCAL = DataCentreName.of("one");
 
 	private final AdmissionReducer reducer = AdmissionReducer.create();
 
@@ -40,67 +40,67 @@
 
 	private final Map<Long, Refusal> refused = new LinkedHashMap<>();
 
-	private final FakeView view;
+	private final FakeNodeView view;
 
 	private AdmissionState state = AdmissionState.initial();
 
 	private Instant now = Instant.EPOCH;
 
-	private AdmissionRun(Item... items) {
-		PlainTarget target = new PlainTarget(TargetName.of("t"), HERE, Address.of("127.0.0.1", 1));
-		this.view = FakeView.of("n", HERE.value())
-			.with(Requests.CHAT_SERVICE, ServiceItem.plain(Requests.DESK, List.of(target), List.of()))
+	private AdmissionHarness(Item... items) {
+		PlainTarget target = new PlainTarget(TargetName.of("t"), LOCAL, Address.of("127.0.0.1", 1));
+		this.view = FakeNodeView.of("n", LOCAL.value())
+			.with(RequestFixtures.CHAT_SERVICE, ServiceItem.plain(RequestFixtures.PLAIN, List.of(target), List.of()))
 			.with(items);
-		feed(new NodeEvent.Started(1));
-		pass(Duration.ofSeconds(3));
+		apply(new NodeEvent.Started(1));
+		advanceTime(Duration.ofSeconds(3));
 	}
 
-	static AdmissionRun with(Item... items) {
-		return new AdmissionRun(items);
+	static AdmissionHarness with(Item... items) {
+		return new AdmissionHarness(items);
 	}
 
 	Instant now() {
 		return this.now;
 	}
 
-	void pass(Duration time) {
+	void advanceTime(Duration time) {
 		Instant end = this.now.plus(time);
 		while (this.now.isBefore(end)) {
 			this.now = this.now.plusMillis(100);
-			feed(new NodeEvent.Ticked(this.now));
+			apply(new NodeEvent.Ticked(this.now));
 		}
 	}
 
 	void arrive(RequestDescription request) {
-		feed(new RequestEvent.Arrived(request));
+		apply(new RequestEvent.Arrived(request));
 	}
 
 	void finish(RequestDescription request) {
-		feed(new RequestEvent.Finished(request, Handling.REPEATABLE, new RequestOutcome.Completed(),
+		apply(new RequestEvent.Finished(request, Handling.REPEATABLE, new RequestOutcome.Completed(),
 				request.maximumTokens(), Optional.empty()));
 	}
 
 	void firstTokenAfter(RequestDescription request, Duration latency) {
 		AttemptIdentifier attempt = AttemptIdentifier.of(request.identifier().incarnation(),
 				request.identifier().number());
-		ServingTarget target = new ServingTarget(TargetName.of("t"), request.service(), HERE,
+		ServingTarget target = new ServingTarget(TargetName.of("t"), request.service(), LOCAL,
 				Address.of("127.0.0.1", 1), Optional.empty(), List.of());
-		feed(new RequestEvent.AttemptStarted(request, attempt, target));
+		apply(new RequestEvent.AttemptStarted(request, attempt, target));
 		this.now = this.now.plus(latency);
-		feed(new RequestEvent.FirstToken(attempt));
+		apply(new RequestEvent.FirstToken(attempt));
 	}
 
-	void feed(Event event) {
+	void apply(Event event) {
 		Step<AdmissionState> step = this.reducer.reduce(this.state, this.now, event, this.view);
 		this.state = step.state();
 		for (Effect effect : step.effects()) {
 			if (effect instanceof NodeEffect.Raise raise) {
-				take(raise.event());
+				recordDecision(raise.event());
 			}
 		}
 	}
 
-	private void take(Event event) {
+	private void recordDecision(Event event) {
 		if (event instanceof RequestEvent.Admitted passed) {
 			this.admitted.add(passed.request());
 		}
--- a/src/test/java/sycamorehill/logic/admission/AdmissionReducerTests.java
+++ b/src/test/java/sycamorehill/logic/admission/AdmissionReducerTests.java
@@ -20,34 +20,34 @@
 
 class AdmissionReducerTests {
 
-	private static final WorkspaceItem LARGE = Requests.workspace("large", 1e6, 100_000, 1);
+	private static final WorkspaceItem LARGE = RequestFixtures.workspace("large", 1e6, 100_000, 1);
 
-	private static final WorkspaceItem SMALL = Requests.workspace("small", 1e6, 100_000, 1);
+	private static final WorkspaceItem SMALL = RequestFixtures.workspace("small", 1e6, 100_000, 1);
 
-	private static final int AT_ONCE = AdmissionPolicy.standard().firstConcurrent();
+	private static final int CONCURRENCY_LIMIT = AdmissionPolicy.standard().firstConcurrent();
 
-	private static final int QUEUE = AdmissionPolicy.standard().queueLimit();
+	private static final int QUEUE_LIMIT = AdmissionPolicy.standard().queueLimit();
 
-	private final AdmissionRun run = AdmissionRun.with(LARGE, SMALL);
+	private final AdmissionHarness run = AdmissionHarness.with(LARGE, SMALL);
 
 	@Test
-	void aRequestIsAdmittedAtOnceWhileThereIsRoom() {
-		this.run.arrive(Requests.chat(1, "large", this.run.now()));
+	void aRequestIsAdmittedAtOnceBelowTheConcurrencyLimit() {
+		this.run.arrive(RequestFixtures.chat(1, "large", this.run.now()));
 		assertThat(this.run.admittedNumbers()).containsExactly(1L);
 	}
 
 	@Test
 	void requestsBeyondTheConcurrencyLimitWait() {
-		fill("large", AT_ONCE + 5);
-		assertThat(this.run.admitted()).hasSize(AT_ONCE);
+		fill("large", CONCURRENCY_LIMIT + 5);
+		assertThat(this.run.admitted()).hasSize(CONCURRENCY_LIMIT);
 		assertThat(this.run.waiting()).isEqualTo(5);
 	}
 
 	@Test
-	void aFinishedRequestLetsTheNextGoOn() {
-		fill("large", AT_ONCE + 1);
+	void aFinishedRequestAdmitsTheNextWaitingOne() {
+		fill("large", CONCURRENCY_LIMIT + 1);
 		this.run.finish(this.run.admitted().get(0));
-		assertThat(this.run.admitted()).hasSize(AT_ONCE + 1);
+		assertThat(this.run.admitted()).hasSize(CONCURRENCY_LIMIT + 1);
 	}
 
 	/**
@@ -55,12 +55,12 @@
 	 * came first.
 	 */
 	@Test
-	void aSmallWorkspaceIsServedInTurnWithALargeOne() {
-		fill("large", AT_ONCE + 100);
-		this.run.arrive(Requests.chat(9001, "small", this.run.now()));
+	void aSmallWorkspaceGetsItsFairShareBesideALargeOne() {
+		fill("large", CONCURRENCY_LIMIT + 100);
+		this.run.arrive(RequestFixtures.chat(9001, "small", this.run.now()));
 		this.run.finish(this.run.admitted().get(0));
 		this.run.finish(this.run.admitted().get(1));
-		assertThat(this.run.admittedNumbers().subList(AT_ONCE, AT_ONCE + 2)).contains(9001L);
+		assertThat(this.run.admittedNumbers().subList(CONCURRENCY_LIMIT, CONCURRENCY_LIMIT + 2)).contains(9001L);
 	}
 
 	/**
@@ -68,19 +68,19 @@
 	 * would be turned away by the other's load.
 	 */
 	@Test
-	void aFullQueueGivesUpTheLastRequestOfTheHeaviestWorkspace() {
-		fill("large", AT_ONCE + QUEUE);
-		this.run.arrive(Requests.chat(9001, "small", this.run.now()));
-		assertThat(this.run.refused()).containsOnlyKeys((long) (AT_ONCE + QUEUE));
+	void aFullQueueRefusesTheLastRequestOfTheMostLoadedWorkspace() {
+		fill("large", CONCURRENCY_LIMIT + QUEUE_LIMIT);
+		this.run.arrive(RequestFixtures.chat(9001, "small", this.run.now()));
+		assertThat(this.run.refused()).containsOnlyKeys((long) (CONCURRENCY_LIMIT + QUEUE_LIMIT));
 		assertThat(this.run.refused().values()).first()
 			.satisfies((refusal) -> assertThat(refusal.reason()).isEqualTo(RefusalReason.OVERLOADED))
 			.satisfies((refusal) -> assertThat(refusal.retryAfter()).isPresent());
 	}
 
 	@Test
-	void aHighPriorityGoesFirstWithinItsWorkspace() {
-		fill("large", AT_ONCE + 1);
-		this.run.arrive(Requests.chat(9001, "large", Priority.HIGH, this.run.now().plusSeconds(10)));
+	void aHighPriorityRequestGoesFirstWithinItsWorkspace() {
+		fill("large", CONCURRENCY_LIMIT + 1);
+		this.run.arrive(RequestFixtures.chat(9001, "large", Priority.HIGH, this.run.now().plusSeconds(10)));
 		this.run.finish(this.run.admitted().get(0));
 		assertThat(this.run.admittedNumbers()).endsWith(9001L);
 	}
@@ -90,38 +90,38 @@
 	 * never served.
 	 */
 	@Test
-	void aLowPriorityIsServedBeforeHighOnesThatCameMuchLater() {
-		fill("large", AT_ONCE);
-		this.run.arrive(Requests.chat(9001, "large", Priority.LOW, this.run.now().plusSeconds(60)));
-		this.run.pass(AdmissionPolicy.standard().priorityStep().multipliedBy(2).plusMillis(100));
-		this.run.arrive(Requests.chat(9002, "large", Priority.HIGH, this.run.now().plusSeconds(60)));
+	void aLowPriorityRequestIsServedBeforeMuchLaterHighPriorityOnes() {
+		fill("large", CONCURRENCY_LIMIT);
+		this.run.arrive(RequestFixtures.chat(9001, "large", Priority.LOW, this.run.now().plusSeconds(60)));
+		this.run.advanceTime(AdmissionPolicy.standard().priorityStep().multipliedBy(2).plusMillis(100));
+		this.run.arrive(RequestFixtures.chat(9002, "large", Priority.HIGH, this.run.now().plusSeconds(60)));
 		this.run.finish(this.run.admitted().get(0));
 		assertThat(this.run.admittedNumbers()).endsWith(9001L);
 	}
 
 	@Test
-	void aCallerThatHasGoneLeavesTheQueue() {
-		fill("large", AT_ONCE + 1);
-		RequestDescription last = Requests.chat(AT_ONCE + 1, "large", this.run.now());
-		this.run.feed(new RequestEvent.CallerGone(last.identifier()));
+	void aDisconnectedCallersRequestLeavesTheQueue() {
+		fill("large", CONCURRENCY_LIMIT + 1);
+		RequestDescription last = RequestFixtures.chat(CONCURRENCY_LIMIT + 1, "large", this.run.now());
+		this.run.apply(new RequestEvent.CallerGone(last.identifier()));
 		this.run.finish(this.run.admitted().get(0));
-		assertThat(this.run.admitted()).hasSize(AT_ONCE);
+		assertThat(this.run.admitted()).hasSize(CONCURRENCY_LIMIT);
 	}
 
 	@Test
-	void aRequestThatWaitsToItsDeadlineIsRefusedAsNotRun() {
-		fill("large", AT_ONCE + 1);
-		this.run.pass(Duration.ofMillis(10_100));
-		assertThat(reasons()).containsEntry((long) (AT_ONCE + 1), RefusalReason.DEADLINE_TOO_SHORT);
+	void aRequestThatWaitsUntilItsDeadlineIsRefusedAsNotRun() {
+		fill("large", CONCURRENCY_LIMIT + 1);
+		this.run.advanceTime(Duration.ofMillis(10_100));
+		assertThat(reasons()).containsEntry((long) (CONCURRENCY_LIMIT + 1), RefusalReason.DEADLINE_TOO_SHORT);
 	}
 
 	@Test
-	void aDeadlineShorterThanTheFirstTokenTakesIsRefusedAtOnce() {
+	void aDeadlineBelowTheFirstTokenLatencyIsRefusedAtOnce() {
 		fill("large", 20);
 		for (RequestDescription request : this.run.admitted()) {
 			this.run.firstTokenAfter(request, Duration.ofMillis(800));
 		}
-		this.run.arrive(Requests.chat(9001, "large", Priority.NORMAL, this.run.now().plusMillis(500)));
+		this.run.arrive(RequestFixtures.chat(9001, "large", Priority.NORMAL, this.run.now().plusMillis(500)));
 		assertThat(reasons()).containsEntry(9001L, RefusalReason.DEADLINE_TOO_SHORT);
 	}
 
@@ -130,31 +130,31 @@
 	 * latency measured then is longer than its deadline, and nothing measures it again.
 	 */
 	@Test
-	void anIdleServiceTriesARequestThoughItWasSlowBefore() {
+	void anIdleServiceAdmitsARequestDespiteEarlierHighLatency() {
 		fill("large", 20);
 		for (RequestDescription request : this.run.admitted()) {
 			this.run.firstTokenAfter(request, Duration.ofMillis(800));
 		}
 		this.run.admitted().forEach(this.run::finish);
-		this.run.arrive(Requests.chat(9001, "large", Priority.NORMAL, this.run.now().plusMillis(500)));
+		this.run.arrive(RequestFixtures.chat(9001, "large", Priority.NORMAL, this.run.now().plusMillis(500)));
 		assertThat(this.run.admittedNumbers()).endsWith(9001L);
 	}
 
 	@Test
-	void aNodeThatStopsAcceptsUntilTheBalancerHasNoticed() {
-		this.run.feed(new NodeEvent.StopRequested());
-		this.run.arrive(Requests.chat(1, "large", this.run.now()));
-		this.run.pass(Policy.standard().request().stopGrace());
-		this.run.arrive(Requests.chat(2, "large", this.run.now()));
+	void aStoppingNodeAcceptsRequestsUntilItsGracePeriodEnds() {
+		this.run.apply(new NodeEvent.StopRequested());
+		this.run.arrive(RequestFixtures.chat(1, "large", this.run.now()));
+		this.run.advanceTime(Policy.standard().request().stopGrace());
+		this.run.arrive(RequestFixtures.chat(2, "large", this.run.now()));
 		assertThat(this.run.admittedNumbers()).containsExactly(1L);
 		assertThat(reasons()).isEqualTo(Map.of(2L, RefusalReason.NODE_STOPPING));
 	}
 
 	@Test
-	void aWorkspaceBeyondItsRateIsToldWhenToComeBack() {
-		AdmissionRun limited = AdmissionRun.with(Requests.workspace("large", 2, 100, 1));
+	void aWorkspaceOverItsRateIsRefusedWithRetryAfter() {
+		AdmissionHarness limited = AdmissionHarness.with(RequestFixtures.workspace("large", 2, 100, 1));
 		for (long number = 1; number <= 10; number++) {
-			limited.arrive(Requests.chat(number, "large", limited.now()));
+			limited.arrive(RequestFixtures.chat(number, "large", limited.now()));
 		}
 		assertThat(limited.refused().values()).isNotEmpty()
 			.allSatisfy((refusal) -> assertThat(refusal.reason()).isEqualTo(RefusalReason.LIMIT_REACHED))
@@ -162,17 +162,17 @@
 	}
 
 	@Test
-	void aWorkspacesInFlightLimitHolds() {
-		AdmissionRun limited = AdmissionRun.with(Requests.workspace("large", 1e6, 8, 1));
+	void aWorkspacesInFlightLimitIsEnforced() {
+		AdmissionHarness limited = AdmissionHarness.with(RequestFixtures.workspace("large", 1e6, 8, 1));
 		for (long number = 1; number <= 10; number++) {
-			limited.arrive(Requests.chat(number, "large", limited.now()));
+			limited.arrive(RequestFixtures.chat(number, "large", limited.now()));
 		}
 		assertThat(limited.admitted()).hasSize(8 / AdmissionPolicy.standard().nodesPerDataCentre());
 	}
 
 	@Test
-	void theConcurrencyLimitFallsWhenFirstTokensComeLate() {
-		fill("large", AT_ONCE);
+	void theConcurrencyLimitFallsWhenFirstTokensAreSlow() {
+		fill("large", CONCURRENCY_LIMIT);
 		List<RequestDescription> first = this.run.admitted();
 		for (int round = 0; round < 8; round++) {
 			for (RequestDescription request : first) {
@@ -180,14 +180,14 @@
 			}
 		}
 		first.forEach(this.run::finish);
-		fill("small", 2 * AT_ONCE);
-		assertThat(this.run.admitted().size() - first.size()).isLessThan(AT_ONCE / 2);
+		fill("small", 2 * CONCURRENCY_LIMIT);
+		assertThat(this.run.admitted().size() - first.size()).isLessThan(CONCURRENCY_LIMIT / 2);
 	}
 
 	private void fill(String workspace, int requests) {
 		long base = workspace.equals("large") ? 0 : 5000;
 		for (long number = 1; number <= requests; number++) {
-			this.run.arrive(Requests.chat(base + number, workspace, this.run.now()));
+			this.run.arrive(RequestFixtures.chat(base + number, workspace, this.run.now()));
 		}
 	}
 
--- a/src/test/java/sycamorehill/logic/admission/FakeView.java
+++ b/src/test/java/sycamorehill/logic/admission/FakeNodeView.java
@@ -30,7 +30,7 @@
 /**
  * What the other parts know, set by hand.
  */
-public final class FakeView implements NodeView {
+public final class FakeNodeView implements NodeView {
 
 	private final NodeIdentity self;
 
@@ -48,20 +48,20 @@
 
 	private Policy policy = Policy.standard();
 
-	private FakeView(NodeIdentity self) {
+	private FakeNodeView(NodeIdentity self) {
 		this.self = self;
 	}
 
-	public static FakeView of(String node, String dataCentre) {
-		return new FakeView(new NodeIdentity(NodeIncarnation.of(NodeName.of(node), 1), DataCentreName.of(dataCentre),
-				Address.of("127.0.0.1", 1000)));
+	public static FakeNodeView of(String node, String dataCentre) {
+		return new FakeNodeView(new NodeIdentity(NodeIncarnation.of(NodeName.of(node), 1),
+				DataCentreName.of(dataCentre), Address.of("127.0.0.1", 1000)));
 	}
 
-	public static FakeView of(NodeIdentity self) {
-		return new FakeView(self);
+	public static FakeNodeView of(NodeIdentity self) {
+		return new FakeNodeView(self);
 	}
 
-	public FakeView with(Item... more) {
+	public FakeNodeView with(Item... more) {
 		for (Item item : more) {
 			this.items.add(new ItemInForce(item, 1));
 		}
@@ -69,27 +69,27 @@
 		return this;
 	}
 
-	public FakeView quarantine(Fingerprint fingerprint) {
+	public FakeNodeView quarantine(Fingerprint fingerprint) {
 		this.quarantined.add(fingerprint);
 		return this;
 	}
 
-	public FakeView targets(List<ServingTarget> changed) {
+	public FakeNodeView targets(List<ServingTarget> changed) {
 		this.targets = List.copyOf(changed);
 		return this;
 	}
 
-	public FakeView liveNodes(LiveNodes changed) {
+	public FakeNodeView liveNodes(LiveNodes changed) {
 		this.liveNodes = changed;
 		return this;
 	}
 
-	public FakeView policy(Policy changed) {
+	public FakeNodeView policy(Policy changed) {
 		this.policy = changed;
 		return this;
 	}
 
-	public FakeView sight(VmSight sight) {
+	public FakeNodeView sight(VmSight sight) {
 		this.sights.put(sight.report().vm(), sight);
 		return this;
 	}
--- a/src/test/java/sycamorehill/logic/admission/RequestCheckTests.java
+++ b/src/test/java/sycamorehill/logic/admission/RequestCheckTests.java
@@ -15,25 +15,26 @@
 
 class RequestCheckTests {
 
-	private static final RequestDescription CHAT = Requests.chat(1, "large", Instant.EPOCH);
+	private static final RequestDescription CHAT = RequestFixtures.chat(1, "large", Instant.EPOCH);
 
-	private final FakeView view = FakeView.of("n", "one")
-		.with(Requests.CHAT_SERVICE, Requests.DESK_SERVICE, Requests.workspace("large", 10, 10, 1));
+	private final FakeNodeView view = FakeNodeView.of("n", "one")
+		.with(RequestFixtures.CHAT_SERVICE, RequestFixtures.PLAIN_SERVICE,
+				RequestFixtures.workspace("large", 10, 10, 1));
 
 	@Test
-	void aNodeWithoutTruthIsNotReady() {
-		assertThat(reason(CHAT, FakeView.of("n", "one"))).contains(RefusalReason.NODE_NOT_READY);
+	void aNodeWithoutDesiredStateIsNotReady() {
+		assertThat(reason(CHAT, FakeNodeView.of("n", "one"))).contains(RefusalReason.NODE_NOT_READY);
 	}
 
 	@Test
 	void anUnknownKeyIsRefused() {
-		assertThat(reason(Requests.chat(1, "stranger", Instant.EPOCH), this.view))
+		assertThat(reason(RequestFixtures.chat(1, "stranger", Instant.EPOCH), this.view))
 			.contains(RefusalReason.UNAUTHENTICATED);
 	}
 
 	@Test
 	void anUnknownServiceIsRefused() {
-		FakeView without = FakeView.of("n", "one").with(Requests.workspace("large", 10, 10, 1));
+		FakeNodeView without = FakeNodeView.of("n", "one").with(RequestFixtures.workspace("large", 10, 10, 1));
 		assertThat(reason(CHAT, without)).contains(RefusalReason.UNKNOWN_SERVICE);
 	}
 
@@ -48,24 +49,24 @@
 	}
 
 	@Test
-	void aPlainCallWithoutRuleIsSentOnce() {
-		RequestDescription order = Requests.order(1, "large", "POST", Optional.empty());
+	void aPlainCallWithoutRepeatRuleIsSentOnce() {
+		RequestDescription order = RequestFixtures.order(1, "large", "POST", Optional.empty());
 		assertThat(RequestCheck.of(order, this.view).handling()).isEqualTo(Handling.ONCE_WITHOUT_KEY);
 	}
 
 	@Test
 	void aPlainCallWithKeyIsClaimedFirst() {
-		RequestDescription order = Requests.order(1, "large", "POST", Optional.of(new OrderKey(1, 2)));
+		RequestDescription order = RequestFixtures.order(1, "large", "POST", Optional.of(new OrderKey(1, 2)));
 		assertThat(RequestCheck.of(order, this.view).handling()).isEqualTo(Handling.ONCE_WITH_KEY);
 	}
 
 	@Test
-	void aPlainCallThatItsServiceCallsIdempotentIsRepeatable() {
-		RequestDescription order = Requests.order(1, "large", "GET", Optional.empty());
+	void aPlainCallWithIdempotentRepeatRuleIsRepeatable() {
+		RequestDescription order = RequestFixtures.order(1, "large", "GET", Optional.empty());
 		assertThat(RequestCheck.of(order, this.view).handling()).isEqualTo(Handling.REPEATABLE);
 	}
 
-	private static Optional<RefusalReason> reason(RequestDescription request, FakeView view) {
+	private static Optional<RefusalReason> reason(RequestDescription request, FakeNodeView view) {
 		return RequestCheck.of(request, view).refusal().map((refusal) -> refusal.reason());
 	}
 
--- a/src/test/java/sycamorehill/logic/admission/Requests.java
+++ b/src/test/java/sycamorehill/logic/admission/RequestFixtures.java
@@ -21,22 +21,22 @@
 /**
  * Requests, services and workspaces that the tests share.
  */
-public final class Requests {
+public final class RequestFixtures {
 
 	public static final ServiceName CHAT = ServiceName.of("chat");
 
-	public static final ServiceName DESK = ServiceName.of("desk");
+	public static final ServiceName PLAIN = ServiceName.of("desk");
 
 	public static final ServiceItem CHAT_SERVICE = ServiceItem.model(CHAT, "model", "1");
 
-	public static final ServiceItem DESK_SERVICE = ServiceItem.plain(DESK, List.of(),
+	public static final ServiceItem PLAIN_SERVICE = ServiceItem.plain(PLAIN, List.of(),
 			List.of(new RepeatRule("GET", "/", true)));
 
 	private static final int PROMPT_TOKENS = 20;
 
 	private static final int ANSWER_TOKENS = 80;
 
-	private Requests() {
+	private RequestFixtures() {
 	}
 
 	public static WorkspaceItem workspace(String name, double requestsPerSecond, int inFlight, int weight) {
@@ -52,7 +52,7 @@
 	}
 
 	public static RequestDescription order(long number, String workspace, String method, Optional<OrderKey> key) {
-		return describe(number, workspace, DESK, method, Priority.NORMAL, Instant.EPOCH.plusSeconds(100), key);
+		return describe(number, workspace, PLAIN, method, Priority.NORMAL, Instant.EPOCH.plusSeconds(100), key);
 	}
 
 	private static RequestDescription describe(long number, String workspace, ServiceName service, String method,
--- a/src/test/java/sycamorehill/logic/admission/WorkspaceLimitTests.java
+++ b/src/test/java/sycamorehill/logic/admission/WorkspaceLimitTests.java
@@ -35,42 +35,44 @@
 	@Property(tries = 150, seed = "20")
 	void theSumOfSharesNeverExceedsTheLimit(@ForAll long seed) {
 		Random random = new Random(seed);
-		ShareFleet fleet = ShareFleet.create(DATA_CENTRES, 2, seed);
-		fleet.faults(random.nextDouble() * 0.4, random.nextDouble() * 0.4, 5 + random.nextInt(4000));
+		LimitSharingSimulation simulation = LimitSharingSimulation.create(DATA_CENTRES, 2, seed);
+		simulation.faults(random.nextDouble() * 0.4, random.nextDouble() * 0.4, 5 + random.nextInt(4000));
 		for (int step = 0; step < 300; step++) {
 			int busy = (step / 60 + (int) (seed & 7)) % NODES;
 			for (int call = random.nextInt(6); call > 0; call--) {
-				fleet.request((random.nextInt(4) > 0) ? busy : random.nextInt(NODES));
+				simulation.request((random.nextInt(4) > 0) ? busy : random.nextInt(NODES));
 			}
-			disturb(fleet, random);
-			fleet.run(STEP);
-			assertWithinLimit(fleet.usableByAll());
+			injectFault(simulation, random);
+			simulation.run(STEP);
+			assertWithinLimit(simulation.usableByAll());
 		}
 	}
 
-	private static void disturb(ShareFleet fleet, Random random) {
+	private static void injectFault(LimitSharingSimulation simulation, Random random) {
 		switch (random.nextInt(60)) {
-			case 0 -> fleet.restart(random.nextInt(NODES));
-			case 1 -> fleet.kill(random.nextInt(NODES));
-			case 2 -> fleet.cutOff(random.nextInt(DATA_CENTRES));
-			case 3, 4 -> fleet.cutOff(-1);
+			case 0 -> simulation.restart(random.nextInt(NODES));
+			case 1 -> simulation.crash(random.nextInt(NODES));
+			case 2 -> simulation.partition(random.nextInt(DATA_CENTRES));
+			case 3, 4 -> simulation.partition(-1);
 			default -> {
 			}
 		}
 	}
 
 	private static void assertWithinLimit(ShareAmounts sum) {
-		assertThat(sum.requests()).isLessThanOrEqualTo(ShareFleet.WORKSPACE.requestsPerSecond() + ROUNDING);
-		assertThat(sum.tokens()).isLessThanOrEqualTo(ShareFleet.WORKSPACE.tokensPerSecond() * (1 + ROUNDING));
-		assertThat(sum.inFlight()).isLessThanOrEqualTo(ShareFleet.WORKSPACE.inFlight() + ROUNDING);
+		assertThat(sum.requests()).isLessThanOrEqualTo(LimitSharingSimulation.WORKSPACE.requestsPerSecond() + ROUNDING);
+		assertThat(sum.tokens())
+			.isLessThanOrEqualTo(LimitSharingSimulation.WORKSPACE.tokensPerSecond() * (1 + ROUNDING));
+		assertThat(sum.inFlight()).isLessThanOrEqualTo(LimitSharingSimulation.WORKSPACE.inFlight() + ROUNDING);
 	}
 
 	@Test
 	void aBusyNodeGetsMostOfTheLimitWhileTheOthersAreIdle() {
-		ShareFleet fleet = ShareFleet.create(DATA_CENTRES, 2, 1);
-		fleet.run(Duration.ofSeconds(3));
-		drive(fleet, 0, 60, Duration.ofSeconds(4));
-		assertThat(fleet.usable(0).requests()).isGreaterThan(0.8 * ShareFleet.WORKSPACE.requestsPerSecond());
+		LimitSharingSimulation simulation = LimitSharingSimulation.create(DATA_CENTRES, 2, 1);
+		simulation.run(Duration.ofSeconds(3));
+		drive(simulation, 0, 60, Duration.ofSeconds(4));
+		assertThat(simulation.usable(0).requests())
+			.isGreaterThan(0.8 * LimitSharingSimulation.WORKSPACE.requestsPerSecond());
 	}
 
 	/**
@@ -78,32 +80,33 @@
 	 * lapses; what its nodes own stays, so they are served at that rate and not refused.
 	 */
 	@Test
-	void aCutOffDataCentreKeepsItsOwnPart() {
-		ShareFleet fleet = ShareFleet.create(DATA_CENTRES, 2, 1);
-		fleet.run(Duration.ofSeconds(3));
-		drive(fleet, 0, 60, Duration.ofSeconds(3));
-		fleet.cutOff(0);
-		drive(fleet, 0, 60, Duration.ofSeconds(4));
-		assertThat(fleet.usable(0).requests()).isBetween(0.9 * ShareFleet.WORKSPACE.requestsPerSecond() / DATA_CENTRES,
-				ShareFleet.WORKSPACE.requestsPerSecond() / DATA_CENTRES + ROUNDING);
+	void aPartitionedDataCentreKeepsItsOwnedShare() {
+		LimitSharingSimulation simulation = LimitSharingSimulation.create(DATA_CENTRES, 2, 1);
+		simulation.run(Duration.ofSeconds(3));
+		drive(simulation, 0, 60, Duration.ofSeconds(3));
+		simulation.partition(0);
+		drive(simulation, 0, 60, Duration.ofSeconds(4));
+		assertThat(simulation.usable(0).requests()).isBetween(
+				0.9 * LimitSharingSimulation.WORKSPACE.requestsPerSecond() / DATA_CENTRES,
+				LimitSharingSimulation.WORKSPACE.requestsPerSecond() / DATA_CENTRES + ROUNDING);
 	}
 
 	@Test
-	void aFreshNodeOwnsNothingUntilLoansOfAnEarlierLifeMustHaveEnded() {
-		ShareFleet fleet = ShareFleet.create(1, 1, 1);
-		fleet.request(0);
-		fleet.run(Duration.ofSeconds(1));
-		assertThat(fleet.usable(0)).isEqualTo(ShareAmounts.NONE);
+	void aRestartedNodeOwnsNothingUntilEarlierLoansHaveExpired() {
+		LimitSharingSimulation simulation = LimitSharingSimulation.create(1, 1, 1);
+		simulation.request(0);
+		simulation.run(Duration.ofSeconds(1));
+		assertThat(simulation.usable(0)).isEqualTo(ShareAmounts.NONE);
 	}
 
-	private static void drive(ShareFleet fleet, int node, int perSecond, Duration time) {
+	private static void drive(LimitSharingSimulation simulation, int node, int perSecond, Duration time) {
 		long steps = time.dividedBy(STEP);
 		double due = 0;
 		for (long step = 0; step < steps; step++) {
 			for (due += perSecond * STEP.toMillis() / 1000.0; due >= 1; due--) {
-				fleet.request(node);
+				simulation.request(node);
 			}
-			fleet.run(STEP);
+			simulation.run(STEP);
 		}
 	}
 
--- a/src/test/java/sycamorehill/logic/routing/TargetChooserTests.java
+++ b/src/test/java/sycamorehill/logic/routing/TargetChooserTests.java
@@ -10,8 +10,8 @@
 
 import org.junit.jupiter.api.Test;
 
-import sycamorehill.logic.admission.FakeView;
-import sycamorehill.logic.admission.Requests;
+import sycamorehill.logic.admission.FakeNodeView;
+import sycamorehill.logic.admission.RequestFixtures;
 import sycamorehill.model.event.RequestEvent;
 import sycamorehill.model.group.EngineState;
 import sycamorehill.model.group.GroupIdentity;
@@ -35,7 +35,7 @@
 
 	private static final Instant START = Instant.EPOCH.plusSeconds(100);
 
-	private final FakeView view = FakeView.of("n", "here");
+	private final FakeNodeView view = FakeNodeView.of("n", "here");
 
 	private final RoutingReducer reducer = RoutingReducer.create();
 
@@ -48,7 +48,7 @@
 	@Test
 	void withoutTargetsNoneIsChosen() {
 		for (TargetChooser chooser : List.of(TargetChooser.random(), TargetChooser.twoChoices(),
-				TargetChooser.leastOutstanding(), TargetChooser.predicted())) {
+				TargetChooser.leastOutstanding(), TargetChooser.lowestPredictedLatency())) {
 			assertThat(chooser.choose(List.of(), context(1))).isEmpty();
 		}
 	}
@@ -89,21 +89,21 @@
 	}
 
 	@Test
-	void theOwnDataCentreIsChosenWhileItsWaitIsShort() {
-		ServingTarget own = target(0, "here", 2, 0);
-		ServingTarget away = target(1, "there", 0, 0);
-		assertThat(choose(1, own, away)).isEqualTo(own);
+	void theLocalDataCentreIsChosenWhileItsWaitIsShort() {
+		ServingTarget local = target(0, "here", 2, 0);
+		ServingTarget remote = target(1, "there", 0, 0);
+		assertThat(choose(1, local, remote)).isEqualTo(local);
 	}
 
 	@Test
-	void aLongWaitSpillsOverToAnotherDataCentre() {
-		ServingTarget own = target(0, "here", 16, 30);
-		ServingTarget away = target(1, "there", 0, 0);
-		assertThat(choose(1, own, away)).isEqualTo(away);
+	void aLongWaitSpillsOverToARemoteDataCentre() {
+		ServingTarget local = target(0, "here", 16, 30);
+		ServingTarget remote = target(1, "there", 0, 0);
+		assertThat(choose(1, local, remote)).isEqualTo(remote);
 	}
 
 	@Test
-	void aFullTargetIsAvoidedThoughItRunsNoMoreThanAnother() {
+	void aFullTargetIsAvoidedEvenIfItRunsFewerRequests() {
 		ServingTarget full = target(0, "here", 4, 1);
 		ServingTarget other = target(1, "here", 6, 0);
 		assertThat(choose(1, full, other)).isEqualTo(other);
@@ -114,7 +114,7 @@
 	 * its own ratio it draws as many requests as they do.
 	 */
 	@Test
-	void aTargetThatIsSlowerThanItsLoadSaysIsAvoided() {
+	void aTargetSlowerThanPredictedIsAvoided() {
 		ServingTarget slow = target(0, "here", 0, 0);
 		ServingTarget other = target(1, "here", 3, 0);
 		for (long number = 1; number <= 5; number++) {
@@ -129,12 +129,12 @@
 	}
 
 	@Test
-	void aPromptGoesWhereItsPrefixWasSent() {
+	void aPromptIsSentToTheTargetThatGotItsPrefix() {
 		this.samePrompt = true;
-		ServingTarget one = target(0, "here", 1, 0);
-		ServingTarget home = target(1, "here", 2, 0);
-		start(1, home);
-		assertThat(choose(2, one, home)).isEqualTo(home);
+		ServingTarget other = target(0, "here", 1, 0);
+		ServingTarget prefixTarget = target(1, "here", 2, 0);
+		start(1, prefixTarget);
+		assertThat(choose(2, other, prefixTarget)).isEqualTo(prefixTarget);
 	}
 
 	/**
@@ -142,16 +142,16 @@
 	 * the whole load.
 	 */
 	@Test
-	void aPrefixDoesNotDrawRequestsToATargetThatIsTooBusy() {
+	void aCachedPrefixDoesNotAttractRequestsToAnOverloadedTarget() {
 		this.samePrompt = true;
-		ServingTarget one = target(0, "here", 1, 0);
-		ServingTarget home = target(1, "here", 12, 0);
-		start(1, home);
-		assertThat(choose(2, one, home)).isEqualTo(one);
+		ServingTarget other = target(0, "here", 1, 0);
+		ServingTarget prefixTarget = target(1, "here", 12, 0);
+		start(1, prefixTarget);
+		assertThat(choose(2, other, prefixTarget)).isEqualTo(other);
 	}
 
 	@Test
-	void equalTargetsAreAllChosenInTurn() {
+	void equallyLoadedTargetsAreAllChosen() {
 		ServingTarget one = target(0, "here", 1, 0);
 		ServingTarget other = target(1, "here", 1, 0);
 		Set<ServingTarget> chosen = new HashSet<>();
@@ -167,12 +167,12 @@
 		for (int number = 0; number < 30; number++) {
 			targets.add(target(number, "here", 1, 0));
 		}
-		assertThat(TargetChooser.predicted().choose(targets, context(7)))
-			.isEqualTo(TargetChooser.predicted().choose(targets, context(7)));
+		assertThat(TargetChooser.lowestPredictedLatency().choose(targets, context(7)))
+			.isEqualTo(TargetChooser.lowestPredictedLatency().choose(targets, context(7)));
 	}
 
 	private ServingTarget choose(long number, ServingTarget... targets) {
-		return TargetChooser.predicted().choose(List.of(targets), context(number)).orElseThrow();
+		return TargetChooser.lowestPredictedLatency().choose(List.of(targets), context(number)).orElseThrow();
 	}
 
 	private RouteContext context(long number) {
@@ -180,7 +180,7 @@
 	}
 
 	private RequestDescription request(long number) {
-		RequestDescription plain = Requests.chat(number, "w", this.now);
+		RequestDescription plain = RequestFixtures.chat(number, "w", this.now);
 		long first = this.samePrompt ? 1 : 10 * number;
 		return new RequestDescription(plain.identifier(), plain.keyHash(), plain.service(), plain.method(),
 				plain.path(), 2000, plain.maximumTokens(), List.of(first, first + 1, first + 2), plain.priority(),
@@ -213,7 +213,7 @@
 		VmReport report = new VmReport(vm, "life", EngineState.READY, Optional.of(group), false, running, queued, 0, 0,
 				1);
 		this.view.sight(new VmSight(report, this.now.plus(Duration.ofMillis(1))));
-		return new ServingTarget(group.name().target(), Requests.CHAT, DataCentreName.of(dataCentre),
+		return new ServingTarget(group.name().target(), RequestFixtures.CHAT, DataCentreName.of(dataCentre),
 				Address.of("127.0.0.1", 1), Optional.of(group), List.of(vm));
 	}
 
