--- a/src/main/java/sycamorehill/experiment/group/TrialNode.java
+++ b/src/main/java/sycamorehill/experiment/group/TrialNode.java
@@ -217,7 +217,7 @@
 	 * @return whether it does
 	 */
 	public boolean controls(Instant trialTime) {
-		return this.group.lease().holds(clock(trialTime));
+		return this.group.lease().isHeld(clock(trialTime));
 	}
 
 	@Override
--- a/src/main/java/sycamorehill/logic/group/AllocationDraft.java
+++ b/src/main/java/sycamorehill/logic/group/AllocationDraft.java
@@ -21,7 +21,7 @@
  */
 final class AllocationDraft {
 
-	private final Allocation before;
+	private final Allocation original;
 
 	private final TreeMap<GroupName, GroupRecord> groups;
 
@@ -32,7 +32,7 @@
 	private long nextGeneration;
 
 	private AllocationDraft(Allocation before) {
-		this.before = before;
+		this.original = before;
 		this.groups = new TreeMap<>(before.groups());
 		this.standbys = new TreeMap<>(before.standbys());
 		this.nextGeneration = before.nextGeneration();
@@ -60,7 +60,7 @@
 		return List.copyOf(this.standbys.keySet());
 	}
 
-	GroupSetName standbyFor(VmName vm) {
+	GroupSetName standbySet(VmName vm) {
 		return this.standbys.get(vm);
 	}
 
@@ -83,14 +83,14 @@
 	 * Puts a group in its next generation, to be loaded.
 	 * @param name the group
 	 * @param members its members, the head first
-	 * @param shape what it is to load
+	 * @param specification what it is to load
 	 * @param reason why, for readers
 	 * @param failures failed loads since it last served
 	 */
-	void form(GroupName name, List<VmName> members, GroupShape shape, String reason, int failures) {
+	void form(GroupName name, List<VmName> members, GroupSpecification specification, String reason, int failures) {
 		GroupIdentity identity = GroupIdentity.of(name, this.nextGeneration++);
-		replace(new GroupRecord(identity, shape.service(), shape.model(), shape.modelVersion(), members,
-				GroupPhase.FORMING, shape.ticket(), reason, failures));
+		replace(new GroupRecord(identity, specification.service(), specification.model(), specification.modelVersion(),
+				members, GroupPhase.FORMING, specification.ticket(), reason, failures));
 	}
 
 	void remove(GroupName name) {
@@ -114,19 +114,19 @@
 	 * @param writer the mark of the write
 	 * @return the new allocation, or the one before if nothing has changed
 	 */
-	Allocation finish(long fencingNumber, String writer) {
-		boolean same = this.groups.equals(this.before.groups()) && this.standbys.equals(this.before.standbys())
-				&& fencingNumber == this.before.fencingNumber();
+	Allocation build(long fencingNumber, String writer) {
+		boolean same = this.groups.equals(this.original.groups()) && this.standbys.equals(this.original.standbys())
+				&& fencingNumber == this.original.fencingNumber();
 		if (same) {
-			return this.before;
+			return this.original;
 		}
-		requireEachVmOnce();
-		return new Allocation(this.before.dataCentre(), fencingNumber, writer, this.nextGeneration,
+		requireUniqueVms();
+		return new Allocation(this.original.dataCentre(), fencingNumber, writer, this.nextGeneration,
 				TreePMap.from(this.groups), TreePMap.from(this.standbys));
 	}
 
 	// Failure: one VM in two groups, each of which would load over the other for ever.
-	private void requireEachVmOnce() {
+	private void requireUniqueVms() {
 		Set<VmName> seen = new TreeSet<>(this.standbys.keySet());
 		for (GroupRecord record : this.groups.values()) {
 			for (VmName vm : record.members()) {
--- a/src/main/java/sycamorehill/logic/group/AllocationState.java
+++ b/src/main/java/sycamorehill/logic/group/AllocationState.java
@@ -27,11 +27,11 @@
 	}
 
 	// A stale read never takes the view back: versions of one object only grow.
-	AllocationState confirmed(Allocation allocation, long seenVersion, Instant sentAt) {
-		if (seenVersion < this.version) {
+	AllocationState withConfirmed(Allocation allocation, long readVersion, Instant sentAt) {
+		if (readVersion < this.version) {
 			return this;
 		}
-		return new AllocationState(Optional.of(allocation), seenVersion, sentAt, Optional.empty(), this.nextReadAt);
+		return new AllocationState(Optional.of(allocation), readVersion, sentAt, Optional.empty(), this.nextReadAt);
 	}
 
 	AllocationState withAttempt(Allocation changed) {
--- a/src/main/java/sycamorehill/logic/group/LeaseKeeper.java
+++ b/src/main/java/sycamorehill/logic/group/ControllerLeaseManager.java
@@ -19,9 +19,9 @@
  * counted on the own monotonic clock from before a renewal was sent; wall clocks of
  * different nodes are never compared.
  */
-final class LeaseKeeper {
+final class ControllerLeaseManager {
 
-	private LeaseKeeper() {
+	private ControllerLeaseManager() {
 	}
 
 	/**
@@ -33,13 +33,13 @@
 	 * @param policy the bounds
 	 * @return the call, empty if none is due
 	 */
-	static Optional<PlatformRequest> due(LeaseState state, Instant now, NodeIdentity self, boolean candidate,
+	static Optional<PlatformRequest> dueRequest(LeaseState state, Instant now, NodeIdentity self, boolean candidate,
 			GroupPolicy policy) {
-		if (now.isBefore(state.nextAt()) || !(candidate || state.holds(now))) {
+		if (now.isBefore(state.nextAt()) || !(candidate || state.isHeld(now))) {
 			return Optional.empty();
 		}
-		if (state.holds(now) && !state.readFirst()) {
-			return write(state, now, self, policy);
+		if (state.isHeld(now) && !state.readFirst()) {
+			return writeRequest(state, now, self, policy);
 		}
 		return Optional.of(new PlatformRequest.Read(key(self)));
 	}
@@ -51,7 +51,7 @@
 	 * @param answer the answer
 	 * @return what is known now
 	 */
-	static LeaseState read(LeaseState state, Instant now, PlatformAnswer answer) {
+	static LeaseState applyRead(LeaseState state, Instant now, PlatformAnswer answer) {
 		if (answer instanceof PlatformAnswer.Found found && found.object().value() instanceof ControllerLease lease) {
 			LeaseState seen = state.withSeen(lease, found.object().version(), now);
 			// Failure: the answer of a renewal is lost although it took effect. The
@@ -59,7 +59,7 @@
 			// before that write was sent.
 			return state.attempt()
 				.filter((attempt) -> attempt.lease().equals(lease))
-				.map((attempt) -> seen.withHeldUntil(until(attempt)))
+				.map((attempt) -> seen.withHeldUntil(expiresAt(attempt)))
 				.orElse(seen);
 		}
 		if (answer instanceof PlatformAnswer.Missing) {
@@ -76,19 +76,20 @@
 	 * @param policy the bounds
 	 * @return the write, empty if another node's lease may still hold
 	 */
-	static Optional<PlatformRequest> write(LeaseState state, Instant now, NodeIdentity self, GroupPolicy policy) {
+	static Optional<PlatformRequest> writeRequest(LeaseState state, Instant now, NodeIdentity self,
+			GroupPolicy policy) {
 		NodeIncarnation own = self.incarnation();
 		if (state.seen().isEmpty()) {
 			return Optional.of(new PlatformRequest.Create(key(self),
 					new ControllerLease(self.dataCentre(), own, 1, policy.leaseLength(), 1)));
 		}
 		ControllerLease seen = state.seen().get();
-		boolean mine = seen.holder().equals(own);
-		boolean lapsed = !state.seenSince().plus(seen.length()).isAfter(now);
-		if (!mine && !lapsed) {
+		boolean isOwn = seen.holder().equals(own);
+		boolean isExpired = !state.seenSince().plus(seen.length()).isAfter(now);
+		if (!isOwn && !isExpired) {
 			return Optional.empty();
 		}
-		long fencingNumber = mine ? seen.fencingNumber() : seen.fencingNumber() + 1;
+		long fencingNumber = isOwn ? seen.fencingNumber() : seen.fencingNumber() + 1;
 		ControllerLease next = new ControllerLease(self.dataCentre(), own, fencingNumber, policy.leaseLength(),
 				seen.renewal() + 1);
 		return Optional.of(new PlatformRequest.Update(key(self), next, state.version()));
@@ -101,15 +102,15 @@
 	 * @param answer the answer
 	 * @return what is known now
 	 */
-	static LeaseState written(LeaseState state, Instant now, PlatformAnswer answer) {
+	static LeaseState applyWrite(LeaseState state, Instant now, PlatformAnswer answer) {
 		if (answer instanceof PlatformAnswer.Written written && state.attempt().isPresent()) {
 			LeaseAttempt attempt = state.attempt().get();
-			return state.withSeen(attempt.lease(), written.version(), now).withHeldUntil(until(attempt));
+			return state.withSeen(attempt.lease(), written.version(), now).withHeldUntil(expiresAt(attempt));
 		}
 		if (answer instanceof PlatformAnswer.Conflict) {
-			return state.mustRead().withNextAt(now);
+			return state.withReadFirst().withNextAt(now);
 		}
-		return state.mustRead();
+		return state.withReadFirst();
 	}
 
 	/**
@@ -118,13 +119,13 @@
 	 * @param self this node
 	 * @return the write
 	 */
-	static PlatformRequest giveBack(LeaseState state, NodeIdentity self) {
+	static PlatformRequest releaseRequest(LeaseState state, NodeIdentity self) {
 		ControllerLease next = new ControllerLease(self.dataCentre(), self.incarnation(), state.fencingNumber(),
 				Duration.ZERO, state.seen().map(ControllerLease::renewal).orElse(0L) + 1);
 		return new PlatformRequest.Update(key(self), next, state.version());
 	}
 
-	private static Instant until(LeaseAttempt attempt) {
+	private static Instant expiresAt(LeaseAttempt attempt) {
 		return attempt.sentAt().plus(attempt.lease().length());
 	}
 
--- /dev/null
+++ b/src/main/java/sycamorehill/logic/group/EngineCommandDispatcher.java
@@ -0,0 +1,109 @@
+package sycamorehill.logic.group;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.List;
+import java.util.Map;
+
+import sycamorehill.logic.group.EngineReconciler.RequiredCommand;
+import sycamorehill.model.effect.TargetEffect;
+import sycamorehill.model.event.TargetEvent;
+import sycamorehill.model.group.EngineOrderResult;
+import sycamorehill.model.group.VmEntry;
+import sycamorehill.model.identity.CallIdentifier;
+import sycamorehill.model.identity.CallOwner;
+import sycamorehill.model.identity.VmName;
+import sycamorehill.model.log.LogEvent;
+
+/**
+ * Gives orders to engines.
+ */
+final class EngineCommandDispatcher {
+
+	private static final int MAXIMUM_DOUBLINGS = 8;
+
+	private EngineCommandDispatcher() {
+	}
+
+	/**
+	 * Gives the orders that are due.
+	 * @param step the step
+	 * @param commands the orders that the confirmed allocation asks for
+	 */
+	static void dispatch(GroupStep step, List<RequiredCommand> commands) {
+		List<RequiredCommand> due = commands.stream().filter((required) -> isDue(step, required)).toList();
+		if (due.isEmpty()) {
+			return;
+		}
+		// Failure: a holder is paused past its lease, wakes, and orders engines that
+		// ignore fencing numbers into a group that another controller has given up. An
+		// order rests on a live read of the allocation, and the sender drops it when the
+		// window after that read is over, also if the pause falls between the two.
+		Duration halfWindow = step.policy().orderWindow().dividedBy(2);
+		Instant confirmedAt = step.state().allocation().confirmedAt();
+		if (confirmedAt.plus(halfWindow).isBefore(step.now())) {
+			AllocationCalls.requestRead(step);
+			return;
+		}
+		Instant notAfter = confirmedAt.plus(step.policy().orderWindow());
+		for (RequiredCommand required : due) {
+			send(step, required, notAfter);
+		}
+	}
+
+	/**
+	 * Gives orders that rest on no live read, because the platform is silent to the whole
+	 * data centre: nobody can have changed the allocation meanwhile.
+	 * @param step the step
+	 * @param commands the orders
+	 */
+	static void dispatchWithoutRead(GroupStep step, List<RequiredCommand> commands) {
+		Instant notAfter = step.now().plus(step.policy().orderWindow());
+		commands.stream()
+			.filter((required) -> isDue(step, required))
+			.forEach((required) -> send(step, required, notAfter));
+	}
+
+	private static boolean isDue(GroupStep step, RequiredCommand required) {
+		LastEngineCommand last = step.state().orders().get(required.entry().name());
+		return last == null || !last.order().equals(required.command()) || !step.now().isBefore(last.notBefore());
+	}
+
+	private static void send(GroupStep step, RequiredCommand required, Instant notAfter) {
+		VmName vm = required.entry().name();
+		LastEngineCommand before = step.state().orders().get(vm);
+		boolean isRepeat = before != null && before.order().equals(required.command());
+		int tries = isRepeat ? before.tries() + 1 : 0;
+		long number = step.nextCallNumber();
+		LastEngineCommand last = new LastEngineCommand(number, required.command(), step.now(), tries,
+				step.now().plus(retryDelay(step, tries)));
+		step.update(step.state().withOrders(step.state().orders().plus(vm, last)));
+		step.emit(new TargetEffect.SendOrder(CallIdentifier.of(CallOwner.GROUPS, number), vm,
+				required.entry().address(), required.command(), notAfter));
+	}
+
+	private static Duration retryDelay(GroupStep step, int tries) {
+		Duration wait = step.policy().orderRetry().multipliedBy(1L << Math.min(tries, MAXIMUM_DOUBLINGS));
+		Duration maximum = step.policy().orderRetryLongest();
+		return (wait.compareTo(maximum) < 0) ? wait : maximum;
+	}
+
+	static void handleAnswer(GroupStep step, TargetEvent.OrderAnswered answered) {
+		if (answered.result() == EngineOrderResult.REFUSED_FENCED) {
+			// A higher fencing number is about: another node took the lease over.
+			step.log(LogEvent.GROUP_ORDER_FENCED, "order " + answered.call().number());
+			step.update(step.state().withLease(step.state().lease().withHeldUntil(step.now()).withReadFirst()));
+			return;
+		}
+		if (answered.result() != EngineOrderResult.ACCEPTED) {
+			return;
+		}
+		for (Map.Entry<VmName, LastEngineCommand> entry : step.state().orders().entrySet()) {
+			VmEntry vm = step.view().fleet().entries().get(entry.getKey());
+			if (entry.getValue().call() == answered.call().number() && vm != null) {
+				step.emit(new TargetEffect.AskReport(vm.name(), vm.address()));
+			}
+		}
+	}
+
+}
--- a/src/main/java/sycamorehill/logic/group/EngineOrders.java
+++ b/src/main/java/sycamorehill/logic/group/EngineReconciler.java
@@ -21,9 +21,9 @@
 /**
  * The orders that bring the engines to what the allocation says.
  */
-final class EngineOrders {
+final class EngineReconciler {
 
-	private EngineOrders() {
+	private EngineReconciler() {
 	}
 
 	/**
@@ -32,15 +32,15 @@
 	 * @param context what the decision rests on
 	 * @return the orders
 	 */
-	static List<Wish> wishes(Allocation allocation, PlanContext context) {
-		List<Wish> wishes = new ArrayList<>();
+	static List<RequiredCommand> requiredCommands(Allocation allocation, PlanContext context) {
+		List<RequiredCommand> commands = new ArrayList<>();
 		for (VmEntry entry : context.fleet().entries().values()) {
-			leave(allocation, context, entry).ifPresent(wishes::add);
+			leaveCommand(allocation, context, entry).ifPresent(commands::add);
 		}
-		for (GroupRecord record : loading(allocation, context)) {
-			join(allocation, context, record, wishes);
+		for (GroupRecord record : groupsToLoad(allocation, context)) {
+			addJoinCommands(allocation, context, record, commands);
 		}
-		return wishes;
+		return commands;
 	}
 
 	// Failure: a controller with an old view orders VMs out of a group that was formed
@@ -48,9 +48,9 @@
 	// that is lower than the next to be given and not in the allocation was given up for
 	// ever, whatever has been written since; a higher one is newer than the view and is
 	// left alone. So this order is harmless however late it arrives.
-	private static Optional<Wish> leave(Allocation allocation, PlanContext context, VmEntry entry) {
-		Optional<GroupIdentity> group = report(context, entry.name()).flatMap(VmReport::group);
-		if (group.isEmpty() || !isPast(allocation, group.get().generation())) {
+	private static Optional<RequiredCommand> leaveCommand(Allocation allocation, PlanContext context, VmEntry entry) {
+		Optional<GroupIdentity> group = freshReport(context, entry.name()).flatMap(VmReport::group);
+		if (group.isEmpty() || !isRemoved(allocation, group.get().generation())) {
 			return Optional.empty();
 		}
 		GroupRecord record = allocation.groups().get(group.get().name());
@@ -60,26 +60,27 @@
 			return Optional.empty();
 		}
 		EngineOrder order = new EngineOrder.Leave(group.get(), allocation.fencingNumber());
-		return Optional.of(new Wish(entry, order));
+		return Optional.of(new RequiredCommand(entry, order));
 	}
 
 	// A generation given while the platform was silent was given up if a later controller
 	// has written the allocation without it.
-	private static boolean isPast(Allocation allocation, long generation) {
-		return (generation < OfflineState.FIRST_GENERATION) ? generation < allocation.nextGeneration()
+	private static boolean isRemoved(Allocation allocation, long generation) {
+		return (generation < OfflineState.FIRST_OFFLINE_GENERATION) ? generation < allocation.nextGeneration()
 				: OfflineState.fencingNumber(generation) <= allocation.fencingNumber();
 	}
 
-	private static void join(Allocation allocation, PlanContext context, GroupRecord record, List<Wish> wishes) {
+	private static void addJoinCommands(Allocation allocation, PlanContext context, GroupRecord record,
+			List<RequiredCommand> commands) {
 		for (VmName vm : record.members()) {
 			VmEntry entry = context.fleet().entries().get(vm);
-			Optional<VmReport> report = report(context, vm);
+			Optional<VmReport> report = freshReport(context, vm);
 			// Failure: a new controller starts a load again that is already under way.
 			// Only an engine that was freshly seen in no group is ordered to join.
 			boolean free = report.isPresent() && report.get().group().isEmpty() && !report.get().leaving();
 			if (entry != null && free) {
-				wishes.add(new Wish(entry, new EngineOrder.Join(record.identity(), record.members(), record.model(),
-						record.modelVersion(), allocation.fencingNumber())));
+				commands.add(new RequiredCommand(entry, new EngineOrder.Join(record.identity(), record.members(),
+						record.model(), record.modelVersion(), allocation.fencingNumber())));
 			}
 		}
 	}
@@ -92,18 +93,19 @@
 	 * @param context what the decision rests on
 	 * @return the groups
 	 */
-	private static List<GroupRecord> loading(Allocation allocation, PlanContext context) {
+	private static List<GroupRecord> groupsToLoad(Allocation allocation, PlanContext context) {
 		List<GroupRecord> forming = allocation.groups()
 			.values()
 			.stream()
 			.filter((record) -> record.phase() == GroupPhase.FORMING)
-			.sorted(order(allocation, context))
+			.sorted(loadOrder(allocation, context))
 			.toList();
 		List<GroupRecord> admitted = new ArrayList<>();
 		int loads = 0;
 		for (GroupRecord record : forming) {
-			int missing = missing(context, record);
-			if (begun(context, record) || loads == 0 || loads + missing <= context.policy().concurrentLoads()) {
+			int missing = countUnloaded(context, record);
+			if (hasStartedLoading(context, record) || loads == 0
+					|| loads + missing <= context.policy().concurrentLoads()) {
 				admitted.add(record);
 				loads += missing;
 			}
@@ -111,41 +113,41 @@
 		return admitted;
 	}
 
-	private static Comparator<GroupRecord> order(Allocation allocation, PlanContext context) {
-		return Comparator.comparing((GroupRecord record) -> !begun(context, record))
+	private static Comparator<GroupRecord> loadOrder(Allocation allocation, PlanContext context) {
+		return Comparator.comparing((GroupRecord record) -> !hasStartedLoading(context, record))
 			.thenComparing((record) -> record.failures() > 0)
-			.thenComparingLong((record) -> serving(allocation, context, record))
-			.thenComparingInt((record) -> missing(context, record))
+			.thenComparingLong((record) -> countServing(allocation, context, record))
+			.thenComparingInt((record) -> countUnloaded(context, record))
 			.thenComparing((record) -> record.identity().name());
 	}
 
-	private static long serving(Allocation allocation, PlanContext context, GroupRecord record) {
+	private static long countServing(Allocation allocation, PlanContext context, GroupRecord record) {
 		return allocation.groups()
 			.values()
 			.stream()
-			.filter((other) -> other.service().equals(record.service()) && GroupWorth.serves(other, context))
+			.filter((other) -> other.service().equals(record.service()) && GroupRanking.isServing(other, context))
 			.count();
 	}
 
-	private static boolean begun(PlanContext context, GroupRecord record) {
-		return missing(context, record) < record.members().size()
-				|| record.members().stream().anyMatch((vm) -> isIn(context, vm, record, EngineState.LOADING));
+	private static boolean hasStartedLoading(PlanContext context, GroupRecord record) {
+		return countUnloaded(context, record) < record.members().size()
+				|| record.members().stream().anyMatch((vm) -> isInState(context, vm, record, EngineState.LOADING));
 	}
 
-	private static int missing(PlanContext context, GroupRecord record) {
+	private static int countUnloaded(PlanContext context, GroupRecord record) {
 		Set<VmName> missing = new HashSet<>(record.members());
-		missing.removeIf((vm) -> isIn(context, vm, record, EngineState.READY));
+		missing.removeIf((vm) -> isInState(context, vm, record, EngineState.READY));
 		return missing.size();
 	}
 
-	private static boolean isIn(PlanContext context, VmName vm, GroupRecord record, EngineState state) {
-		return report(context, vm).filter((report) -> report.state() == state)
+	private static boolean isInState(PlanContext context, VmName vm, GroupRecord record, EngineState state) {
+		return freshReport(context, vm).filter((report) -> report.state() == state)
 			.flatMap(VmReport::group)
 			.filter(record.identity()::equals)
 			.isPresent();
 	}
 
-	private static Optional<VmReport> report(PlanContext context, VmName vm) {
+	private static Optional<VmReport> freshReport(PlanContext context, VmName vm) {
 		return context.fleet().freshSight(vm, context.now(), context.observation().freshness()).map(VmSight::report);
 	}
 
@@ -153,9 +155,9 @@
 	 * An order that is to be given.
 	 *
 	 * @param entry the VM
-	 * @param order the order
+	 * @param command the order
 	 */
-	record Wish(VmEntry entry, EngineOrder order) {
+	record RequiredCommand(VmEntry entry, EngineOrder command) {
 
 	}
 
--- /dev/null
+++ b/src/main/java/sycamorehill/logic/group/GroupController.java
@@ -0,0 +1,147 @@
+package sycamorehill.logic.group;
+
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeSet;
+
+import org.pcollections.HashTreePMap;
+import org.pcollections.PMap;
+
+import sycamorehill.logic.NodeView;
+import sycamorehill.model.effect.TargetEffect;
+import sycamorehill.model.group.Allocation;
+import sycamorehill.model.group.EngineState;
+import sycamorehill.model.group.Fleet;
+import sycamorehill.model.group.GroupRecord;
+import sycamorehill.model.group.VmEntry;
+import sycamorehill.model.group.VmSight;
+import sycamorehill.model.identity.GroupName;
+import sycamorehill.model.identity.VmName;
+import sycamorehill.model.ticket.ItemInForce;
+import sycamorehill.model.ticket.ItemKey;
+import sycamorehill.model.ticket.ItemKind;
+import sycamorehill.model.ticket.ModelGroupItem;
+import sycamorehill.model.ticket.ServiceItem;
+import sycamorehill.model.ticket.ServiceKind;
+import sycamorehill.model.ticket.Truth;
+
+/**
+ * The decisions of the node that holds the lease.
+ */
+final class GroupController {
+
+	private static final int MAXIMUM_REPORT_REQUESTS = 8;
+
+	private GroupController() {
+	}
+
+	static void tick(GroupStep step) {
+		if (step.now().isBefore(step.state().nextDecisionAt())) {
+			return;
+		}
+		step.update(step.state().withNextDecisionAt(step.now().plus(step.policy().decisionInterval())));
+		boolean offline = !step.state().lease().isHeld(step.now()) && OfflineController.mayRepair(step);
+		updateObservations(step, offline);
+		decide(step);
+		if (offline && step.view().truth().isPresent()) {
+			OfflineController.repairGroups(step, context(step, step.view().truth().get()));
+		}
+	}
+
+	/**
+	 * Keeps the times since which groups and VMs have been as they are.
+	 * @param step the step
+	 * @param offline whether this node repairs while the platform is silent
+	 */
+	private static void updateObservations(GroupStep step, boolean offline) {
+		Optional<Allocation> known = step.state().effectiveAllocation();
+		if (known.isEmpty() || !(offline || step.state().lease().isHeld(step.now()))) {
+			return;
+		}
+		Fleet fleet = step.view().fleet();
+		Set<VmName> claimed = new TreeSet<>(known.get().standbys().keySet());
+		PMap<GroupName, PhaseStart> phases = HashTreePMap.empty();
+		for (GroupRecord record : known.get().groups().values()) {
+			claimed.addAll(record.members());
+			phases = phases.plus(record.identity().name(), phaseStart(step.state(), record, step.now()));
+		}
+		PMap<VmName, Instant> failures = step.state().failedAt();
+		for (VmName vm : claimed) {
+			if (fleet.sight(vm).map(VmSight::report).filter((seen) -> seen.state() == EngineState.FAILED).isPresent()) {
+				failures = failures.plus(vm, step.now());
+			}
+		}
+		VmSilences silences = step.state()
+			.silences()
+			.update(fleet, known.get().groups().values(), known.get().standbys().keySet(),
+					step.view().liveNodes().dutiful(step.view().self().dataCentre()).size() > 1, step.now(),
+					step.view().policy().observation().reportInterval());
+		step.update(step.state().withObservations(phases, silences, failures));
+		requestReports(step, silences);
+	}
+
+	// Before a VM is taken for dead the controller asks it itself, as well as its
+	// observers do: what they say may be late.
+	private static void requestReports(GroupStep step, VmSilences silences) {
+		int asked = 0;
+		for (VmName vm : silences.silentVms()) {
+			VmEntry entry = step.view().fleet().entries().get(vm);
+			if (entry != null && asked++ < MAXIMUM_REPORT_REQUESTS) {
+				step.emit(new TargetEffect.AskReport(vm, entry.address()));
+			}
+		}
+	}
+
+	private static PhaseStart phaseStart(GroupState state, GroupRecord record, Instant now) {
+		PhaseStart before = state.phaseSince().get(record.identity().name());
+		boolean same = before != null && before.identity().equals(record.identity())
+				&& before.phase() == record.phase();
+		return same ? before : new PhaseStart(record.identity(), record.phase(), now);
+	}
+
+	/**
+	 * Decides, if this node may: it holds the lease, its view holds its own last write,
+	 * and it knows the truth and the VM list.
+	 * @param step the step
+	 */
+	static void decide(GroupStep step) {
+		GroupState state = step.state();
+		Optional<Truth> truth = step.view().truth();
+		boolean ready = state.lease().isHeld(step.now()) && state.allocation().known().isPresent()
+				&& state.allocation().attempt().isEmpty() && step.view().fleet().listedAt().isPresent();
+		if (!ready || truth.isEmpty()) {
+			return;
+		}
+		Allocation allocation = state.effectiveAllocation().orElseThrow();
+		PlanContext context = context(step, truth.get());
+		String mark = step.view().self().incarnation() + "/" + state.nextCall();
+		Allocation next = GroupPlanner.plan(allocation, context, state.lease().fencingNumber(), mark);
+		if (next != state.allocation().known().get()) {
+			AllocationCalls.write(step, next);
+			return;
+		}
+		EngineCommandDispatcher.dispatch(step, EngineReconciler.requiredCommands(allocation, context));
+	}
+
+	private static PlanContext context(GroupStep step, Truth truth) {
+		GroupState state = step.state();
+		return new PlanContext(step.now(), step.view().fleet(), specifications(step.view(), truth), state.silences(),
+				state.phaseSince(), state.failedAt(), step.view().policy().observation(), step.policy());
+	}
+
+	private static List<GroupSpecification> specifications(NodeView view, Truth truth) {
+		List<GroupSpecification> specifications = new ArrayList<>();
+		for (ItemInForce set : truth.groupSets(view.self().dataCentre())) {
+			ModelGroupItem item = (ModelGroupItem) set.item();
+			Optional<ServiceItem> service = truth.service(item.service())
+				.filter((found) -> found.kind() == ServiceKind.MODEL);
+			long setBy = truth.setBy(ItemKey.of(ItemKind.SERVICE, item.service().value()));
+			service.ifPresent((found) -> specifications.add(GroupSpecification.of(set, found, setBy)));
+		}
+		return specifications;
+	}
+
+}
--- a/src/main/java/sycamorehill/logic/group/GroupPlanner.java
+++ b/src/main/java/sycamorehill/logic/group/GroupPlanner.java
@@ -13,7 +13,7 @@
 final class GroupPlanner {
 
 	private static final List<PlanPass> PASSES = List.of(new LoadPass(), new SurplusPass(), new RepairPass(),
-			new RollPass(), new DrainPass(), new FormPass(), new StandbyPass());
+			new RollingUpdatePass(), new DrainPass(), new FormationPass(), new StandbyPass());
 
 	private GroupPlanner() {
 	}
@@ -31,19 +31,20 @@
 		for (PlanPass pass : PASSES) {
 			pass.apply(draft, context);
 		}
-		return draft.finish(fencingNumber, writer);
+		return draft.build(fencingNumber, writer);
 	}
 
 	/**
 	 * The groups of a set that are to stay, the ones worth most first.
 	 * @param draft the allocation under change
 	 * @param context what the decision rests on
-	 * @param shape what the truth asks for
+	 * @param specification what the truth asks for
 	 * @return the groups, worth most first
 	 */
-	static List<GroupRecord> byWorth(AllocationDraft draft, PlanContext context, GroupShape shape) {
-		List<GroupRecord> records = new ArrayList<>(draft.groups(shape.set().name()));
-		records.sort(GroupWorth.order(context, shape));
+	static List<GroupRecord> rankedGroups(AllocationDraft draft, PlanContext context,
+			GroupSpecification specification) {
+		List<GroupRecord> records = new ArrayList<>(draft.groups(specification.set().name()));
+		records.sort(GroupRanking.comparator(context, specification));
 		return records;
 	}
 
--- a/src/main/java/sycamorehill/logic/group/GroupWorth.java
+++ b/src/main/java/sycamorehill/logic/group/GroupRanking.java
@@ -8,21 +8,21 @@
 /**
  * Which groups of a set are given up last: whole ones of the right shape.
  */
-final class GroupWorth {
+final class GroupRanking {
 
-	private GroupWorth() {
+	private GroupRanking() {
 	}
 
-	static Comparator<GroupRecord> order(PlanContext context, GroupShape shape) {
+	static Comparator<GroupRecord> comparator(PlanContext context, GroupSpecification specification) {
 		return Comparator.comparing((GroupRecord record) -> record.phase() == GroupPhase.DRAINING)
-			.thenComparing((record) -> !serves(record, context))
-			.thenComparing((record) -> !shape.fits(record))
+			.thenComparing((record) -> !isServing(record, context))
+			.thenComparing((record) -> !specification.matches(record))
 			.thenComparing((record) -> record.phase() == GroupPhase.FAILED)
 			.thenComparing((record) -> record.identity().name());
 	}
 
-	static boolean serves(GroupRecord record, PlanContext context) {
-		return record.phase() == GroupPhase.SERVING && context.whole(record);
+	static boolean isServing(GroupRecord record, PlanContext context) {
+		return record.phase() == GroupPhase.SERVING && context.isComplete(record);
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/group/GroupReducer.java
+++ b/src/main/java/sycamorehill/logic/group/GroupReducer.java
@@ -35,66 +35,67 @@
 	@Override
 	public Step<GroupState> reduce(GroupState state, Instant now, Event event, NodeView view) {
 		if (event instanceof NodeEvent.Ticked) {
-			return tick(GroupTurn.of(state, now, view));
+			return tick(GroupStep.of(state, now, view));
 		}
 		if (event instanceof PlatformEvent.Answered answered && answered.call().owner() == CallOwner.GROUPS) {
-			return answered(GroupTurn.of(state, now, view), answered);
+			return handlePlatformAnswer(GroupStep.of(state, now, view), answered);
 		}
 		if (event instanceof TargetEvent.OrderAnswered answered && answered.call().owner() == CallOwner.GROUPS) {
-			GroupTurn turn = GroupTurn.of(state, now, view);
-			OrderDesk.answered(turn, answered);
-			return turn.end();
+			GroupStep step = GroupStep.of(state, now, view);
+			EngineCommandDispatcher.handleAnswer(step, answered);
+			return step.result();
 		}
 		if (event instanceof PeerEvent.MessageReceived received && received.message() instanceof GroupsSent groups) {
-			GroupTurn turn = GroupTurn.of(state, now, view);
-			GroupSpread.received(turn, received.from(), groups);
-			return turn.end();
+			GroupStep step = GroupStep.of(state, now, view);
+			GroupPublisher.handleMessage(step, received.from(), groups);
+			return step.result();
 		}
-		if (event instanceof PeerEvent.MessageReceived received && received.message() instanceof PlatformSilent word) {
-			GroupTurn turn = GroupTurn.of(state, now, view);
-			OfflineController.heard(turn, received.from(), word);
-			return turn.end();
+		if (event instanceof PeerEvent.MessageReceived received
+				&& received.message() instanceof PlatformSilent message) {
+			GroupStep step = GroupStep.of(state, now, view);
+			OfflineController.handleMessage(step, received.from(), message);
+			return step.result();
 		}
 		if (event instanceof NodeEvent.StopRequested) {
-			GroupTurn turn = GroupTurn.of(state.stop(), now, view);
-			LeaseTurns.giveBack(turn);
-			return turn.end();
+			GroupStep step = GroupStep.of(state.withStopping(), now, view);
+			ControllerLeaseCalls.release(step);
+			return step.result();
 		}
 		return Step.of(state);
 	}
 
-	private static Step<GroupState> tick(GroupTurn turn) {
-		turn.dropGivenUp();
-		boolean steward = !turn.state().stopping() && Rendezvous.isSteward(turn.view());
-		LeaseTurns.tick(turn, steward);
-		AllocationTurns.tick(turn, steward);
-		OfflineController.tick(turn, steward);
-		Controller.tick(turn);
-		GroupSpread.tick(turn, steward);
-		return turn.end();
+	private static Step<GroupState> tick(GroupStep step) {
+		step.dropTimedOutCalls();
+		boolean steward = !step.state().stopping() && Rendezvous.isSteward(step.view());
+		ControllerLeaseCalls.tick(step, steward);
+		AllocationCalls.tick(step, steward);
+		OfflineController.tick(step, steward);
+		GroupController.tick(step);
+		GroupPublisher.tick(step, steward);
+		return step.result();
 	}
 
-	private static Step<GroupState> answered(GroupTurn turn, PlatformEvent.Answered answered) {
-		PendingCall call = turn.state().pending().get(answered.call().number());
+	private static Step<GroupState> handlePlatformAnswer(GroupStep step, PlatformEvent.Answered answered) {
+		PendingCall call = step.state().pending().get(answered.call().number());
 		if (call == null) {
-			return turn.end();
+			return step.result();
 		}
-		turn.change(turn.state().withPending(turn.state().pending().minus(call.number())));
+		step.update(step.state().withPending(step.state().pending().minus(call.number())));
 		switch (call.purpose()) {
-			case READ_LEASE -> LeaseTurns.read(turn, answered);
-			case WRITE_LEASE -> LeaseTurns.written(turn, answered);
-			case READ_ALLOCATION -> AllocationTurns.read(turn, answered);
-			case WRITE_ALLOCATION -> AllocationTurns.written(turn, answered);
+			case READ_LEASE -> ControllerLeaseCalls.handleRead(step, answered);
+			case WRITE_LEASE -> ControllerLeaseCalls.handleWrite(step, answered);
+			case READ_ALLOCATION -> AllocationCalls.handleRead(step, answered);
+			case WRITE_ALLOCATION -> AllocationCalls.handleWrite(step, answered);
 		}
 		boolean allocation = call.purpose() == PendingCall.Purpose.READ_ALLOCATION
 				|| call.purpose() == PendingCall.Purpose.WRITE_ALLOCATION;
-		if (allocation && isConfirmed(answered.answer())) {
-			Controller.decide(turn);
+		if (allocation && confirmsAllocation(answered.answer())) {
+			GroupController.decide(step);
 		}
-		return turn.end();
+		return step.result();
 	}
 
-	private static boolean isConfirmed(PlatformAnswer answer) {
+	private static boolean confirmsAllocation(PlatformAnswer answer) {
 		return answer instanceof PlatformAnswer.Found || answer instanceof PlatformAnswer.Missing
 				|| answer instanceof PlatformAnswer.Written;
 	}
--- a/src/main/java/sycamorehill/logic/group/GroupShape.java
+++ b/src/main/java/sycamorehill/logic/group/GroupSpecification.java
@@ -15,18 +15,18 @@
  * @param modelVersion its version
  * @param ticket the later of the tickets that set the set and the service
  */
-record GroupShape(ModelGroupItem set, ServiceName service, String model, String modelVersion, long ticket) {
+record GroupSpecification(ModelGroupItem set, ServiceName service, String model, String modelVersion, long ticket) {
 
-	static GroupShape of(ItemInForce set, ServiceItem service, long serviceSetBy) {
-		return new GroupShape((ModelGroupItem) set.item(), service.name(), service.model(), service.modelVersion(),
-				Math.max(set.setBy(), serviceSetBy));
+	static GroupSpecification of(ItemInForce set, ServiceItem service, long serviceSetBy) {
+		return new GroupSpecification((ModelGroupItem) set.item(), service.name(), service.model(),
+				service.modelVersion(), Math.max(set.setBy(), serviceSetBy));
 	}
 
 	int members() {
 		return this.set.membersPerGroup();
 	}
 
-	boolean fits(GroupRecord record) {
+	boolean matches(GroupRecord record) {
 		return record.service().equals(this.service) && record.model().equals(this.model)
 				&& record.modelVersion().equals(this.modelVersion) && record.members().size() == members();
 	}
--- a/src/main/java/sycamorehill/logic/group/GroupState.java
+++ b/src/main/java/sycamorehill/logic/group/GroupState.java
@@ -28,9 +28,9 @@
  * @param stopping whether the node stops and takes no duties
  */
 public record GroupState(LeaseState lease, AllocationState allocation, PMap<Long, PendingCall> pending,
-		PMap<VmName, OrderTrack> orders, PMap<GroupName, PhaseSince> phaseSince, Silences silences,
-		PMap<VmName, Instant> failedAt, SpreadState spread, OfflineState offline, long nextCall, Instant nextDecisionAt,
-		boolean stopping) {
+		PMap<VmName, LastEngineCommand> orders, PMap<GroupName, PhaseStart> phaseSince, VmSilences silences,
+		PMap<VmName, Instant> failedAt, GroupPublicationState spread, OfflineState offline, long nextCall,
+		Instant nextDecisionAt, boolean stopping) {
 
 	/**
 	 * The state of a fresh node.
@@ -38,8 +38,8 @@
 	 */
 	public static GroupState initial() {
 		return new GroupState(LeaseState.initial(), AllocationState.initial(), HashTreePMap.empty(),
-				HashTreePMap.empty(), HashTreePMap.empty(), Silences.none(), HashTreePMap.empty(),
-				SpreadState.initial(), OfflineState.initial(), 1, Instant.MIN, false);
+				HashTreePMap.empty(), HashTreePMap.empty(), VmSilences.none(), HashTreePMap.empty(),
+				GroupPublicationState.initial(), OfflineState.initial(), 1, Instant.MIN, false);
 	}
 
 	GroupState withLease(LeaseState changed) {
@@ -57,18 +57,18 @@
 				this.failedAt, this.spread, this.offline, this.nextCall, this.nextDecisionAt, this.stopping);
 	}
 
-	GroupState withOrders(PMap<VmName, OrderTrack> changed) {
+	GroupState withOrders(PMap<VmName, LastEngineCommand> changed) {
 		return new GroupState(this.lease, this.allocation, this.pending, changed, this.phaseSince, this.silences,
 				this.failedAt, this.spread, this.offline, this.nextCall, this.nextDecisionAt, this.stopping);
 	}
 
-	GroupState withWatch(PMap<GroupName, PhaseSince> changedPhases, Silences changedSilences,
+	GroupState withObservations(PMap<GroupName, PhaseStart> changedPhases, VmSilences changedSilences,
 			PMap<VmName, Instant> changedFailures) {
 		return new GroupState(this.lease, this.allocation, this.pending, this.orders, changedPhases, changedSilences,
 				changedFailures, this.spread, this.offline, this.nextCall, this.nextDecisionAt, this.stopping);
 	}
 
-	GroupState withSpread(SpreadState changed) {
+	GroupState withPublication(GroupPublicationState changed) {
 		return new GroupState(this.lease, this.allocation, this.pending, this.orders, this.phaseSince, this.silences,
 				this.failedAt, changed, this.offline, this.nextCall, this.nextDecisionAt, this.stopping);
 	}
@@ -82,7 +82,7 @@
 	 * The allocation with what was repaired while the platform was silent.
 	 * @return the allocation, empty before the first read
 	 */
-	Optional<Allocation> effective() {
+	Optional<Allocation> effectiveAllocation() {
 		return this.allocation.known().map((known) -> this.offline.applyTo(known, this.allocation.version()));
 	}
 
@@ -96,7 +96,7 @@
 				this.failedAt, this.spread, this.offline, this.nextCall, changed, this.stopping);
 	}
 
-	GroupState stop() {
+	GroupState withStopping() {
 		return new GroupState(this.lease, this.allocation, this.pending, this.orders, this.phaseSince, this.silences,
 				this.failedAt, this.spread, this.offline, this.nextCall, this.nextDecisionAt, true);
 	}
--- a/src/main/java/sycamorehill/logic/group/GroupTurn.java
+++ b/src/main/java/sycamorehill/logic/group/GroupStep.java
@@ -19,7 +19,7 @@
 /**
  * One step under way: the state so far and the effects so far.
  */
-final class GroupTurn {
+final class GroupStep {
 
 	private final List<Effect> effects = new ArrayList<>();
 
@@ -29,14 +29,14 @@
 
 	private GroupState state;
 
-	private GroupTurn(GroupState state, Instant now, NodeView view) {
+	private GroupStep(GroupState state, Instant now, NodeView view) {
 		this.state = state;
 		this.now = now;
 		this.view = view;
 	}
 
-	static GroupTurn of(GroupState state, Instant now, NodeView view) {
-		return new GroupTurn(state, now, view);
+	static GroupStep of(GroupState state, Instant now, NodeView view) {
+		return new GroupStep(state, now, view);
 	}
 
 	GroupState state() {
@@ -55,7 +55,7 @@
 		return this.view.policy().group();
 	}
 
-	void change(GroupState changed) {
+	void update(GroupState changed) {
 		this.state = changed;
 	}
 
@@ -67,7 +67,7 @@
 		emit(new NodeEffect.WriteLog(LogLine.of(event, detail)));
 	}
 
-	long nextCall() {
+	long nextCallNumber() {
 		long number = this.state.nextCall();
 		this.state = this.state.withNextCall(number + 1);
 		return number;
@@ -79,11 +79,11 @@
 	 * @param request the call
 	 * @return whether it was made
 	 */
-	boolean call(PendingCall.Purpose purpose, PlatformRequest request) {
+	boolean callPlatform(PendingCall.Purpose purpose, PlatformRequest request) {
 		if (this.state.isPending(purpose)) {
 			return false;
 		}
-		long number = nextCall();
+		long number = nextCallNumber();
 		Instant givenUpAt = this.now.plus(policy().callTimeout().multipliedBy(2));
 		this.state = this.state
 			.withPending(this.state.pending().plus(number, new PendingCall(number, purpose, givenUpAt)));
@@ -93,7 +93,7 @@
 
 	// Failure: an answer never comes, and a call of its purpose would be under way for
 	// ever.
-	void dropGivenUp() {
+	void dropTimedOutCalls() {
 		for (PendingCall call : this.state.pending().values()) {
 			if (!call.givenUpAt().isAfter(this.now)) {
 				this.state = this.state.withPending(this.state.pending().minus(call.number()));
@@ -101,7 +101,7 @@
 		}
 	}
 
-	Step<GroupState> end() {
+	Step<GroupState> result() {
 		return Step.of(this.state, List.copyOf(this.effects));
 	}
 
--- a/src/main/java/sycamorehill/logic/group/OrderTrack.java
+++ b/src/main/java/sycamorehill/logic/group/LastEngineCommand.java
@@ -13,6 +13,6 @@
  * @param tries how often the same order was given
  * @param notBefore when it may be given again
  */
-public record OrderTrack(long call, EngineOrder order, Instant sentAt, int tries, Instant notBefore) {
+public record LastEngineCommand(long call, EngineOrder order, Instant sentAt, int tries, Instant notBefore) {
 
 }
--- a/src/main/java/sycamorehill/logic/group/LeaseState.java
+++ b/src/main/java/sycamorehill/logic/group/LeaseState.java
@@ -35,7 +35,7 @@
 	 * @param now own monotonic time
 	 * @return whether this node is the controller
 	 */
-	public boolean holds(Instant now) {
+	public boolean isHeld(Instant now) {
 		return now.isBefore(this.heldUntil);
 	}
 
@@ -73,7 +73,7 @@
 				this.readAt, this.readFirst);
 	}
 
-	LeaseState mustRead() {
+	LeaseState withReadFirst() {
 		return new LeaseState(this.seen, this.version, this.seenSince, this.attempt, this.heldUntil, this.nextAt,
 				this.readAt, true);
 	}
--- a/src/main/java/sycamorehill/logic/group/LoadPass.java
+++ b/src/main/java/sycamorehill/logic/group/LoadPass.java
@@ -15,31 +15,34 @@
  */
 final class LoadPass implements GroupPlanner.PlanPass {
 
-	private static final int MOST_DOUBLINGS = 16;
+	private static final int MAXIMUM_DOUBLINGS = 16;
 
 	@Override
 	public void apply(AllocationDraft draft, PlanContext context) {
 		for (GroupRecord record : draft.groups()) {
 			if (record.phase() == GroupPhase.FORMING) {
-				endOfLoad(draft, context, record);
+				completeLoad(draft, context, record);
 			}
 		}
-		for (GroupShape shape : context.shapes()) {
-			for (GroupRecord record : draft.groups(shape.set().name())) {
-				if (record.phase() == GroupPhase.FAILED && mayRetry(draft, context, shape, record)) {
-					List<VmName> members = nextMembers(draft, context, shape, record);
-					draft.form(record.identity().name(), members, shape, record.reason(), record.failures());
+		for (GroupSpecification specification : context.specifications()) {
+			for (GroupRecord record : draft.groups(specification.set().name())) {
+				if (record.phase() == GroupPhase.FAILED && mayRetry(draft, context, specification, record)) {
+					List<VmName> members = selectMembers(draft, context, specification, record);
+					draft.form(record.identity().name(), members, specification, record.reason(), record.failures());
 				}
 			}
 		}
 	}
 
-	private static void endOfLoad(AllocationDraft draft, PlanContext context, GroupRecord record) {
-		if (context.whole(record)) {
+	private static void completeLoad(AllocationDraft draft, PlanContext context, GroupRecord record) {
+		if (context.isComplete(record)) {
 			draft.replace(record.withPhase(GroupPhase.SERVING, "all members ready"));
 			return;
 		}
-		List<VmName> failed = record.members().stream().filter((vm) -> context.failed(vm, record.identity())).toList();
+		List<VmName> failed = record.members()
+			.stream()
+			.filter((vm) -> context.hasFailed(vm, record.identity()))
+			.toList();
 		if (!failed.isEmpty()) {
 			String reason = "load of " + record.model() + " " + record.modelVersion() + " failed on " + failed
 					+ ", try " + (record.failures() + 1);
@@ -51,39 +54,41 @@
 	// Failure: a model version that can't be loaded is loaded without end and takes the
 	// weight store from groups that could serve. The waits double; and while groups of
 	// the version before still serve, a change stops after a few failures.
-	private static boolean mayRetry(AllocationDraft draft, PlanContext context, GroupShape shape, GroupRecord record) {
-		if (!shape.fits(record)) {
+	private static boolean mayRetry(AllocationDraft draft, PlanContext context, GroupSpecification specification,
+			GroupRecord record) {
+		if (!specification.matches(record)) {
 			return true;
 		}
 		GroupPolicy policy = context.policy();
-		boolean change = draft.groups(shape.set().name())
+		boolean change = draft.groups(specification.set().name())
 			.stream()
-			.anyMatch((other) -> other.phase() == GroupPhase.SERVING && !shape.fits(other));
+			.anyMatch((other) -> other.phase() == GroupPhase.SERVING && !specification.matches(other));
 		if (change && record.failures() >= policy.failedLoadsBeforeStop()) {
 			return false;
 		}
-		Duration wait = policy.orderRetry().multipliedBy(1L << Math.min(record.failures(), MOST_DOUBLINGS));
+		Duration wait = policy.orderRetry().multipliedBy(1L << Math.min(record.failures(), MAXIMUM_DOUBLINGS));
 		Duration bounded = (wait.compareTo(policy.orderRetryLongest()) < 0) ? wait : policy.orderRetryLongest();
-		return context.inPhase(record).compareTo(bounded) >= 0;
+		return context.timeInPhase(record).compareTo(bounded) >= 0;
 	}
 
-	private static List<VmName> nextMembers(AllocationDraft draft, PlanContext context, GroupShape shape,
-			GroupRecord record) {
+	private static List<VmName> selectMembers(AllocationDraft draft, PlanContext context,
+			GroupSpecification specification, GroupRecord record) {
 		List<VmName> kept = record.members()
 			.stream()
-			.filter((vm) -> context.usable(vm) && !context.failedLately(vm))
-			.limit(shape.members())
+			.filter((vm) -> context.isUsable(vm) && !context.failedRecently(vm))
+			.limit(specification.members())
 			.toList();
 		List<VmName> members = new ArrayList<>(kept);
-		MemberChoice.replacements(context, draft, shape, kept).ifPresent(members::addAll);
-		if (members.size() == shape.members()) {
+		MemberSelector.selectReplacements(context, draft, specification, kept).ifPresent(members::addAll);
+		if (members.size() == specification.members()) {
 			return members;
 		}
-		return MemberChoice.whole(context, draft, shape, usable(context, record)).orElse(record.members());
+		return MemberSelector.selectMembers(context, draft, specification, usableMembers(context, record))
+			.orElse(record.members());
 	}
 
-	private static List<VmName> usable(PlanContext context, GroupRecord record) {
-		return record.members().stream().filter(context::usable).toList();
+	private static List<VmName> usableMembers(PlanContext context, GroupRecord record) {
+		return record.members().stream().filter(context::isUsable).toList();
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/group/MemberChoice.java
+++ b/src/main/java/sycamorehill/logic/group/MemberSelector.java
@@ -15,9 +15,9 @@
 /**
  * Chooses the VMs of a group: all of one fabric domain, unless the set allows otherwise.
  */
-final class MemberChoice {
+final class MemberSelector {
 
-	private MemberChoice() {
+	private MemberSelector() {
 	}
 
 	/**
@@ -26,67 +26,69 @@
 	 * large groups still fit elsewhere.
 	 * @param context what the decision rests on
 	 * @param draft the allocation under change
-	 * @param shape what the group is to be
+	 * @param specification what the group is to be
 	 * @return the members, empty if the group does not fit
 	 */
-	static Optional<List<VmName>> whole(PlanContext context, AllocationDraft draft, GroupShape shape) {
-		return whole(context, draft, shape, List.of());
+	static Optional<List<VmName>> selectMembers(PlanContext context, AllocationDraft draft,
+			GroupSpecification specification) {
+		return selectMembers(context, draft, specification, List.of());
 	}
 
 	/**
 	 * Chooses the members of a group that is built anew and gives its own VMs back.
 	 * @param context what the decision rests on
 	 * @param draft the allocation under change
-	 * @param shape what the group is to be
+	 * @param specification what the group is to be
 	 * @param own the group's own VMs that are still good
 	 * @return the members, empty if the group does not fit
 	 */
-	static Optional<List<VmName>> whole(PlanContext context, AllocationDraft draft, GroupShape shape,
-			List<VmName> own) {
+	static Optional<List<VmName>> selectMembers(PlanContext context, AllocationDraft draft,
+			GroupSpecification specification, List<VmName> own) {
 		List<VmName> candidates = new ArrayList<>(own);
-		candidates.addAll(standbys(context, draft, shape.set().name()));
-		candidates.addAll(context.free(draft));
+		candidates.addAll(usableStandbys(context, draft, specification.set().name()));
+		candidates.addAll(context.freeVms(draft));
 		Map<FabricDomain, List<VmName>> byDomain = byDomain(context, candidates);
-		Map<FabricDomain, Integer> groups = groupsByDomain(context, draft, shape.set().name());
-		Optional<List<VmName>> inOne = byDomain.entrySet()
+		Map<FabricDomain, Integer> groups = countGroupsByDomain(context, draft, specification.set().name());
+		Optional<List<VmName>> inOneDomain = byDomain.entrySet()
 			.stream()
-			.filter((entry) -> entry.getValue().size() >= shape.members())
+			.filter((entry) -> entry.getValue().size() >= specification.members())
 			.min(Comparator
 				.comparingInt((Map.Entry<FabricDomain, List<VmName>> entry) -> groups.getOrDefault(entry.getKey(), 0))
 				.thenComparingInt((entry) -> entry.getValue().size()))
-			.map((entry) -> entry.getValue().subList(0, shape.members()));
-		if (inOne.isPresent() || !shape.set().mayCrossDomains() || candidates.size() < shape.members()) {
-			return inOne;
+			.map((entry) -> entry.getValue().subList(0, specification.members()));
+		if (inOneDomain.isPresent() || !specification.set().mayCrossDomains()
+				|| candidates.size() < specification.members()) {
+			return inOneDomain;
 		}
-		return Optional.of(acrossDomains(byDomain, shape.members()));
+		return Optional.of(selectAcrossDomains(byDomain, specification.members()));
 	}
 
 	/**
 	 * Chooses VMs in place of lost members, from the domain of the others.
 	 * @param context what the decision rests on
 	 * @param draft the allocation under change
-	 * @param shape what the group is to be
+	 * @param specification what the group is to be
 	 * @param kept the members that stay
 	 * @return the replacements, empty if there are too few
 	 */
-	static Optional<List<VmName>> replacements(PlanContext context, AllocationDraft draft, GroupShape shape,
-			List<VmName> kept) {
-		int missing = shape.members() - kept.size();
-		List<VmName> candidates = new ArrayList<>(standbys(context, draft, shape.set().name()));
-		candidates.addAll(context.free(draft));
+	static Optional<List<VmName>> selectReplacements(PlanContext context, AllocationDraft draft,
+			GroupSpecification specification, List<VmName> kept) {
+		int missing = specification.members() - kept.size();
+		List<VmName> candidates = new ArrayList<>(usableStandbys(context, draft, specification.set().name()));
+		candidates.addAll(context.freeVms(draft));
 		List<Optional<FabricDomain>> domains = kept.stream().map(context::domain).distinct().toList();
-		List<VmName> near = candidates.stream()
+		List<VmName> sameDomain = candidates.stream()
 			.filter((vm) -> domains.contains(context.domain(vm)))
 			.limit(missing)
 			.toList();
-		if (near.size() == missing && !kept.isEmpty()) {
-			return Optional.of(near);
+		if (sameDomain.size() == missing && !kept.isEmpty()) {
+			return Optional.of(sameDomain);
 		}
 		return Optional.empty();
 	}
 
-	private static List<VmName> standbys(PlanContext context, AllocationDraft draft, GroupSetName set) {
-		return draft.standbys(set).stream().filter(context::usable).toList();
+	private static List<VmName> usableStandbys(PlanContext context, AllocationDraft draft, GroupSetName set) {
+		return draft.standbys(set).stream().filter(context::isUsable).toList();
 	}
 
 	private static Map<FabricDomain, List<VmName>> byDomain(PlanContext context, List<VmName> vms) {
@@ -98,7 +100,7 @@
 		return byDomain;
 	}
 
-	private static Map<FabricDomain, Integer> groupsByDomain(PlanContext context, AllocationDraft draft,
+	private static Map<FabricDomain, Integer> countGroupsByDomain(PlanContext context, AllocationDraft draft,
 			GroupSetName set) {
 		Map<FabricDomain, Integer> groups = new TreeMap<>();
 		for (GroupRecord record : draft.groups(set)) {
@@ -108,7 +110,7 @@
 	}
 
 	// The fewest domains: each further one makes the group slower.
-	private static List<VmName> acrossDomains(Map<FabricDomain, List<VmName>> byDomain, int members) {
+	private static List<VmName> selectAcrossDomains(Map<FabricDomain, List<VmName>> byDomain, int members) {
 		List<VmName> chosen = new ArrayList<>();
 		byDomain.values()
 			.stream()
--- a/src/main/java/sycamorehill/logic/group/OfflineController.java
+++ b/src/main/java/sycamorehill/logic/group/OfflineController.java
@@ -24,37 +24,39 @@
  */
 final class OfflineController {
 
-	private static final Duration SAID_AFTER = Duration.ofSeconds(5);
+	private static final Duration REPORT_AFTER = Duration.ofSeconds(5);
 
-	private static final Duration SILENT_AFTER = Duration.ofSeconds(10);
+	private static final Duration REPAIR_AFTER = Duration.ofSeconds(10);
 
-	private static final Duration WORD_INTERVAL = Duration.ofSeconds(1);
+	private static final Duration REPORT_INTERVAL = Duration.ofSeconds(1);
 
-	private static final Duration WORD_BOUND = Duration.ofSeconds(3);
+	private static final Duration REPORT_VALIDITY = Duration.ofSeconds(3);
 
 	private OfflineController() {
 	}
 
 	/**
 	 * Tells the other stewards when the platform is silent.
-	 * @param turn the step
+	 * @param step the step
 	 * @param steward whether this node is a steward
 	 */
-	static void tick(GroupTurn turn, boolean steward) {
-		AllocationState allocation = turn.state().allocation();
-		boolean silent = steward && allocation.known().isPresent() && silentFor(turn, SAID_AFTER);
-		if (!silent || turn.now().isBefore(turn.state().offline().nextWordAt())) {
+	static void tick(GroupStep step, boolean steward) {
+		AllocationState allocation = step.state().allocation();
+		boolean isSilent = steward && allocation.known().isPresent() && isPlatformSilentFor(step, REPORT_AFTER);
+		if (!isSilent || step.now().isBefore(step.state().offline().nextWordAt())) {
 			return;
 		}
-		turn.change(turn.state().withOffline(turn.state().offline().withNextWordAt(turn.now().plus(WORD_INTERVAL))));
-		for (NodeIdentity other : others(turn)) {
-			turn.emit(new PeerEffect.Send(other, new PlatformSilent(allocation.version())));
+		step.update(
+				step.state().withOffline(step.state().offline().withNextReportAt(step.now().plus(REPORT_INTERVAL))));
+		for (NodeIdentity other : otherStewards(step)) {
+			step.emit(new PeerEffect.Send(other, new PlatformSilent(allocation.version())));
 		}
 	}
 
-	static void heard(GroupTurn turn, NodeIdentity from, PlatformSilent word) {
-		if (word.allocationVersion() <= turn.state().allocation().version()) {
-			turn.change(turn.state().withOffline(turn.state().offline().heard(from.incarnation(), turn.now())));
+	static void handleMessage(GroupStep step, NodeIdentity from, PlatformSilent message) {
+		if (message.allocationVersion() <= step.state().allocation().version()) {
+			step.update(
+					step.state().withOffline(step.state().offline().withSilentPeer(from.incarnation(), step.now())));
 		}
 	}
 
@@ -63,20 +65,20 @@
 	// out of the other's group. So this node repairs only if it held the lease last,
 	// and the other stewards, of which there must be one, hear nothing of the
 	// platform either.
-	static boolean mayAct(GroupTurn turn) {
-		GroupState state = turn.state();
+	static boolean mayRepair(GroupStep step) {
+		GroupState state = step.state();
 		Optional<Allocation> known = state.allocation().known();
 		boolean heldLast = state.lease()
 			.seen()
 			.map(ControllerLease::holder)
-			.filter(turn.view().self().incarnation()::equals)
+			.filter(step.view().self().incarnation()::equals)
 			.isPresent();
 		if (!heldLast || known.isEmpty() || known.get().fencingNumber() != state.lease().fencingNumber()
-				|| !silentFor(turn, SILENT_AFTER)) {
+				|| !isPlatformSilentFor(step, REPAIR_AFTER)) {
 			return false;
 		}
-		Instant bound = turn.now().minus(WORD_BOUND);
-		List<NodeIdentity> others = others(turn);
+		Instant bound = step.now().minus(REPORT_VALIDITY);
+		List<NodeIdentity> others = otherStewards(step);
 		return !others.isEmpty() && others.stream()
 			.allMatch((other) -> state.offline()
 				.silentPeers()
@@ -84,64 +86,64 @@
 				.isAfter(bound));
 	}
 
-	private static boolean silentFor(GroupTurn turn, Duration time) {
-		return turn.state().allocation().confirmedAt().isBefore(turn.now().minus(time));
+	private static boolean isPlatformSilentFor(GroupStep step, Duration time) {
+		return step.state().allocation().confirmedAt().isBefore(step.now().minus(time));
 	}
 
-	private static List<NodeIdentity> others(GroupTurn turn) {
-		return Rendezvous.stewards(turn.view(), turn.view().self().dataCentre())
+	private static List<NodeIdentity> otherStewards(GroupStep step) {
+		return Rendezvous.stewards(step.view(), step.view().self().dataCentre())
 			.stream()
-			.filter((node) -> !node.equals(turn.view().self()))
+			.filter((node) -> !node.equals(step.view().self()))
 			.toList();
 	}
 
 	/**
 	 * Repairs what standbys can repair, and sees it through.
-	 * @param turn the step
+	 * @param step the step
 	 * @param context what the decision rests on
 	 */
-	static void act(GroupTurn turn, PlanContext context) {
-		Allocation allocation = turn.state().effective().orElseThrow();
+	static void repairGroups(GroupStep step, PlanContext context) {
+		Allocation allocation = step.state().effectiveAllocation().orElseThrow();
 		for (GroupRecord record : allocation.groups().values()) {
-			boolean offline = record.identity().generation() >= OfflineState.FIRST_GENERATION;
-			if (offline && record.phase() == GroupPhase.FORMING && context.whole(record)) {
-				repaired(turn, record.withPhase(GroupPhase.SERVING, record.reason()), false);
+			boolean offline = record.identity().generation() >= OfflineState.FIRST_OFFLINE_GENERATION;
+			if (offline && record.phase() == GroupPhase.FORMING && context.isComplete(record)) {
+				recordRepair(step, record.withPhase(GroupPhase.SERVING, record.reason()), false);
 			}
-			else if (record.phase() == GroupPhase.SERVING && record.members().stream().anyMatch(context::dead)) {
-				repair(turn, context, record);
+			else if (record.phase() == GroupPhase.SERVING && record.members().stream().anyMatch(context::isDead)) {
+				repair(step, context, record);
 			}
 		}
-		Allocation now = turn.state().effective().orElseThrow();
-		List<VmName> concerned = turn.state()
+		Allocation repaired = step.state().effectiveAllocation().orElseThrow();
+		List<VmName> repairedVms = step.state()
 			.offline()
-			.applied(turn.state().allocation().version())
+			.currentRepairs(step.state().allocation().version())
 			.stream()
 			.flatMap((record) -> record.members().stream())
 			.toList();
-		List<EngineOrders.Wish> wishes = EngineOrders.wishes(now, context)
+		List<EngineReconciler.RequiredCommand> commands = EngineReconciler.requiredCommands(repaired, context)
 			.stream()
-			.filter((wish) -> concerned.contains(wish.entry().name()))
+			.filter((required) -> repairedVms.contains(required.entry().name()))
 			.toList();
-		OrderDesk.giveUnread(turn, wishes);
+		EngineCommandDispatcher.dispatchWithoutRead(step, commands);
 	}
 
-	private static void repair(GroupTurn turn, PlanContext context, GroupRecord record) {
-		Allocation allocation = turn.state().effective().orElseThrow();
+	private static void repair(GroupStep step, PlanContext context, GroupRecord record) {
+		Allocation allocation = step.state().effectiveAllocation().orElseThrow();
 		List<VmName> members = new ArrayList<>(
-				record.members().stream().filter((vm) -> context.usable(vm) && !context.silent(vm)).toList());
+				record.members().stream().filter((vm) -> context.isUsable(vm) && !context.isSilent(vm)).toList());
 		allocation.standbys()
 			.entrySet()
 			.stream()
 			.filter((entry) -> entry.getValue().equals(record.identity().name().set()))
 			.map((entry) -> entry.getKey())
-			.filter((vm) -> context.usable(vm) && sharesDomain(context, record, vm))
+			.filter((vm) -> context.isUsable(vm) && sharesDomain(context, record, vm))
 			.limit(record.members().size() - members.size())
 			.forEach(members::add);
 		if (members.size() < record.members().size()) {
 			return;
 		}
-		long generation = OfflineState.generation(allocation.fencingNumber(), turn.state().offline().repairs());
-		repaired(turn,
+		long generation = OfflineState.generation(allocation.fencingNumber(), step.state().offline().repairs());
+		recordRepair(step,
 				new GroupRecord(GroupIdentity.of(record.identity().name(), generation), record.service(),
 						record.model(), record.modelVersion(), members, GroupPhase.FORMING, record.ticket(),
 						"repaired with a standby while the platform is silent", 0),
@@ -155,10 +157,10 @@
 			.allMatch((vm) -> context.domain(vm).equals(context.domain(standby)));
 	}
 
-	private static void repaired(GroupTurn turn, GroupRecord record, boolean isNew) {
-		turn.change(turn.state()
-			.withOffline(turn.state().offline().with(turn.state().allocation().version(), record, isNew)));
-		turn.log(LogEvent.GROUP_REPAIRED_OFFLINE, record.identity().name() + " " + record.phase());
+	private static void recordRepair(GroupStep step, GroupRecord record, boolean isNew) {
+		step.update(step.state()
+			.withOffline(step.state().offline().withRepair(step.state().allocation().version(), record, isNew)));
+		step.log(LogEvent.GROUP_REPAIRED_OFFLINE, record.identity().name() + " " + record.phase());
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/group/OfflineState.java
+++ b/src/main/java/sycamorehill/logic/group/OfflineState.java
@@ -32,7 +32,7 @@
 	 * Generations from here on were given while the platform was silent: the fencing
 	 * number of the controller and a counter, so that no other node gives the same.
 	 */
-	static final long FIRST_GENERATION = 1L << 50;
+	static final long FIRST_OFFLINE_GENERATION = 1L << 50;
 
 	private static final int COUNTER_BITS = 20;
 
@@ -41,7 +41,7 @@
 	}
 
 	static long generation(long fencingNumber, long repair) {
-		return FIRST_GENERATION + (fencingNumber << COUNTER_BITS) + repair;
+		return FIRST_OFFLINE_GENERATION + (fencingNumber << COUNTER_BITS) + repair;
 	}
 
 	/**
@@ -51,7 +51,7 @@
 	 * @return the fencing number
 	 */
 	static long fencingNumber(long generation) {
-		return (generation - FIRST_GENERATION) >> COUNTER_BITS;
+		return (generation - FIRST_OFFLINE_GENERATION) >> COUNTER_BITS;
 	}
 
 	/**
@@ -74,22 +74,22 @@
 				allocation.nextGeneration(), allocation.groups().plusAll(this.repaired), standbys);
 	}
 
-	Collection<GroupRecord> applied(long version) {
+	Collection<GroupRecord> currentRepairs(long version) {
 		return (version == this.baseVersion) ? this.repaired.values() : List.of();
 	}
 
-	OfflineState with(long version, GroupRecord record, boolean isNew) {
+	OfflineState withRepair(long version, GroupRecord record, boolean isNew) {
 		PMap<GroupName, GroupRecord> kept = (version == this.baseVersion) ? this.repaired : TreePMap.empty();
 		return new OfflineState(version, this.repairs + (isNew ? 1 : 0), kept.plus(record.identity().name(), record),
 				this.silentPeers, this.nextWordAt);
 	}
 
-	OfflineState heard(NodeIncarnation node, Instant now) {
+	OfflineState withSilentPeer(NodeIncarnation node, Instant now) {
 		return new OfflineState(this.baseVersion, this.repairs, this.repaired, this.silentPeers.plus(node, now),
 				this.nextWordAt);
 	}
 
-	OfflineState withNextWordAt(Instant changed) {
+	OfflineState withNextReportAt(Instant changed) {
 		return new OfflineState(this.baseVersion, this.repairs, this.repaired, this.silentPeers, changed);
 	}
 
--- a/src/main/java/sycamorehill/logic/group/PhaseSince.java
+++ b/src/main/java/sycamorehill/logic/group/PhaseStart.java
@@ -12,6 +12,6 @@
  * @param phase the phase
  * @param since own monotonic time
  */
-public record PhaseSince(GroupIdentity identity, GroupPhase phase, Instant since) {
+public record PhaseStart(GroupIdentity identity, GroupPhase phase, Instant since) {
 
 }
--- a/src/main/java/sycamorehill/logic/group/PlanContext.java
+++ b/src/main/java/sycamorehill/logic/group/PlanContext.java
@@ -28,34 +28,34 @@
  *
  * @param now own monotonic time
  * @param fleet what is known of the VMs
- * @param shapes what the truth asks for
+ * @param specifications what the truth asks for
  * @param silences VMs that have been silent while this node watched
  * @param phaseSince since when each group is in its phase
  * @param failedAt when a load last failed on a VM
  * @param observation the bounds of sight
  * @param policy the bounds of group control
  */
-record PlanContext(Instant now, Fleet fleet, List<GroupShape> shapes, Silences silences,
-		PMap<GroupName, PhaseSince> phaseSince, PMap<VmName, Instant> failedAt, ObservationPolicy observation,
+record PlanContext(Instant now, Fleet fleet, List<GroupSpecification> specifications, VmSilences silences,
+		PMap<GroupName, PhaseStart> phaseSince, PMap<VmName, Instant> failedAt, ObservationPolicy observation,
 		GroupPolicy policy) {
 
-	private static final Duration FAILED_VM_AVOIDED = Duration.ofMinutes(5);
+	private static final Duration FAILED_VM_AVOIDANCE = Duration.ofMinutes(5);
 
-	private static final Duration ROUTING_STOPS = Duration.ofSeconds(2);
+	private static final Duration ROUTING_STOP_DELAY = Duration.ofSeconds(2);
 
-	boolean ready(VmName vm, GroupIdentity identity) {
+	boolean isReady(VmName vm, GroupIdentity identity) {
 		return this.fleet.seenReady(vm, identity, this.now, this.observation.freshness());
 	}
 
-	boolean whole(GroupRecord record) {
-		return record.members().stream().allMatch((vm) -> ready(vm, record.identity()) && !this.fleet.isLeaving(vm));
+	boolean isComplete(GroupRecord record) {
+		return record.members().stream().allMatch((vm) -> isReady(vm, record.identity()) && !this.fleet.isLeaving(vm));
 	}
 
-	boolean dead(VmName vm) {
-		return this.silences.dead(vm, this.now, this.policy.repair());
+	boolean isDead(VmName vm) {
+		return this.silences.isDead(vm, this.now, this.policy.repair());
 	}
 
-	boolean silent(VmName vm) {
+	boolean isSilent(VmName vm) {
 		return this.silences.since().containsKey(vm);
 	}
 
@@ -65,11 +65,11 @@
 	 * @param record the group
 	 * @return whether the engine has lost the group
 	 */
-	boolean lost(VmName vm, GroupRecord record) {
+	boolean hasLeftGroup(VmName vm, GroupRecord record) {
 		return freshReport(vm).filter((report) -> !report.group().equals(Optional.of(record.identity()))).isPresent();
 	}
 
-	boolean failed(VmName vm, GroupIdentity identity) {
+	boolean hasFailed(VmName vm, GroupIdentity identity) {
 		return freshReport(vm)
 			.filter((report) -> report.state() == EngineState.FAILED && report.group().equals(Optional.of(identity)))
 			.isPresent();
@@ -80,7 +80,7 @@
 	 * @param vm the VM
 	 * @return whether it is listed as live, freshly seen and not said to leave
 	 */
-	boolean usable(VmName vm) {
+	boolean isUsable(VmName vm) {
 		VmEntry entry = this.fleet.entries().get(vm);
 		return entry != null && entry.status() == VmStatus.LIVE && !this.fleet.isLeaving(vm)
 				&& freshReport(vm).filter((report) -> !report.leaving()).isPresent();
@@ -91,21 +91,21 @@
 	 * @param draft the allocation under change
 	 * @return the VMs
 	 */
-	List<VmName> free(AllocationDraft draft) {
+	List<VmName> freeVms(AllocationDraft draft) {
 		List<VmName> free = new ArrayList<>();
 		List<VmName> avoided = new ArrayList<>();
 		for (VmName vm : new TreeSet<>(this.fleet.entries().keySet())) {
-			if (!draft.isClaimed(vm) && usable(vm)) {
-				(failedLately(vm) ? avoided : free).add(vm);
+			if (!draft.isClaimed(vm) && isUsable(vm)) {
+				(failedRecently(vm) ? avoided : free).add(vm);
 			}
 		}
 		free.addAll(avoided);
 		return free;
 	}
 
-	boolean failedLately(VmName vm) {
+	boolean failedRecently(VmName vm) {
 		Instant failure = this.failedAt.get(vm);
-		return failure != null && failure.plus(FAILED_VM_AVOIDED).isAfter(this.now);
+		return failure != null && failure.plus(FAILED_VM_AVOIDANCE).isAfter(this.now);
 	}
 
 	Optional<FabricDomain> domain(VmName vm) {
@@ -117,10 +117,11 @@
 	 * @param record the group
 	 * @return the time, zero if it was not seen so before
 	 */
-	Duration inPhase(GroupRecord record) {
-		PhaseSince since = this.phaseSince.get(record.identity().name());
-		boolean same = since != null && since.identity().equals(record.identity()) && since.phase() == record.phase();
-		return same ? Duration.between(since.since(), this.now) : Duration.ZERO;
+	Duration timeInPhase(GroupRecord record) {
+		PhaseStart phaseStart = this.phaseSince.get(record.identity().name());
+		boolean same = phaseStart != null && phaseStart.identity().equals(record.identity())
+				&& phaseStart.phase() == record.phase();
+		return same ? Duration.between(phaseStart.since(), this.now) : Duration.ZERO;
 	}
 
 	/**
@@ -130,15 +131,15 @@
 	 * @param record the draining group
 	 * @return whether its head counts no work
 	 */
-	boolean drained(GroupRecord record) {
-		Duration settle = this.observation.freshness().plus(ROUTING_STOPS);
-		Duration inPhase = inPhase(record);
-		if (inPhase.compareTo(settle) <= 0) {
+	boolean isDrained(GroupRecord record) {
+		Duration settlingTime = this.observation.freshness().plus(ROUTING_STOP_DELAY);
+		Duration inPhase = timeInPhase(record);
+		if (inPhase.compareTo(settlingTime) <= 0) {
 			return false;
 		}
-		Instant settled = this.now.minus(inPhase).plus(settle);
+		Instant settledAt = this.now.minus(inPhase).plus(settlingTime);
 		return this.fleet.sight(record.head())
-			.filter((sight) -> sight.seenAt().isAfter(settled))
+			.filter((seen) -> seen.seenAt().isAfter(settledAt))
 			.map(VmSight::report)
 			.filter((report) -> report.running() == 0 && report.queued() == 0)
 			.isPresent();
--- a/src/main/java/sycamorehill/logic/group/SpreadGroup.java
+++ b/src/main/java/sycamorehill/logic/group/PublishedGroup.java
@@ -18,10 +18,10 @@
  * @param seenAt own monotonic time of the oldest sight of a member
  * @param load the load of its head
  */
-public record SpreadGroup(GroupIdentity identity, Optional<GroupFacts> facts, Instant seenAt, Load load) {
+public record PublishedGroup(GroupIdentity identity, Optional<GroupFacts> facts, Instant seenAt, Load load) {
 
-	SpreadGroup withFacts(GroupFacts known) {
-		return new SpreadGroup(this.identity, Optional.of(known), this.seenAt, this.load);
+	PublishedGroup withFacts(GroupFacts known) {
+		return new PublishedGroup(this.identity, Optional.of(known), this.seenAt, this.load);
 	}
 
 	/**
@@ -29,7 +29,7 @@
 	 * @param head the head
 	 * @return the sight
 	 */
-	VmSight headSight(VmName head) {
+	VmSight headObservation(VmName head) {
 		VmReport report = new VmReport(head, "", EngineState.READY, Optional.of(this.identity), false,
 				this.load.running(), this.load.queued(), this.load.tokensPerSecond(), this.load.freeCacheTokens(), 0);
 		return new VmSight(report, this.seenAt);
--- a/src/main/java/sycamorehill/logic/group/SpreadGroups.java
+++ b/src/main/java/sycamorehill/logic/group/PublishedGroups.java
@@ -18,10 +18,10 @@
  * @param version version of the allocation behind them
  * @param groups the groups
  */
-public record SpreadGroups(long version, PMap<GroupName, SpreadGroup> groups) {
+public record PublishedGroups(long version, PMap<GroupName, PublishedGroup> groups) {
 
-	static SpreadGroups none() {
-		return new SpreadGroups(0, TreePMap.empty());
+	static PublishedGroups none() {
+		return new PublishedGroups(0, TreePMap.empty());
 	}
 
 	/**
@@ -34,44 +34,44 @@
 	 * @param sentAt own monotonic time of its sending
 	 * @return what is known now
 	 */
-	SpreadGroups received(GroupsSent message, Instant sentAt) {
+	PublishedGroups withMessage(GroupsSent message, Instant sentAt) {
 		if (message.allocationVersion() < this.version) {
 			return this;
 		}
 		boolean newer = message.allocationVersion() > this.version;
-		PMap<GroupName, SpreadGroup> known = newer ? TreePMap.empty() : this.groups;
+		PMap<GroupName, PublishedGroup> known = newer ? TreePMap.empty() : this.groups;
 		for (GroupSetSights set : message.sets()) {
 			for (int index = 0; index < set.ordinals().size(); index++) {
-				SpreadGroup group = group(set, index, sentAt);
-				known = known.plus(group.identity().name(), fresher(group));
+				PublishedGroup group = fromColumns(set, index, sentAt);
+				known = known.plus(group.identity().name(), mostRecent(group));
 			}
 		}
 		for (GroupFacts facts : message.facts()) {
-			SpreadGroup group = known.get(facts.identity().name());
+			PublishedGroup group = known.get(facts.identity().name());
 			if (group != null && group.identity().equals(facts.identity())) {
 				known = known.plus(facts.identity().name(), group.withFacts(facts));
 			}
 		}
-		return new SpreadGroups(message.allocationVersion(), known);
+		return new PublishedGroups(message.allocationVersion(), known);
 	}
 
-	private static SpreadGroup group(GroupSetSights set, int index, Instant sentAt) {
+	private static PublishedGroup fromColumns(GroupSetSights set, int index, Instant sentAt) {
 		GroupName name = GroupName.of(set.set(), set.ordinals().get(index));
-		SpreadGroup.Load load = new SpreadGroup.Load(set.running().get(index), set.queued().get(index),
+		PublishedGroup.Load load = new PublishedGroup.Load(set.running().get(index), set.queued().get(index),
 				set.tokensPerSecond().get(index), set.freeCacheTokens().get(index));
-		return new SpreadGroup(GroupIdentity.of(name, set.generations().get(index)), Optional.empty(),
+		return new PublishedGroup(GroupIdentity.of(name, set.generations().get(index)), Optional.empty(),
 				sentAt.minusMillis(set.ages().get(index)), load);
 	}
 
-	private SpreadGroup fresher(SpreadGroup group) {
-		SpreadGroup before = this.groups.get(group.identity().name());
+	private PublishedGroup mostRecent(PublishedGroup group) {
+		PublishedGroup before = this.groups.get(group.identity().name());
 		if (before == null || !before.identity().equals(group.identity())) {
 			return group;
 		}
 		if (before.seenAt().isAfter(group.seenAt())) {
 			return before;
 		}
-		return new SpreadGroup(group.identity(), before.facts(), group.seenAt(), group.load());
+		return new PublishedGroup(group.identity(), before.facts(), group.seenAt(), group.load());
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/group/RepairPass.java
+++ b/src/main/java/sycamorehill/logic/group/RepairPass.java
@@ -15,36 +15,37 @@
 
 	@Override
 	public void apply(AllocationDraft draft, PlanContext context) {
-		for (GroupShape shape : context.shapes()) {
+		for (GroupSpecification specification : context.specifications()) {
 			List<GroupRecord> broken = new ArrayList<>();
-			for (GroupRecord record : draft.groups(shape.set().name())) {
-				if (isDoomed(context, record)) {
-					doomed(draft, context, shape, record);
+			for (GroupRecord record : draft.groups(specification.set().name())) {
+				if (hasLeavingMember(context, record)) {
+					handleLeavingMember(draft, context, specification, record);
 				}
-				else if (isBroken(context, record) && !repair(draft, context, shape, record)) {
+				else if (isBroken(context, record) && !repair(draft, context, specification, record)) {
 					broken.add(record);
 				}
 			}
 			if (context.policy().repair().mergesBroken()) {
-				merge(draft, context, shape, broken);
+				mergeBroken(draft, context, specification, broken);
 			}
 		}
 	}
 
-	private static boolean isDoomed(PlanContext context, GroupRecord record) {
+	private static boolean hasLeavingMember(PlanContext context, GroupRecord record) {
 		return record.phase() != GroupPhase.DRAINING
-				&& record.members().stream().anyMatch((vm) -> context.fleet().isLeaving(vm) && !context.dead(vm));
+				&& record.members().stream().anyMatch((vm) -> context.fleet().isLeaving(vm) && !context.isDead(vm));
 	}
 
 	// A group with a leaving member gets no new work from now on. The missing group is
 	// built at once where it fits whole; else the group is built anew once it has
 	// drained.
-	private static void doomed(AllocationDraft draft, PlanContext context, GroupShape shape, GroupRecord record) {
+	private static void handleLeavingMember(AllocationDraft draft, PlanContext context,
+			GroupSpecification specification, GroupRecord record) {
 		List<VmName> leaving = record.members().stream().filter(context.fleet()::isLeaving).toList();
 		if (record.phase() == GroupPhase.SERVING) {
 			draft.replace(record.withPhase(GroupPhase.DRAINING, "leaving: " + leaving));
 		}
-		else if (!repair(draft, context, shape, record)) {
+		else if (!repair(draft, context, specification, record)) {
 			draft.remove(record.identity().name());
 		}
 	}
@@ -53,47 +54,50 @@
 		if (record.phase() == GroupPhase.DRAINING) {
 			return false;
 		}
-		if (record.members().stream().anyMatch(context::dead)) {
+		if (record.members().stream().anyMatch(context::isDead)) {
 			return true;
 		}
-		return record.phase() == GroupPhase.SERVING && failedInside(context, record);
+		return record.phase() == GroupPhase.SERVING && hasInternalFailure(context, record);
 	}
 
 	// An engine that restarted in no group, or a replica that says it has failed although
 	// all its members still answer.
-	private static boolean failedInside(PlanContext context, GroupRecord record) {
-		boolean wrong = record.members()
+	private static boolean hasInternalFailure(PlanContext context, GroupRecord record) {
+		boolean failed = record.members()
 			.stream()
-			.anyMatch((vm) -> context.lost(vm, record) || context.failed(vm, record.identity()));
-		return wrong && record.members().stream().noneMatch(context::silent);
+			.anyMatch((vm) -> context.hasLeftGroup(vm, record) || context.hasFailed(vm, record.identity()));
+		return failed && record.members().stream().noneMatch(context::isSilent);
 	}
 
-	private static boolean repair(AllocationDraft draft, PlanContext context, GroupShape shape, GroupRecord record) {
-		List<VmName> kept = kept(context, record).stream().limit(shape.members()).toList();
-		Optional<List<VmName>> members = MemberChoice.replacements(context, draft, shape, kept)
-			.map((replacements) -> joined(kept, replacements))
-			.or(() -> MemberChoice.whole(context, draft, shape, kept(context, record)));
-		members.ifPresent((chosen) -> draft.form(record.identity().name(), chosen, shape,
-				"in place of " + lost(record.members(), kept), record.failures()));
+	private static boolean repair(AllocationDraft draft, PlanContext context, GroupSpecification specification,
+			GroupRecord record) {
+		List<VmName> kept = healthyMembers(context, record).stream().limit(specification.members()).toList();
+		Optional<List<VmName>> members = MemberSelector.selectReplacements(context, draft, specification, kept)
+			.map((replacements) -> concatenate(kept, replacements))
+			.or(() -> MemberSelector.selectMembers(context, draft, specification, healthyMembers(context, record)));
+		members.ifPresent((chosen) -> draft.form(record.identity().name(), chosen, specification,
+				"in place of " + lostMembers(record.members(), kept), record.failures()));
 		return members.isPresent();
 	}
 
 	// Two groups that each lack a member, and nothing to repair them with: one gives its
 	// members to the other. Without a second one the group waits as it is: a member that
 	// was only paused comes back in its generation and the group serves again.
-	private static void merge(AllocationDraft draft, PlanContext context, GroupShape shape, List<GroupRecord> broken) {
-		List<GroupRecord> left = new ArrayList<>(broken);
-		left.sort((one, other) -> Integer.compare(kept(context, one).size(), kept(context, other).size()));
-		while (left.size() > 1) {
-			GroupRecord donor = left.remove(0);
-			GroupRecord taker = left.get(left.size() - 1);
-			if (!sharesDomain(context, donor, taker)
-					|| kept(context, donor).size() + kept(context, taker).size() < shape.members()) {
+	private static void mergeBroken(AllocationDraft draft, PlanContext context, GroupSpecification specification,
+			List<GroupRecord> broken) {
+		List<GroupRecord> unrepaired = new ArrayList<>(broken);
+		unrepaired.sort((one, other) -> Integer.compare(healthyMembers(context, one).size(),
+				healthyMembers(context, other).size()));
+		while (unrepaired.size() > 1) {
+			GroupRecord donor = unrepaired.remove(0);
+			GroupRecord recipient = unrepaired.get(unrepaired.size() - 1);
+			if (!sharesDomain(context, donor, recipient) || healthyMembers(context, donor).size()
+					+ healthyMembers(context, recipient).size() < specification.members()) {
 				continue;
 			}
 			draft.remove(donor.identity().name());
-			if (repair(draft, context, shape, taker)) {
-				left.remove(taker);
+			if (repair(draft, context, specification, recipient)) {
+				unrepaired.remove(recipient);
 			}
 			else {
 				draft.replace(donor);
@@ -102,22 +106,22 @@
 	}
 
 	private static boolean sharesDomain(PlanContext context, GroupRecord one, GroupRecord other) {
-		List<VmName> kept = kept(context, other);
-		return kept(context, one).stream()
+		List<VmName> kept = healthyMembers(context, other);
+		return healthyMembers(context, one).stream()
 			.anyMatch((vm) -> kept.stream().anyMatch((peer) -> context.domain(peer).equals(context.domain(vm))));
 	}
 
-	private static List<VmName> kept(PlanContext context, GroupRecord record) {
-		return record.members().stream().filter((vm) -> context.usable(vm) && !context.silent(vm)).toList();
+	private static List<VmName> healthyMembers(PlanContext context, GroupRecord record) {
+		return record.members().stream().filter((vm) -> context.isUsable(vm) && !context.isSilent(vm)).toList();
 	}
 
-	private static List<VmName> joined(List<VmName> kept, List<VmName> replacements) {
+	private static List<VmName> concatenate(List<VmName> kept, List<VmName> replacements) {
 		List<VmName> members = new ArrayList<>(kept);
 		members.addAll(replacements);
 		return members;
 	}
 
-	private static List<VmName> lost(List<VmName> members, List<VmName> kept) {
+	private static List<VmName> lostMembers(List<VmName> members, List<VmName> kept) {
 		return members.stream().filter((vm) -> !kept.contains(vm)).toList();
 	}
 
--- a/src/main/java/sycamorehill/logic/group/ServingGroups.java
+++ b/src/main/java/sycamorehill/logic/group/ServingGroups.java
@@ -42,13 +42,14 @@
 		Map<String, ServingTarget> targets = new TreeMap<>();
 		state.spread().groups().forEach((dataCentre, groups) -> {
 			if (!dataCentre.equals(own) || groups.version() >= state.allocation().version()) {
-				spread(dataCentre, groups, view, service, now).forEach((target) -> targets.put(key(target), target));
+				publishedTargets(dataCentre, groups, view, service, now)
+					.forEach((target) -> targets.put(key(target), target));
 			}
 		});
-		long spreadVersion = state.spread().groups().getOrDefault(own, SpreadGroups.none()).version();
-		if (state.allocation().version() >= spreadVersion) {
-			state.effective()
-				.ifPresent((allocation) -> own(allocation, view, service, now)
+		long publishedVersion = state.spread().groups().getOrDefault(own, PublishedGroups.none()).version();
+		if (state.allocation().version() >= publishedVersion) {
+			state.effectiveAllocation()
+				.ifPresent((allocation) -> localTargets(allocation, view, service, now)
 					.forEach((target) -> targets.put(key(target), target)));
 		}
 		return List.copyOf(targets.values());
@@ -58,23 +59,24 @@
 		return target.dataCentre() + "/" + target.name();
 	}
 
-	private static List<ServingTarget> own(Allocation allocation, NodeView view, ServiceName service, Instant now) {
+	private static List<ServingTarget> localTargets(Allocation allocation, NodeView view, ServiceName service,
+			Instant now) {
 		Duration freshness = view.policy().observation().freshness();
 		List<ServingTarget> targets = new ArrayList<>();
 		for (GroupRecord record : allocation.groups().values()) {
-			if (record.service().equals(service) && serves(record, view.fleet(), now, freshness)) {
+			if (record.service().equals(service) && isServing(record, view.fleet(), now, freshness)) {
 				target(allocation, view.fleet(), record).ifPresent(targets::add);
 			}
 		}
 		return targets;
 	}
 
-	private static List<ServingTarget> spread(DataCentreName dataCentre, SpreadGroups groups, NodeView view,
-			ServiceName service, Instant now) {
+	private static List<ServingTarget> publishedTargets(DataCentreName dataCentre, PublishedGroups groups,
+			NodeView view, ServiceName service, Instant now) {
 		Instant oldest = now.minus(view.policy().observation().freshness());
 		boolean own = dataCentre.equals(view.self().dataCentre());
 		List<ServingTarget> targets = new ArrayList<>();
-		for (SpreadGroup group : groups.groups().values()) {
+		for (PublishedGroup group : groups.groups().values()) {
 			Optional<GroupFacts> facts = group.facts().filter((known) -> known.service().equals(service));
 			if (facts.isEmpty() || group.seenAt().isBefore(oldest)) {
 				continue;
@@ -95,11 +97,11 @@
 	 * @param head the head
 	 * @return the sight, if the VM is the head of a known group
 	 */
-	public static Optional<VmSight> headSight(GroupState state, VmName head) {
-		for (SpreadGroups groups : state.spread().groups().values()) {
-			for (SpreadGroup group : groups.groups().values()) {
+	public static Optional<VmSight> publishedHeadObservation(GroupState state, VmName head) {
+		for (PublishedGroups groups : state.spread().groups().values()) {
+			for (PublishedGroup group : groups.groups().values()) {
 				if (group.facts().filter((facts) -> facts.members().get(0).equals(head)).isPresent()) {
-					return Optional.of(group.headSight(head));
+					return Optional.of(group.headObservation(head));
 				}
 			}
 		}
@@ -118,7 +120,7 @@
 	 * @param freshness the oldest sight that counts
 	 * @return whether it serves whole
 	 */
-	static boolean serves(GroupRecord record, Fleet fleet, Instant now, Duration freshness) {
+	static boolean isServing(GroupRecord record, Fleet fleet, Instant now, Duration freshness) {
 		return record.phase() == GroupPhase.SERVING && record.members()
 			.stream()
 			.allMatch((vm) -> fleet.seenReady(vm, record.identity(), now, freshness) && !fleet.isLeaving(vm));
--- a/src/main/java/sycamorehill/logic/group/StandbyPass.java
+++ b/src/main/java/sycamorehill/logic/group/StandbyPass.java
@@ -20,27 +20,27 @@
 
 	@Override
 	public void apply(AllocationDraft draft, PlanContext context) {
-		Map<GroupSetName, GroupShape> shapes = context.shapes()
+		Map<GroupSetName, GroupSpecification> specifications = context.specifications()
 			.stream()
-			.collect(Collectors.toMap((shape) -> shape.set().name(), Function.identity()));
+			.collect(Collectors.toMap((specification) -> specification.set().name(), Function.identity()));
 		for (VmName vm : draft.standbys()) {
-			boolean wanted = shapes.containsKey(draft.standbyFor(vm));
-			if (!wanted || context.dead(vm) || context.fleet().isLeaving(vm)) {
+			boolean required = specifications.containsKey(draft.standbySet(vm));
+			if (!required || context.isDead(vm) || context.fleet().isLeaving(vm)) {
 				draft.releaseStandby(vm);
 			}
 		}
-		for (GroupShape shape : context.shapes()) {
-			adjust(draft, context, shape);
+		for (GroupSpecification specification : context.specifications()) {
+			adjust(draft, context, specification);
 		}
 	}
 
-	private static void adjust(AllocationDraft draft, PlanContext context, GroupShape shape) {
-		GroupSetName set = shape.set().name();
-		int wanted = wanted(draft, context, shape);
+	private static void adjust(AllocationDraft draft, PlanContext context, GroupSpecification specification) {
+		GroupSetName set = specification.set().name();
+		int required = requiredStandbys(draft, context, specification);
 		List<VmName> claimed = draft.standbys(set);
-		claimed.stream().skip(wanted).forEach(draft::releaseStandby);
-		for (int count = claimed.size(); count < wanted && groupsFormed(draft, shape); count++) {
-			Optional<VmName> choice = choose(draft, context, set);
+		claimed.stream().skip(required).forEach(draft::releaseStandby);
+		for (int count = claimed.size(); count < required && hasAllGroups(draft, specification); count++) {
+			Optional<VmName> choice = chooseStandby(draft, context, set);
 			if (choice.isEmpty()) {
 				return;
 			}
@@ -48,44 +48,45 @@
 		}
 	}
 
-	private static int wanted(AllocationDraft draft, PlanContext context, GroupShape shape) {
+	private static int requiredStandbys(AllocationDraft draft, PlanContext context, GroupSpecification specification) {
 		RepairRules rules = context.policy().repair();
-		long domains = draft.groups(shape.set().name())
+		long domains = draft.groups(specification.set().name())
 			.stream()
 			.map((record) -> context.domain(record.head()))
 			.distinct()
 			.count();
 		int byRules = rules.standbyInEachDomain() ? rules.standbys() * (int) domains : rules.standbys();
-		return Math.max(shape.set().standbys(), byRules);
+		return Math.max(specification.set().standbys(), byRules);
 	}
 
-	private static boolean groupsFormed(AllocationDraft draft, GroupShape shape) {
-		return draft.groups(shape.set().name())
+	private static boolean hasAllGroups(AllocationDraft draft, GroupSpecification specification) {
+		return draft.groups(specification.set().name())
 			.stream()
 			.filter((record) -> record.phase() != GroupPhase.DRAINING)
-			.count() >= shape.set().groups();
+			.count() >= specification.set().groups();
 	}
 
 	// The domain with the most groups for each standby that it already has.
-	private static Optional<VmName> choose(AllocationDraft draft, PlanContext context, GroupSetName set) {
-		return context.free(draft)
+	private static Optional<VmName> chooseStandby(AllocationDraft draft, PlanContext context, GroupSetName set) {
+		return context.freeVms(draft)
 			.stream()
 			.filter((vm) -> context.domain(vm).isPresent())
-			.filter((vm) -> groups(draft, context, set, context.domain(vm).get()) > 0)
+			.filter((vm) -> countGroups(draft, context, set, context.domain(vm).get()) > 0)
 			.max(Comparator.comparingDouble((vm) -> {
 				FabricDomain domain = context.domain(vm).get();
-				return groups(draft, context, set, domain) / (1.0 + standbys(draft, context, set, domain));
+				return countGroups(draft, context, set, domain) / (1.0 + countStandbys(draft, context, set, domain));
 			}));
 	}
 
-	private static long groups(AllocationDraft draft, PlanContext context, GroupSetName set, FabricDomain domain) {
+	private static long countGroups(AllocationDraft draft, PlanContext context, GroupSetName set, FabricDomain domain) {
 		return draft.groups(set)
 			.stream()
 			.filter((record) -> context.domain(record.head()).equals(Optional.of(domain)))
 			.count();
 	}
 
-	private static long standbys(AllocationDraft draft, PlanContext context, GroupSetName set, FabricDomain domain) {
+	private static long countStandbys(AllocationDraft draft, PlanContext context, GroupSetName set,
+			FabricDomain domain) {
 		return draft.standbys(set).stream().filter((vm) -> context.domain(vm).equals(Optional.of(domain))).count();
 	}
 
--- a/src/main/java/sycamorehill/logic/group/SurplusPass.java
+++ b/src/main/java/sycamorehill/logic/group/SurplusPass.java
@@ -15,38 +15,39 @@
 
 	@Override
 	public void apply(AllocationDraft draft, PlanContext context) {
-		Set<GroupSetName> wanted = context.shapes()
+		Set<GroupSetName> required = context.specifications()
 			.stream()
-			.map((shape) -> shape.set().name())
+			.map((specification) -> specification.set().name())
 			.collect(Collectors.toSet());
 		for (GroupRecord record : draft.groups()) {
-			if (!wanted.contains(record.identity().name().set())) {
+			if (!required.contains(record.identity().name().set())) {
 				drain(draft, record, "no ticket asks for the set any more");
 			}
 		}
-		for (GroupShape shape : context.shapes()) {
-			drainSurplus(draft, context, shape);
+		for (GroupSpecification specification : context.specifications()) {
+			drainSurplus(draft, context, specification);
 		}
 	}
 
-	private static void drainSurplus(AllocationDraft draft, PlanContext context, GroupShape shape) {
-		List<GroupRecord> staying = GroupPlanner.byWorth(draft, context, shape)
+	private static void drainSurplus(AllocationDraft draft, PlanContext context, GroupSpecification specification) {
+		List<GroupRecord> retained = GroupPlanner.rankedGroups(draft, context, specification)
 			.stream()
 			.filter((record) -> record.phase() != GroupPhase.DRAINING)
 			.toList();
-		int allowed = shape.set().groups() + (buildsReplacement(staying, shape) ? 1 : 0);
-		for (GroupRecord record : staying.subList(Math.min(allowed, staying.size()), staying.size())) {
-			drain(draft, record, "ticket " + shape.ticket() + " asks for " + shape.set().groups() + " groups");
+		int allowed = specification.set().groups() + (isBuildingReplacement(retained, specification) ? 1 : 0);
+		for (GroupRecord record : retained.subList(Math.min(allowed, retained.size()), retained.size())) {
+			drain(draft, record,
+					"ticket " + specification.ticket() + " asks for " + specification.set().groups() + " groups");
 		}
 	}
 
 	// A group of the new shape that is built next to one of the old shape is no surplus
 	// before it serves. One whose load failed stays too: its record holds the reason, and
 	// the change stops at it.
-	private static boolean buildsReplacement(List<GroupRecord> staying, GroupShape shape) {
-		boolean building = staying.stream()
-			.anyMatch((record) -> record.phase() != GroupPhase.SERVING && shape.fits(record));
-		return building && staying.stream().anyMatch((record) -> !shape.fits(record));
+	private static boolean isBuildingReplacement(List<GroupRecord> retained, GroupSpecification specification) {
+		boolean replacing = retained.stream()
+			.anyMatch((record) -> record.phase() != GroupPhase.SERVING && specification.matches(record));
+		return replacing && retained.stream().anyMatch((record) -> !specification.matches(record));
 	}
 
 	private static void drain(AllocationDraft draft, GroupRecord record, String reason) {
--- a/src/main/java/sycamorehill/logic/group/Silences.java
+++ b/src/main/java/sycamorehill/logic/group/VmSilences.java
@@ -32,19 +32,19 @@
  * @param deserted whether the other nodes have fallen silent of late
  * @param gone VMs of which another sign than silence says that they are dead
  */
-public record Silences(PMap<VmName, Instant> since, Instant lookedAt, boolean trusted, Instant companyAt,
+public record VmSilences(PMap<VmName, Instant> since, Instant lookedAt, boolean trusted, Instant companyAt,
 		boolean deserted, PSet<VmName> gone) {
 
-	private static final int SILENT_INTERVALS = 3;
+	private static final int SILENT_REPORT_INTERVALS = 3;
 
-	private static final Duration REFUSED_LONG_ENOUGH = Duration.ofSeconds(2);
+	private static final Duration MINIMUM_REFUSAL_DURATION = Duration.ofSeconds(2);
 
-	private static final Duration DESERTED = Duration.ofMinutes(2);
+	private static final Duration RECENT_CONTACT = Duration.ofMinutes(2);
 
-	private static final Duration LONGEST_GAP = Duration.ofSeconds(3);
+	private static final Duration MAXIMUM_UPDATE_GAP = Duration.ofSeconds(3);
 
-	static Silences none() {
-		return new Silences(HashTreePMap.empty(), Instant.MIN, false, Instant.MIN, false, HashTreePSet.empty());
+	static VmSilences none() {
+		return new VmSilences(HashTreePMap.empty(), Instant.MIN, false, Instant.MIN, false, HashTreePSet.empty());
 	}
 
 	/**
@@ -52,31 +52,31 @@
 	 * @param fleet what is known of the VMs
 	 * @param groups the groups
 	 * @param standbys the VMs claimed ahead of time
-	 * @param company whether another node of the data centre is heard of
+	 * @param hasPeers whether another node of the data centre is heard of
 	 * @param now own monotonic time
 	 * @param reportInterval how often engines are asked
 	 * @return the silences after this look
 	 */
-	Silences look(Fleet fleet, Iterable<GroupRecord> groups, Iterable<VmName> standbys, boolean company, Instant now,
-			Duration reportInterval) {
+	VmSilences update(Fleet fleet, Iterable<GroupRecord> groups, Iterable<VmName> standbys, boolean hasPeers,
+			Instant now, Duration reportInterval) {
 		// Failure: this node was paused, and on waking every sight that it has is old: it
 		// would take the whole data centre for dead and rebuild it. A silence counts only
 		// while the node itself was looking.
-		boolean paused = this.lookedAt.equals(Instant.MIN) || this.lookedAt.plus(LONGEST_GAP).isBefore(now);
-		boolean blind = paused || this.deserted || !this.trusted;
-		PMap<VmName, Instant> before = blind ? HashTreePMap.empty() : this.since;
-		Duration bound = reportInterval.multipliedBy(SILENT_INTERVALS);
+		boolean paused = this.lookedAt.equals(Instant.MIN) || this.lookedAt.plus(MAXIMUM_UPDATE_GAP).isBefore(now);
+		boolean discardsEarlier = paused || this.deserted || !this.trusted;
+		PMap<VmName, Instant> before = discardsEarlier ? HashTreePMap.empty() : this.since;
+		Duration bound = reportInterval.multipliedBy(SILENT_REPORT_INTERVALS);
 		PMap<VmName, Instant> after = HashTreePMap.empty();
-		PSet<VmName> signs = HashTreePSet.empty();
+		PSet<VmName> likelyDead = HashTreePSet.empty();
 		for (VmName vm : standbys) {
-			after = silent(fleet, vm, now, bound) ? after.plus(vm, before.getOrDefault(vm, now)) : after;
+			after = isSilent(fleet, vm, now, bound) ? after.plus(vm, before.getOrDefault(vm, now)) : after;
 		}
 		for (GroupRecord record : groups) {
-			boolean replicaFailed = record.phase() == GroupPhase.SERVING && saysFailed(fleet, record, now, bound);
+			boolean replicaFailed = record.phase() == GroupPhase.SERVING && reportsFailure(fleet, record, now, bound);
 			for (VmName vm : record.members()) {
-				if (silent(fleet, vm, now, bound)) {
+				if (isSilent(fleet, vm, now, bound)) {
 					after = after.plus(vm, before.getOrDefault(vm, now));
-					signs = (replicaFailed || refused(fleet, vm, now)) ? signs.plus(vm) : signs;
+					likelyDead = (replicaFailed || isRefusing(fleet, vm, now)) ? likelyDead.plus(vm) : likelyDead;
 				}
 			}
 		}
@@ -84,17 +84,18 @@
 		// nodes that still see the VM; it would rebuild a group that serves. When all
 		// other nodes have fallen silent a moment ago, silence of a VM proves
 		// nothing.
-		Instant heard = company ? now : this.companyAt;
-		boolean lately = !heard.equals(Instant.MIN) && heard.plus(DESERTED).isAfter(now);
-		boolean trust = !paused && someDomainIsSeen(fleet, now, bound);
-		return new Silences(after, now, trust, heard, !company && lately, signs);
+		Instant lastContactAt = hasPeers ? now : this.companyAt;
+		boolean hadRecentContact = !lastContactAt.equals(Instant.MIN)
+				&& lastContactAt.plus(RECENT_CONTACT).isAfter(now);
+		boolean isReliable = !paused && isAnyDomainObserved(fleet, now, bound);
+		return new VmSilences(after, now, isReliable, lastContactAt, !hasPeers && hadRecentContact, likelyDead);
 	}
 
-	private static boolean silent(Fleet fleet, VmName vm, Instant now, Duration bound) {
+	private static boolean isSilent(Fleet fleet, VmName vm, Instant now, Duration bound) {
 		return fleet.freshSight(vm, now, bound).isEmpty();
 	}
 
-	private static boolean saysFailed(Fleet fleet, GroupRecord record, Instant now, Duration bound) {
+	private static boolean reportsFailure(Fleet fleet, GroupRecord record, Instant now, Duration bound) {
 		return record.members()
 			.stream()
 			.anyMatch((vm) -> fleet.freshSight(vm, now, bound)
@@ -105,15 +106,15 @@
 				.isPresent());
 	}
 
-	private static boolean refused(Fleet fleet, VmName vm, Instant now) {
+	private static boolean isRefusing(Fleet fleet, VmName vm, Instant now) {
 		Instant first = fleet.refusals().get(vm);
-		return first != null && !first.plus(REFUSED_LONG_ENOUGH).isAfter(now);
+		return first != null && !first.plus(MINIMUM_REFUSAL_DURATION).isAfter(now);
 	}
 
 	// Failure: the own links are cut, every VM is silent, and the controller would
 	// declare all dead. As long as no domain shows at least half of its VMs, the fault is
 	// taken to be on this side.
-	private static boolean someDomainIsSeen(Fleet fleet, Instant now, Duration bound) {
+	private static boolean isAnyDomainObserved(Fleet fleet, Instant now, Duration bound) {
 		Map<FabricDomain, int[]> counts = new HashMap<>();
 		for (VmEntry entry : fleet.entries().values()) {
 			int[] count = counts.computeIfAbsent(entry.domain(), (domain) -> new int[2]);
@@ -132,10 +133,10 @@
 	 * @param rules how groups are repaired
 	 * @return whether its group has to go on without it
 	 */
-	boolean dead(VmName vm, Instant now, RepairRules rules) {
+	boolean isDead(VmName vm, Instant now, RepairRules rules) {
 		// Failure: a node that controlled the groups minutes ago takes the lease
 		// again and decides on what it watched then.
-		if (this.lookedAt.equals(Instant.MIN) || this.lookedAt.plus(LONGEST_GAP).isBefore(now)) {
+		if (this.lookedAt.equals(Instant.MIN) || this.lookedAt.plus(MAXIMUM_UPDATE_GAP).isBefore(now)) {
 			return false;
 		}
 		if (rules.readsSigns() && this.trusted && this.gone.contains(vm)) {
@@ -149,7 +150,7 @@
 	 * The VMs that are silent.
 	 * @return the VMs
 	 */
-	Iterable<VmName> silent() {
+	Iterable<VmName> silentVms() {
 		return this.since.keySet();
 	}
 
--- a/src/main/java/sycamorehill/logic/node/StateView.java
+++ b/src/main/java/sycamorehill/logic/node/StateView.java
@@ -113,7 +113,7 @@
 
 	@Override
 	public Optional<VmSight> sight(VmName vm) {
-		return fleet().sight(vm).or(() -> ServingGroups.headSight(this.state.group(), vm));
+		return fleet().sight(vm).or(() -> ServingGroups.publishedHeadObservation(this.state.group(), vm));
 	}
 
 	@Override
--- a/src/test/java/sycamorehill/logic/group/GroupChangeTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupChangeTests.java
@@ -16,7 +16,7 @@
 class GroupChangeTests {
 
 	private static Collection<GroupRecord> groups(GroupTrial trial) {
-		return trial.allocation(Trials.DATA_CENTRE).groups().values();
+		return trial.allocation(GroupTrials.DATA_CENTRE).groups().values();
 	}
 
 	private static int serving(GroupTrial trial) {
@@ -31,9 +31,9 @@
 	}
 
 	@Test
-	void aNewModelVersionIsRolledThroughWhileTheServiceServes() {
-		GroupTrial trial = Trials.formed(1, 3, 0);
-		trial.file(Trials.service("2"));
+	void aNewModelVersionIsRolledOutWhileTheServiceServes() {
+		GroupTrial trial = GroupTrials.formed(1, 3, 0);
+		trial.file(GroupTrials.service("2"));
 		requireAtLeast(trial, 2, Duration.ofMinutes(8));
 		Assertions.assertThat(groups(trial))
 			.hasSize(3)
@@ -44,18 +44,18 @@
 
 	// No VM is left over to build the new groups beside the old ones.
 	@Test
-	void aFullDataCentreIsRolledThroughOneGroupAtATime() {
-		GroupTrial trial = Trials.formed(2, 4, 0);
-		trial.file(Trials.service("2"));
+	void aFullDataCentreIsUpdatedOneGroupAtATime() {
+		GroupTrial trial = GroupTrials.formed(2, 4, 0);
+		trial.file(GroupTrials.service("2"));
 		requireAtLeast(trial, 3, Duration.ofMinutes(8));
 		Assertions.assertThat(groups(trial)).hasSize(4).allMatch((group) -> group.modelVersion().equals("2"));
 		Assertions.assertThat(trial.figures().brokenStreams()).isZero();
 	}
 
 	@Test
-	void fewerGroupsAreDrainedAndGivenUp() {
-		GroupTrial trial = Trials.formed(3, 3, 0);
-		trial.file(Trials.set(1, 0));
+	void surplusGroupsAreDrainedAndRemoved() {
+		GroupTrial trial = GroupTrials.formed(3, 3, 0);
+		trial.file(GroupTrials.set(1, 0));
 		trial.run(Duration.ofMinutes(2));
 		Assertions.assertThat(groups(trial)).hasSize(1);
 		Assertions.assertThat(trial.figures().brokenStreams()).isZero();
@@ -64,10 +64,10 @@
 	// The new version can't be loaded. Operators see the service go on with the old one,
 	// and the reason in the group's record.
 	@Test
-	void aVersionThatFailsToLoadStopsTheChange() {
-		GroupTrial trial = Trials.formed(4, 3, 0);
+	void aVersionThatFailsToLoadStopsTheRollout() {
+		GroupTrial trial = GroupTrials.formed(4, 3, 0);
 		trial.engines().values().forEach((engine) -> engine.failLoads(true));
-		trial.file(Trials.service("2"));
+		trial.file(GroupTrials.service("2"));
 		requireAtLeast(trial, 3, Duration.ofMinutes(6));
 		Assertions.assertThat(groups(trial))
 			.filteredOn((group) -> group.phase() == GroupPhase.FAILED)
@@ -77,13 +77,13 @@
 	}
 
 	@Test
-	void aTicketBackToTheOldVersionEndsAStoppedChange() {
-		GroupTrial trial = Trials.formed(5, 3, 0);
+	void aTicketForTheOldVersionEndsAStoppedRollout() {
+		GroupTrial trial = GroupTrials.formed(5, 3, 0);
 		trial.engines().values().forEach((engine) -> engine.failLoads(true));
-		trial.file(Trials.service("2"));
+		trial.file(GroupTrials.service("2"));
 		trial.run(Duration.ofMinutes(3));
 		trial.engines().values().forEach((engine) -> engine.failLoads(false));
-		trial.file(Trials.service("1"));
+		trial.file(GroupTrials.service("1"));
 		trial.run(Duration.ofMinutes(3));
 		Assertions.assertThat(groups(trial))
 			.hasSize(3)
@@ -93,16 +93,16 @@
 	// A node is cut off from its peers and the platform, does not hear of the drain and
 	// goes on sending streams until its sight of the group has aged.
 	@Test
-	void aNodeThatDoesNotHearOfTheDrainLosesNoStream() {
-		GroupTrial trial = Trials.formed(6, 3, 0);
-		TrialNode deaf = trial.nodes().stream().filter((node) -> !node.controls(trial.now())).findFirst().get();
-		deaf.cutFromPeers(true);
-		deaf.cutFromPlatform(true);
+	void aNodeThatIsNotInformedOfTheDrainLosesNoStream() {
+		GroupTrial trial = GroupTrials.formed(6, 3, 0);
+		TrialNode partitioned = trial.nodes().stream().filter((node) -> !node.controls(trial.now())).findFirst().get();
+		partitioned.cutFromPeers(true);
+		partitioned.cutFromPlatform(true);
 		trial.at(Duration.ofSeconds(90), () -> {
-			deaf.cutFromPeers(false);
-			deaf.cutFromPlatform(false);
+			partitioned.cutFromPeers(false);
+			partitioned.cutFromPlatform(false);
 		});
-		trial.file(Trials.set(1, 0));
+		trial.file(GroupTrials.set(1, 0));
 		trial.run(Duration.ofMinutes(4));
 		Assertions.assertThat(groups(trial)).hasSize(1);
 		Assertions.assertThat(trial.figures().violations()).isEmpty();
@@ -111,8 +111,8 @@
 
 	// The VM list says that a member will go. Work sent there now would be cut off.
 	@Test
-	void aLeavingMemberDoomsItsGroupAndTheReplacementIsBegunAtOnce() {
-		GroupTrial trial = Trials.formed(7, 2, 0);
+	void aLeavingMemberDrainsItsGroupAndStartsTheReplacementAtOnce() {
+		GroupTrial trial = GroupTrials.formed(7, 2, 0);
 		GroupRecord record = groups(trial).iterator().next();
 		VmName leaving = record.members().get(1);
 		trial.engines().get(leaving).leave();
@@ -129,17 +129,17 @@
 	// A controller is paused with orders in its hand, past its lease; another one builds
 	// the groups differently; the first one wakes and sends. The engines ignore fencing.
 	@Test
-	void aControllerThatWakesLateDoesNoHarm() {
+	void aControllerThatResumesAfterItsLeaseDoesNoHarm() {
 		for (long seed = 1; seed <= 20; seed++) {
-			GroupTrial trial = Trials.formed(seed, 2, 0);
+			GroupTrial trial = GroupTrials.formed(seed, 2, 0);
 			trial.engines().values().forEach(TrialEngine::ignoreFencing);
-			trial.file(Trials.service("2"));
+			trial.file(GroupTrials.service("2"));
 			trial.run(Duration.ofMillis(trial.random().nextInt(500, 12_000)));
 			trial.nodes()
 				.stream()
 				.filter((node) -> node.controls(trial.now()))
 				.forEach((node) -> node.pause(trial.now().plusSeconds(20)));
-			trial.file(Trials.service("3"));
+			trial.file(GroupTrials.service("3"));
 			trial.run(Duration.ofMinutes(5));
 			Assertions.assertThat(trial.figures().violations()).isEmpty();
 			Assertions.assertThat(groups(trial))
--- a/src/test/java/sycamorehill/logic/group/GroupControlTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupControllerTests.java
@@ -45,7 +45,7 @@
 import sycamorehill.model.policy.ObservationPolicy;
 import sycamorehill.support.FixedView;
 
-class GroupControlTests {
+class GroupControllerTests {
 
 	private static final DataCentreName DATA_CENTRE = DataCentreName.of("dc0");
 
@@ -67,100 +67,100 @@
 		VmReport report = new VmReport(VM, "i", EngineState.READY, Optional.of(group), false, 0, 0, 0, 0, 1);
 		Fleet fleet = new Fleet(HashTreePMap.singleton(VM, ENTRY), Optional.of(NOW),
 				HashTreePMap.singleton(VM, new VmSight(report, NOW)), HashTreePMap.empty(), HashTreePMap.empty());
-		return new PlanContext(NOW, fleet, List.of(), Silences.none(), HashTreePMap.empty(), HashTreePMap.empty(),
+		return new PlanContext(NOW, fleet, List.of(), VmSilences.none(), HashTreePMap.empty(), HashTreePMap.empty(),
 				ObservationPolicy.standard(), GroupPolicy.standard());
 	}
 
-	private static GroupTurn turn(Duration sinceConfirmed) {
-		AllocationState state = AllocationState.initial().confirmed(allocation(5), 3, NOW.minus(sinceConfirmed));
-		return GroupTurn.of(GroupState.initial().withAllocation(state), NOW, FixedView.of("n"));
+	private static GroupStep step(Duration sinceConfirmed) {
+		AllocationState state = AllocationState.initial().withConfirmed(allocation(5), 3, NOW.minus(sinceConfirmed));
+		return GroupStep.of(GroupState.initial().withAllocation(state), NOW, FixedView.of("n"));
 	}
 
-	private static List<EngineOrders.Wish> wishes() {
+	private static List<EngineReconciler.RequiredCommand> requiredCommands() {
 		GroupIdentity group = GroupIdentity.of(GroupName.of(GroupSetName.of("s"), 0), 4);
-		return List.of(new EngineOrders.Wish(ENTRY, new EngineOrder.Leave(group, 1)));
+		return List.of(new EngineReconciler.RequiredCommand(ENTRY, new EngineOrder.Leave(group, 1)));
 	}
 
-	private static boolean servesWithVmIn(long generation) {
+	private static boolean isServingWithVmIn(long generation) {
 		GroupIdentity group = GroupIdentity.of(GroupName.of(GroupSetName.of("s"), 0), 4);
 		GroupRecord record = new GroupRecord(group, ServiceName.of("s"), "m", "1", List.of(VM), GroupPhase.SERVING, 1,
 				"", 0);
-		return ServingGroups.serves(record, contextWithVmIn(generation).fleet(), NOW, Duration.ofSeconds(5));
+		return ServingGroups.isServing(record, contextWithVmIn(generation).fleet(), NOW, Duration.ofSeconds(5));
 	}
 
 	// A member comes back from a long pause, still ready in a generation that was given
 	// up while it was away. With it the replica would mix two memberships.
 	@Test
-	void aMemberOfAnOlderGenerationIsAStranger() {
-		Assertions.assertThat(servesWithVmIn(4)).isTrue();
-		Assertions.assertThat(servesWithVmIn(3)).isFalse();
+	void aMemberOfAnOlderGenerationDoesNotCount() {
+		Assertions.assertThat(isServingWithVmIn(4)).isTrue();
+		Assertions.assertThat(isServingWithVmIn(3)).isFalse();
 	}
 
-	private static Silences look(Silences before, int second) {
-		return look(before, second, true);
+	private static VmSilences update(VmSilences before, int second) {
+		return update(before, second, true);
 	}
 
-	private static Silences look(Silences before, int second, boolean company) {
+	private static VmSilences update(VmSilences before, int second, boolean hasPeers) {
 		VmName other = VmName.of("vm-2");
 		VmReport report = new VmReport(other, "i", EngineState.IDLE, Optional.empty(), false, 0, 0, 0, 0, 1);
 		VmEntry entry = new VmEntry(other, DATA_CENTRE, ENTRY.domain(), ENTRY.address(), VmStatus.LIVE, "i");
 		Fleet fleet = new Fleet(HashTreePMap.singleton(VM, ENTRY).plus(other, entry), Optional.of(NOW),
 				HashTreePMap.singleton(other, new VmSight(report, NOW.plusSeconds(second))), HashTreePMap.empty(),
 				HashTreePMap.empty());
-		return before.look(fleet, List.of(), List.of(VM), company, NOW.plusSeconds(second), Duration.ofSeconds(1));
+		return before.update(fleet, List.of(), List.of(VM), hasPeers, NOW.plusSeconds(second), Duration.ofSeconds(1));
 	}
 
 	// A node watches a VM fall silent, loses the lease, takes it again a minute later and
 	// happens to find the VM silent for a moment: it may have served all the time
 	// between.
 	@Test
-	void aSilenceOfAnEarlierTermDoesNotCount() {
-		Silences watched = look(look(look(Silences.none(), 0), 1), 2);
-		Silences later = look(watched, 60);
-		Silences after = look(look(later, 61), 62);
-		Assertions.assertThat(after.dead(VM, NOW.plusSeconds(62), GroupPolicy.standard().repair())).isFalse();
+	void silenceObservedDuringAnEarlierLeaseDoesNotCount() {
+		VmSilences observed = update(update(update(VmSilences.none(), 0), 1), 2);
+		VmSilences later = update(observed, 60);
+		VmSilences after = update(update(later, 61), 62);
+		Assertions.assertThat(after.isDead(VM, NOW.plusSeconds(62), GroupPolicy.standard().repair())).isFalse();
 	}
 
 	// The node takes the lease again, and a read is answered before it has looked once.
 	@Test
-	void nothingIsDecidedOnWhatWasWatchedLongAgo() {
-		Silences watched = Silences.none();
+	void outdatedSilenceDoesNotMarkAVmDead() {
+		VmSilences observed = VmSilences.none();
 		for (int second = 0; second < 40; second++) {
-			watched = look(watched, second);
+			observed = update(observed, second);
 		}
-		Assertions.assertThat(watched.dead(VM, NOW.plusSeconds(100), GroupPolicy.standard().repair())).isFalse();
+		Assertions.assertThat(observed.isDead(VM, NOW.plusSeconds(100), GroupPolicy.standard().repair())).isFalse();
 	}
 
 	// The other nodes fall silent, and so does a VM: the fault may be on this side.
 	@Test
-	void aSilenceWatchedAloneIsNoDeath() {
-		Silences watched = look(Silences.none(), 0);
+	void silenceObservedWithoutPeersDoesNotMarkAVmDead() {
+		VmSilences observed = update(VmSilences.none(), 0);
 		for (int second = 1; second < 60; second++) {
-			watched = look(watched, second, false);
+			observed = update(observed, second, false);
 		}
-		Assertions.assertThat(watched.dead(VM, NOW.plusSeconds(60), GroupPolicy.standard().repair())).isFalse();
+		Assertions.assertThat(observed.isDead(VM, NOW.plusSeconds(60), GroupPolicy.standard().repair())).isFalse();
 	}
 
 	@Test
-	void aLongSilenceThatWasWatchedIsADeath() {
-		Silences watched = Silences.none();
+	void continuouslyObservedSilenceMarksAVmDead() {
+		VmSilences observed = VmSilences.none();
 		for (int second = 0; second < 40; second++) {
-			watched = look(watched, second);
+			observed = update(observed, second);
 		}
-		Assertions.assertThat(watched.dead(VM, NOW.plusSeconds(40), GroupPolicy.standard().repair())).isTrue();
+		Assertions.assertThat(observed.isDead(VM, NOW.plusSeconds(40), GroupPolicy.standard().repair())).isTrue();
 	}
 
 	// A controller with an old view meets a group that was formed since, and would order
 	// its VMs out of it, streams and all.
 	@Test
-	void aGroupNewerThanTheViewIsLeftAlone() {
-		Assertions.assertThat(EngineOrders.wishes(allocation(5), contextWithVmIn(5))).isEmpty();
+	void aGroupNewerThanTheKnownAllocationIsNotChanged() {
+		Assertions.assertThat(EngineReconciler.requiredCommands(allocation(5), contextWithVmIn(5))).isEmpty();
 	}
 
 	@Test
-	void aGroupThatWasGivenUpIsLeft() {
-		Assertions.assertThat(EngineOrders.wishes(allocation(5), contextWithVmIn(4)))
-			.extracting(EngineOrders.Wish::order)
+	void anEngineLeavesARemovedGroup() {
+		Assertions.assertThat(EngineReconciler.requiredCommands(allocation(5), contextWithVmIn(4)))
+			.extracting(EngineReconciler.RequiredCommand::command)
 			.allMatch(EngineOrder.Leave.class::isInstance)
 			.hasSize(1);
 	}
@@ -168,51 +168,51 @@
 	// A new controller finds a group loading. Ordered again, an engine that ignores the
 	// repeat would begin its load anew.
 	@Test
-	void anEngineThatIsAlreadyLoadingIsNotOrderedAgain() {
+	void anEngineThatIsAlreadyLoadingGetsNoSecondJoinCommand() {
 		GroupIdentity group = GroupIdentity.of(GroupName.of(GroupSetName.of("s"), 0), 4);
 		GroupRecord record = new GroupRecord(group, ServiceName.of("s"), "m", "1", List.of(VM), GroupPhase.FORMING, 1,
 				"", 0);
 		Allocation forming = new Allocation(DATA_CENTRE, 1, "w", 5, TreePMap.singleton(group.name(), record),
 				TreePMap.empty());
-		Assertions.assertThat(EngineOrders.wishes(forming, contextWithVmIn(4))).isEmpty();
+		Assertions.assertThat(EngineReconciler.requiredCommands(forming, contextWithVmIn(4))).isEmpty();
 	}
 
-	private static boolean drainedAfter(int seconds, int sightAge) {
+	private static boolean isDrainedAfter(int seconds, int observationAge) {
 		GroupIdentity group = GroupIdentity.of(GroupName.of(GroupSetName.of("s"), 0), 4);
 		GroupRecord record = new GroupRecord(group, ServiceName.of("s"), "m", "1", List.of(VM), GroupPhase.DRAINING, 1,
 				"", 0);
-		PhaseSince since = new PhaseSince(group, GroupPhase.DRAINING, NOW.minusSeconds(seconds));
+		PhaseStart since = new PhaseStart(group, GroupPhase.DRAINING, NOW.minusSeconds(seconds));
 		VmReport report = new VmReport(VM, "i", EngineState.READY, Optional.of(group), false, 0, 0, 0, 0, 1);
 		Fleet fleet = new Fleet(HashTreePMap.singleton(VM, ENTRY), Optional.of(NOW),
-				HashTreePMap.singleton(VM, new VmSight(report, NOW.minusSeconds(sightAge))), HashTreePMap.empty(),
+				HashTreePMap.singleton(VM, new VmSight(report, NOW.minusSeconds(observationAge))), HashTreePMap.empty(),
 				HashTreePMap.empty());
-		return new PlanContext(NOW, fleet, List.of(), Silences.none(), HashTreePMap.singleton(group.name(), since),
+		return new PlanContext(NOW, fleet, List.of(), VmSilences.none(), HashTreePMap.singleton(group.name(), since),
 				HashTreePMap.empty(), ObservationPolicy.standard(), GroupPolicy.standard())
-			.drained(record);
+			.isDrained(record);
 	}
 
 	// The head counts no work for a moment, and a node that has not heard of the
 	// drain yet sends the next stream just before the engine is ordered to leave.
 	@Test
 	void aCountOfZeroEndsADrainOnlyAfterAllNodesHaveStoppedSending() {
-		Assertions.assertThat(drainedAfter(5, 0)).isFalse();
-		Assertions.assertThat(drainedAfter(9, 4)).isFalse();
-		Assertions.assertThat(drainedAfter(9, 1)).isTrue();
+		Assertions.assertThat(isDrainedAfter(5, 0)).isFalse();
+		Assertions.assertThat(isDrainedAfter(9, 4)).isFalse();
+		Assertions.assertThat(isDrainedAfter(9, 1)).isTrue();
 	}
 
 	// A controller is paused between its look at the allocation and its orders.
 	@Test
-	void ordersOnAnAllocationNotJustReadWaitForALiveRead() {
-		GroupTurn turn = turn(Duration.ofSeconds(20));
-		OrderDesk.give(turn, wishes());
-		Assertions.assertThat(turn.end().effects()).singleElement().isInstanceOf(PlatformEffect.Call.class);
+	void commandsForAnOutdatedAllocationWaitForARead() {
+		GroupStep step = step(Duration.ofSeconds(20));
+		EngineCommandDispatcher.dispatch(step, requiredCommands());
+		Assertions.assertThat(step.result().effects()).singleElement().isInstanceOf(PlatformEffect.Call.class);
 	}
 
 	@Test
-	void anOrderCarriesTheTimeAfterWhichItMustNotBeSent() {
-		GroupTurn turn = turn(Duration.ofMillis(300));
-		OrderDesk.give(turn, wishes());
-		Assertions.assertThat(turn.end().effects())
+	void aCommandCarriesTheTimeAfterWhichItMustNotBeSent() {
+		GroupStep step = step(Duration.ofMillis(300));
+		EngineCommandDispatcher.dispatch(step, requiredCommands());
+		Assertions.assertThat(step.result().effects())
 			.singleElement()
 			.isInstanceOfSatisfying(TargetEffect.SendOrder.class, (order) -> Assertions.assertThat(order.notAfter())
 				.isEqualTo(NOW.minusMillis(300).plus(GroupPolicy.standard().orderWindow())));
@@ -220,48 +220,54 @@
 
 	// A read that was answered by a lagging copy comes after the own write.
 	@Test
-	void aStaleReadDoesNotTakeTheAllocationBack() {
-		AllocationState state = AllocationState.initial().confirmed(allocation(5), 8, NOW);
-		Assertions.assertThat(state.confirmed(allocation(4), 7, NOW.plusSeconds(1))).isEqualTo(state);
+	void aStaleReadDoesNotRevertTheAllocation() {
+		AllocationState state = AllocationState.initial().withConfirmed(allocation(5), 8, NOW);
+		Assertions.assertThat(state.withConfirmed(allocation(4), 7, NOW.plusSeconds(1))).isEqualTo(state);
 	}
 
 	// A read is answered while the own write is still under way. Taken for settled, the
 	// write would be planned a second time, and its answer belong to nothing.
 	@Test
-	void aReadThatOvertakesAnOwnWriteDoesNotSettleIt() {
-		AllocationState writing = AllocationState.initial().confirmed(allocation(5), 3, NOW).withAttempt(allocation(6));
+	void aReadThatOvertakesAWriteDoesNotCompleteIt() {
+		AllocationState writing = AllocationState.initial()
+			.withConfirmed(allocation(5), 3, NOW)
+			.withAttempt(allocation(6));
 		PendingCall write = new PendingCall(1, PendingCall.Purpose.WRITE_ALLOCATION, NOW.plusSeconds(4));
-		GroupTurn turn = GroupTurn.of(
+		GroupStep step = GroupStep.of(
 				GroupState.initial().withAllocation(writing).withPending(HashTreePMap.singleton(1L, write)), NOW,
 				FixedView.of("n"));
 		StoredObject object = new StoredObject(ObjectKey.of(ObjectKind.ALLOCATION, "east"), 3, allocation(5));
-		AllocationTurns.read(turn, new PlatformEvent.Answered(CallIdentifier.of(CallOwner.GROUPS, 2),
+		AllocationCalls.handleRead(step, new PlatformEvent.Answered(CallIdentifier.of(CallOwner.GROUPS, 2),
 				new PlatformAnswer.Found(object), NOW));
-		Assertions.assertThat(turn.state().allocation().attempt()).isPresent();
+		Assertions.assertThat(step.state().allocation().attempt()).isPresent();
 	}
 
 	// The answer of a renewal comes four seconds late. Counted from the answer, the lease
 	// would hold four seconds longer than the others wait.
 	@Test
-	void theLeaseHoldsFromBeforeTheRenewalWasSent() {
+	void theLeaseStartsWhenTheRenewalIsSent() {
 		ControllerLease lease = new ControllerLease(DATA_CENTRE, HOLDER, 1, Duration.ofSeconds(6), 1);
 		LeaseState sent = LeaseState.initial().withAttempt(new LeaseAttempt(lease, NOW));
-		LeaseState held = LeaseKeeper.written(sent, NOW.plusSeconds(4), new PlatformAnswer.Written(1));
-		Assertions.assertThat(held.holds(NOW.plusSeconds(5))).isTrue();
-		Assertions.assertThat(held.holds(NOW.plusSeconds(6))).isFalse();
+		LeaseState held = ControllerLeaseManager.applyWrite(sent, NOW.plusSeconds(4), new PlatformAnswer.Written(1));
+		Assertions.assertThat(held.isHeld(NOW.plusSeconds(5))).isTrue();
+		Assertions.assertThat(held.isHeld(NOW.plusSeconds(6))).isFalse();
 	}
 
 	@Test
-	void anotherNodesLeaseIsTakenOnlyAfterItsWholeLengthUnchanged() {
+	void anotherNodesLeaseIsTakenOnlyAfterItsFullLengthWithoutRenewal() {
 		FixedView view = FixedView.of("other");
 		ControllerLease lease = new ControllerLease(DATA_CENTRE, HOLDER, 1, Duration.ofSeconds(6), 1);
 		PlatformAnswer found = new PlatformAnswer.Found(
 				new StoredObject(ObjectKey.of(ObjectKind.CONTROLLER_LEASE, "dc0"), 4, lease));
-		LeaseState first = LeaseKeeper.read(LeaseState.initial(), NOW, found);
-		LeaseState later = LeaseKeeper.read(first, NOW.plusSeconds(5), found);
-		Assertions.assertThat(LeaseKeeper.write(later, NOW.plusSeconds(5), view.self(), GroupPolicy.standard()))
+		LeaseState first = ControllerLeaseManager.applyRead(LeaseState.initial(), NOW, found);
+		LeaseState later = ControllerLeaseManager.applyRead(first, NOW.plusSeconds(5), found);
+		Assertions
+			.assertThat(
+					ControllerLeaseManager.writeRequest(later, NOW.plusSeconds(5), view.self(), GroupPolicy.standard()))
 			.isEmpty();
-		Assertions.assertThat(LeaseKeeper.write(later, NOW.plusSeconds(6), view.self(), GroupPolicy.standard()))
+		Assertions
+			.assertThat(
+					ControllerLeaseManager.writeRequest(later, NOW.plusSeconds(6), view.self(), GroupPolicy.standard()))
 			.isPresent();
 	}
 
--- a/src/test/java/sycamorehill/logic/group/GroupLifeTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupFormationTests.java
@@ -9,12 +9,12 @@
 import sycamorehill.model.group.GroupPhase;
 import sycamorehill.model.group.GroupRecord;
 
-class GroupLifeTests {
+class GroupFormationTests {
 
 	@Test
-	void aTicketsGroupsAreFormedAndServe() {
-		GroupTrial trial = Trials.formed(1, 3, 0);
-		Assertions.assertThat(trial.allocation(Trials.DATA_CENTRE).groups().values())
+	void groupsOfATicketAreFormedAndServe() {
+		GroupTrial trial = GroupTrials.formed(1, 3, 0);
+		Assertions.assertThat(trial.allocation(GroupTrials.DATA_CENTRE).groups().values())
 			.hasSize(3)
 			.extracting(GroupRecord::phase)
 			.containsOnly(GroupPhase.SERVING);
--- a/src/test/java/sycamorehill/logic/group/GroupHistoryTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupHistoryTests.java
@@ -24,7 +24,7 @@
  */
 class GroupHistoryTests {
 
-	private static final int FAULTS = 40;
+	private static final int FAULT_COUNT = 40;
 
 	static LongStream seeds() {
 		String[] range = System.getProperty("groupSeeds", "1:12").split(":");
@@ -33,30 +33,30 @@
 
 	@ParameterizedTest
 	@MethodSource("seeds")
-	void nothingForbiddenHappensAndGroupsServeAgain(long seed) {
+	void noInvariantIsViolatedAndGroupsServeAgain(long seed) {
 		FaultyTrialPlatform platform = FaultyTrialPlatform.create(seed);
-		GroupTrial trial = Trials.create(seed, platform);
+		GroupTrial trial = GroupTrials.create(seed, platform);
 		trial.engines().values().stream().skip(seed % 3).forEach(TrialEngine::ignoreFencing);
 		trial.vms().faults(0.05, 0.05);
 		platform.faults().faults(0.03, 0.05, 0.03);
-		trial.file(Trials.service("1"), Trials.set(3, 0));
-		trial.run(Trials.FORMED);
-		for (int fault = 0; fault < FAULTS; fault++) {
-			strike(trial, platform);
+		trial.file(GroupTrials.service("1"), GroupTrials.set(3, 0));
+		trial.run(GroupTrials.FORMED);
+		for (int fault = 0; fault < FAULT_COUNT; fault++) {
+			injectFault(trial, platform);
 			trial.run(Duration.ofMillis(trial.random().nextInt(500, 20_000)));
 			platform.faults().down(false);
 		}
-		heal(trial, platform);
+		recover(trial, platform);
 		Assertions.assertThat(trial.figures().violations()).as(() -> String.join("\n", trial.log())).isEmpty();
 		double before = trial.figures().downtimeSeconds();
 		trial.run(Duration.ofSeconds(30));
 		Assertions.assertThat(trial.figures().downtimeSeconds()).isEqualTo(before);
 	}
 
-	private static void strike(GroupTrial trial, FaultyTrialPlatform platform) {
+	private static void injectFault(GroupTrial trial, FaultyTrialPlatform platform) {
 		RandomGenerator random = trial.random();
-		TrialEngine engine = any(List.copyOf(trial.engines().values()), random);
-		TrialNode node = any(trial.nodes(), random);
+		TrialEngine engine = randomElement(List.copyOf(trial.engines().values()), random);
+		TrialNode node = randomElement(trial.nodes(), random);
 		Instant until = trial.now().plusSeconds(random.nextInt(1, 25));
 		int kind = random.nextInt(11);
 		trial.log().add(trial.now() + " fault " + kind + " " + engine.name() + " " + node.self().incarnation().node());
@@ -87,26 +87,26 @@
 				node.cutFromPeers(true);
 				trial.at(Duration.ofSeconds(20), () -> node.cutFromPeers(false));
 			}
-			default -> trial.file(Trials.service(String.valueOf(random.nextInt(1, 3))),
-					Trials.set(random.nextInt(1, 4), random.nextInt(2)));
+			default -> trial.file(GroupTrials.service(String.valueOf(random.nextInt(1, 3))),
+					GroupTrials.set(random.nextInt(1, 4), random.nextInt(2)));
 		}
 	}
 
-	private static void heal(GroupTrial trial, FaultyTrialPlatform platform) {
+	private static void recover(GroupTrial trial, FaultyTrialPlatform platform) {
 		platform.faults().faults(0, 0, 0);
 		trial.vms().faults(0, 0);
-		trial.file(Trials.service("9"), Trials.set(3, 0));
+		trial.file(GroupTrials.service("9"), GroupTrials.set(3, 0));
 		trial.run(Duration.ofMinutes(10));
 	}
 
-	private static <T> T any(List<T> list, RandomGenerator random) {
+	private static <T> T randomElement(List<T> list, RandomGenerator random) {
 		return new ArrayList<>(list).get(random.nextInt(list.size()));
 	}
 
 	@Test
-	void oneSeedGivesOneHistory() {
-		Assertions.assertThat(Trials.formed(5, 3, 1).figures().platformCalls())
-			.isEqualTo(Trials.formed(5, 3, 1).figures().platformCalls());
+	void oneSeedReproducesOneHistory() {
+		Assertions.assertThat(GroupTrials.formed(5, 3, 1).figures().platformCalls())
+			.isEqualTo(GroupTrials.formed(5, 3, 1).figures().platformCalls());
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/group/GroupOfflineTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupOfflineTests.java
@@ -14,25 +14,25 @@
 
 class GroupOfflineTests {
 
-	private static final Duration REPAIRED = Duration.ofSeconds(60);
+	private static final Duration REPAIR_TIME = Duration.ofSeconds(60);
 
 	private final PlainTrialPlatform platform = PlainTrialPlatform.create();
 
 	private GroupTrial formed(int standbys) {
-		GroupTrial trial = Trials.create(21, this.platform);
-		trial.file(Trials.service("1"), Trials.set(2, standbys));
-		trial.run(Trials.FORMED);
+		GroupTrial trial = GroupTrials.create(21, this.platform);
+		trial.file(GroupTrials.service("1"), GroupTrials.set(2, standbys));
+		trial.run(GroupTrials.FORMED);
 		return trial;
 	}
 
 	private static Allocation allocation(GroupTrial trial) {
-		return trial.allocation(Trials.DATA_CENTRE);
+		return trial.allocation(GroupTrials.DATA_CENTRE);
 	}
 
 	/**
 	 * A group in whose domain a standby is held, if any is.
 	 */
-	private static GroupRecord repairable(GroupTrial trial) {
+	private static GroupRecord repairableGroup(GroupTrial trial) {
 		Allocation allocation = allocation(trial);
 		return allocation.groups()
 			.values()
@@ -55,12 +55,12 @@
 		return trial.figures().downtimeSeconds() - before;
 	}
 
-	private void killDuringOutage(GroupTrial trial) {
+	private void failMemberDuringOutage(GroupTrial trial) {
 		this.platform.down(true);
 		trial.run(Duration.ofSeconds(15));
-		TrialEngine member = trial.engines().get(repairable(trial).members().get(1));
+		TrialEngine member = trial.engines().get(repairableGroup(trial).members().get(1));
 		trial.vms().die(member, true);
-		trial.run(REPAIRED);
+		trial.run(REPAIR_TIME);
 	}
 
 	// The data centre is cut off from the platform, and a member dies. A standby that was
@@ -68,36 +68,36 @@
 	@Test
 	void aClaimedStandbyRepairsAGroupWhileThePlatformIsDown() {
 		GroupTrial trial = formed(2);
-		killDuringOutage(trial);
+		failMemberDuringOutage(trial);
 		Assertions.assertThat(downtime(trial)).isZero();
 		Assertions.assertThat(trial.figures().violations()).isEmpty();
 	}
 
 	// The platform comes back. The repair is written down and not undone.
 	@Test
-	void theRepairStandsWhenThePlatformIsBack() {
+	void theRepairIsKeptWhenThePlatformRecovers() {
 		GroupTrial trial = formed(2);
-		killDuringOutage(trial);
+		failMemberDuringOutage(trial);
 		this.platform.down(false);
 		double before = trial.figures().downtimeSeconds();
-		trial.run(REPAIRED);
+		trial.run(REPAIR_TIME);
 		Assertions.assertThat(trial.figures().downtimeSeconds()).isEqualTo(before);
 		Assertions.assertThat(allocation(trial).groups().values())
-			.anyMatch((group) -> group.identity().generation() >= OfflineState.FIRST_GENERATION);
+			.anyMatch((group) -> group.identity().generation() >= OfflineState.FIRST_OFFLINE_GENERATION);
 	}
 
 	// Without a claim a free VM may be another controller's by now.
 	@Test
-	void aFreeVmIsNotTakenWhileThePlatformIsDown() {
+	void anUnclaimedVmIsNotUsedWhileThePlatformIsDown() {
 		GroupTrial trial = formed(0);
-		killDuringOutage(trial);
+		failMemberDuringOutage(trial);
 		Assertions.assertThat(downtime(trial)).isEqualTo(10);
 	}
 
 	// Only the controller's own link to the platform is cut; the other node takes over
 	// and repairs. Two repairs of one group would tear it apart.
 	@Test
-	void aControllerThatIsCutOffAloneRepairsNothing() {
+	void aControllerThatAloneLosesThePlatformRepairsNothing() {
 		GroupTrial trial = formed(2);
 		trial.nodes()
 			.stream()
@@ -106,8 +106,8 @@
 			.orElseThrow()
 			.cutFromPlatform(true);
 		trial.run(Duration.ofSeconds(3));
-		trial.vms().die(trial.engines().get(repairable(trial).members().get(1)), true);
-		trial.run(REPAIRED);
+		trial.vms().die(trial.engines().get(repairableGroup(trial).members().get(1)), true);
+		trial.run(REPAIR_TIME);
 		Assertions.assertThat(trial.log()).noneMatch((line) -> line.contains("GROUP_REPAIRED_OFFLINE"));
 		Assertions.assertThat(downtime(trial)).isZero();
 	}
--- a/src/test/java/sycamorehill/logic/group/GroupSpreadTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupPublisherTests.java
@@ -21,7 +21,7 @@
 import sycamorehill.model.ticket.Item;
 import sycamorehill.model.ticket.ModelGroupItem;
 
-class GroupSpreadTests {
+class GroupPublisherTests {
 
 	private static final ServiceName DRAFTS = ServiceName.of("drafts");
 
@@ -32,9 +32,9 @@
 	private static GroupTrial formed(long seed) {
 		TrialSettings settings = new TrialSettings(Policy.standard(), DATA_CENTRES, 1, 2, 6, Duration.ofSeconds(8), 4,
 				Duration.ofSeconds(5), seed);
-		GroupTrial trial = Trials.create(settings, PlainTrialPlatform.create());
-		trial.file(Trials.service("1"), set(0), set(1), set(2));
-		trial.run(Trials.FORMED);
+		GroupTrial trial = GroupTrials.create(settings, PlainTrialPlatform.create());
+		trial.file(GroupTrials.service("1"), set(0), set(1), set(2));
+		trial.run(GroupTrials.FORMED);
 		return trial;
 	}
 
@@ -43,7 +43,7 @@
 		return new ModelGroupItem(GroupSetName.of("drafts-" + name), DRAFTS, name, 1, 3, 0, false, true);
 	}
 
-	private static Set<DataCentreName> seen(GroupTrial trial, TrialNode node) {
+	private static Set<DataCentreName> observedDataCentres(GroupTrial trial, TrialNode node) {
 		return node.targets(DRAFTS, trial.now()).stream().map(ServingTarget::dataCentre).collect(Collectors.toSet());
 	}
 
@@ -53,12 +53,14 @@
 	// turn of the other data centres.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8 })
-	void eachDataCentreSeesTheGroupsOfTheOthersAllTheTime(long seed) {
+	void eachDataCentreAlwaysSeesTheGroupsOfTheOthers(long seed) {
 		GroupTrial trial = formed(seed);
 		for (int step = 0; step < 600; step++) {
 			trial.run(STEP);
 			for (TrialNode node : trial.nodes()) {
-				Assertions.assertThat(seen(trial, node)).as("%s at %s", node.self(), trial.now()).hasSize(DATA_CENTRES);
+				Assertions.assertThat(observedDataCentres(trial, node))
+					.as("%s at %s", node.self(), trial.now())
+					.hasSize(DATA_CENTRES);
 			}
 		}
 	}
@@ -68,18 +70,18 @@
 	// travel with few messages, and these went only to the own data centre.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8 })
-	void aDataCentreThatMissedTheNewsLearnsThemWithinSeconds(long seed) {
+	void aDataCentreThatMissedAChangeReceivesItWithinSeconds(long seed) {
 		GroupTrial trial = formed(seed);
-		TrialNode away = trial.nodes().get(DATA_CENTRES - 1);
+		TrialNode partitioned = trial.nodes().get(DATA_CENTRES - 1);
 		List<TrialNode> others = trial.nodes().subList(0, DATA_CENTRES - 1);
-		away.cutFromPeers(true);
+		partitioned.cutFromPeers(true);
 		trial.run(Duration.ofSeconds(10));
-		Assertions.assertThat(seen(trial, away)).isNotEmpty().hasSizeLessThan(DATA_CENTRES);
-		away.cutFromPeers(false);
+		Assertions.assertThat(observedDataCentres(trial, partitioned)).isNotEmpty().hasSizeLessThan(DATA_CENTRES);
+		partitioned.cutFromPeers(false);
 		trial.run(Duration.ofSeconds(8));
-		Assertions.assertThat(seen(trial, away)).hasSize(DATA_CENTRES);
+		Assertions.assertThat(observedDataCentres(trial, partitioned)).hasSize(DATA_CENTRES);
 		Assertions.assertThat(others)
-			.allSatisfy((node) -> Assertions.assertThat(seen(trial, node)).hasSize(DATA_CENTRES));
+			.allSatisfy((node) -> Assertions.assertThat(observedDataCentres(trial, node)).hasSize(DATA_CENTRES));
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/group/GroupRepairTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupRepairTests.java
@@ -17,12 +17,12 @@
 
 class GroupRepairTests {
 
-	private static final Duration NOTICED = Duration.ofSeconds(6);
+	private static final Duration DETECTION_TIME = Duration.ofSeconds(6);
 
-	private static final Duration REPAIRED = Duration.ofSeconds(60);
+	private static final Duration REPAIR_TIME = Duration.ofSeconds(60);
 
 	private static Allocation allocation(GroupTrial trial) {
-		return trial.allocation(Trials.DATA_CENTRE);
+		return trial.allocation(GroupTrials.DATA_CENTRE);
 	}
 
 	private static Collection<GroupRecord> groups(GroupTrial trial) {
@@ -46,11 +46,11 @@
 	// A caller's stream stalls for good. The VM of one member pauses; the head still
 	// answers, so a check of the head alone would go on sending work to the group.
 	@Test
-	void aGroupWithASilentMemberGetsNoWork() {
-		GroupTrial trial = Trials.formed(1, 2, 0);
+	void aGroupWithASilentMemberReceivesNoRequests() {
+		GroupTrial trial = GroupTrials.formed(1, 2, 0);
 		VmName member = first(trial).members().get(2);
 		engine(trial, member).pause(trial.now().plusSeconds(12));
-		trial.run(NOTICED);
+		trial.run(DETECTION_TIME);
 		Assertions.assertThat(downtime(trial, Duration.ofSeconds(4))).isEqualTo(4);
 		Assertions.assertThat(trial.figures().violations()).isEmpty();
 	}
@@ -58,8 +58,8 @@
 	// The member comes back as if nothing had happened. A rebuild would have cost a load
 	// of the whole group.
 	@Test
-	void aMemberThatWasOnlyPausedCostsNoRebuild() {
-		GroupTrial trial = Trials.formed(1, 2, 0);
+	void aPausedMemberCausesNoRebuild() {
+		GroupTrial trial = GroupTrials.formed(1, 2, 0);
 		long generation = allocation(trial).nextGeneration();
 		engine(trial, first(trial).members().get(2)).pause(trial.now().plusSeconds(12));
 		trial.run(Duration.ofSeconds(14));
@@ -69,10 +69,10 @@
 
 	@Test
 	void aDeadMemberIsReplacedFromItsDomain() {
-		GroupTrial trial = Trials.formed(2, 3, 0);
+		GroupTrial trial = GroupTrials.formed(2, 3, 0);
 		TrialEngine dead = engine(trial, first(trial).members().get(1));
 		trial.vms().die(dead, false);
-		trial.run(REPAIRED);
+		trial.run(REPAIR_TIME);
 		Assertions.assertThat(first(trial).phase()).isEqualTo(GroupPhase.SERVING);
 		Assertions.assertThat(first(trial).members())
 			.doesNotContain(dead.name())
@@ -81,8 +81,8 @@
 	}
 
 	@Test
-	void aStandbyTakesTheDeadMembersPlace() {
-		GroupTrial trial = Trials.formed(2, 3, 2);
+	void aStandbyReplacesADeadMember() {
+		GroupTrial trial = GroupTrials.formed(2, 3, 2);
 		GroupRecord record = groups(trial).stream()
 			.filter((group) -> allocation(trial).standbys()
 				.keySet()
@@ -92,59 +92,59 @@
 			.orElseThrow();
 		Collection<VmName> standbys = allocation(trial).standbys().keySet();
 		trial.vms().die(engine(trial, record.members().get(1)), true);
-		trial.run(REPAIRED);
+		trial.run(REPAIR_TIME);
 		Assertions.assertThat(allocation(trial).groups().get(record.identity().name()).members())
 			.anyMatch(standbys::contains);
 	}
 
 	// A whole rack goes dark: every VM of one domain is gone at once.
 	@Test
-	void groupsOfALostDomainAreBuiltWhereTheyFit() {
-		GroupTrial trial = Trials.formed(3, 2, 0);
+	void groupsOfALostDomainAreRebuiltInAnotherDomain() {
+		GroupTrial trial = GroupTrials.formed(3, 2, 0);
 		TrialEngine head = engine(trial, first(trial).head());
 		trial.engines()
 			.values()
 			.stream()
 			.filter((each) -> each.domain().equals(head.domain()))
 			.forEach((each) -> trial.vms().die(each, false));
-		trial.run(REPAIRED);
+		trial.run(REPAIR_TIME);
 		Assertions.assertThat(groups(trial)).hasSize(2).allMatch((group) -> group.phase() == GroupPhase.SERVING);
 		Assertions.assertThat(downtime(trial, Duration.ofSeconds(5))).isZero();
 	}
 
 	// Two groups lose a member each, and no VM is left over.
 	@Test
-	void ofTwoBrokenGroupsOneServesWithTheOthersMembers() {
-		GroupTrial trial = Trials.formed(4, 4, 0);
+	void aBrokenGroupServesAgainWithMembersOfAnotherOne() {
+		GroupTrial trial = GroupTrials.formed(4, 4, 0);
 		for (GroupRecord record : groups(trial)) {
 			if (engine(trial, record.head()).domain().equals(engine(trial, first(trial).head()).domain())) {
 				trial.vms().die(engine(trial, record.members().get(1)), true);
 			}
 		}
-		trial.run(REPAIRED);
+		trial.run(REPAIR_TIME);
 		Assertions.assertThat(downtime(trial, Duration.ofSeconds(10))).isEqualTo(10);
 	}
 
 	@Test
-	void aVmThatDiesDuringTheLoadIsReplaced() {
-		GroupTrial trial = Trials.create(5);
-		trial.file(Trials.service("1"), Trials.set(1, 0));
+	void aVmThatFailsDuringTheLoadIsReplaced() {
+		GroupTrial trial = GroupTrials.create(5);
+		trial.file(GroupTrials.service("1"), GroupTrials.set(1, 0));
 		trial.run(Duration.ofSeconds(6));
 		trial.vms().die(engine(trial, first(trial).members().get(1)), true);
-		trial.run(REPAIRED);
+		trial.run(REPAIR_TIME);
 		Assertions.assertThat(downtime(trial, Duration.ofSeconds(5))).isZero();
 	}
 
 	// The engine process restarts within a second: the VM answers again, at the same
 	// address and under the same name, but has lost its group.
 	@Test
-	void aReplacedVmUnderTheSameNameIsNoMember() {
-		GroupTrial trial = Trials.formed(6, 1, 0);
+	void aRestartedVmIsNoLongerAMember() {
+		GroupTrial trial = GroupTrials.formed(6, 1, 0);
 		long generation = first(trial).identity().generation();
 		TrialEngine member = engine(trial, first(trial).members().get(1));
 		trial.vms().die(member, true);
 		member.restart();
-		trial.run(REPAIRED);
+		trial.run(REPAIR_TIME);
 		Assertions.assertThat(trial.figures().violations()).isEmpty();
 		Assertions.assertThat(first(trial).identity().generation()).isGreaterThan(generation);
 		Assertions.assertThat(downtime(trial, Duration.ofSeconds(5))).isZero();
@@ -152,8 +152,8 @@
 
 	// One node loses its link to a member. The other one still sees it.
 	@Test
-	void oneObserversCutLinkStopsNoGroup() {
-		GroupTrial trial = Trials.formed(7, 1, 0);
+	void aPartitionBetweenOneObserverAndAMemberStopsNoGroup() {
+		GroupTrial trial = GroupTrials.formed(7, 1, 0);
 		for (TrialNode node : trial.nodes()) {
 			node.cutFrom(first(trial).members().get(1), true);
 			Assertions.assertThat(downtime(trial, Duration.ofSeconds(40))).isZero();
@@ -164,13 +164,13 @@
 	// The controller loses its links to the other node and to a member, both at once. The
 	// other node still sees the member and sends work to its group.
 	@Test
-	void aControllerCutOffFromItsPeersBelievesNoSilence() {
-		GroupTrial trial = Trials.formed(7, 1, 0);
+	void aControllerPartitionedFromItsPeersIgnoresSilence() {
+		GroupTrial trial = GroupTrials.formed(7, 1, 0);
 		long generation = allocation(trial).nextGeneration();
 		TrialNode controller = trial.nodes().stream().filter((node) -> node.controls(trial.now())).findFirst().get();
 		controller.cutFromPeers(true);
 		controller.cutFrom(first(trial).members().get(1), true);
-		trial.run(REPAIRED);
+		trial.run(REPAIR_TIME);
 		controller.cutFromPeers(false);
 		trial.run(Duration.ofSeconds(5));
 		Assertions.assertThat(allocation(trial).nextGeneration()).isEqualTo(generation);
@@ -179,36 +179,36 @@
 	// All nodes of the data centre stop for half a minute, as when their host is frozen.
 	// On waking every sight is old, and every VM looks dead.
 	@Test
-	void aPauseOfAllNodesRebuildsNothing() {
-		GroupTrial trial = Trials.formed(8, 3, 0);
+	void aPauseOfAllNodesCausesNoRebuild() {
+		GroupTrial trial = GroupTrials.formed(8, 3, 0);
 		long generation = allocation(trial).nextGeneration();
 		trial.nodes().forEach((node) -> node.pause(trial.now().plusSeconds(30)));
-		trial.run(REPAIRED);
+		trial.run(REPAIR_TIME);
 		Assertions.assertThat(allocation(trial).nextGeneration()).isEqualTo(generation);
 	}
 
 	// The nodes' own switch fails: no VM answers any of them.
 	@Test
-	void aCutFromAllVmsRebuildsNothing() {
-		GroupTrial trial = Trials.formed(9, 3, 0);
+	void aPartitionFromAllVmsCausesNoRebuild() {
+		GroupTrial trial = GroupTrials.formed(9, 3, 0);
 		long generation = allocation(trial).nextGeneration();
-		cutAll(trial, true);
-		trial.run(REPAIRED);
-		cutAll(trial, false);
+		partitionAll(trial, true);
+		trial.run(REPAIR_TIME);
+		partitionAll(trial, false);
 		trial.run(Duration.ofSeconds(5));
 		Assertions.assertThat(allocation(trial).nextGeneration()).isEqualTo(generation);
 	}
 
-	private static void cutAll(GroupTrial trial, boolean isCut) {
+	private static void partitionAll(GroupTrial trial, boolean isPartitioned) {
 		List<VmName> vms = List.copyOf(trial.engines().keySet());
-		trial.nodes().forEach((node) -> vms.forEach((vm) -> node.cutFrom(vm, isCut)));
+		trial.nodes().forEach((node) -> vms.forEach((vm) -> node.cutFrom(vm, isPartitioned)));
 	}
 
 	// A node that controlled the groups a while ago, and saw a VM silent then, takes the
 	// lease again. The VM has been back for long.
 	@Test
-	void aNewTermDecidesOnNothingWatchedInAnEarlierOne() {
-		GroupTrial trial = Trials.formed(10, 1, 0);
+	void aNewLeaseIgnoresSilenceObservedDuringAnEarlierOne() {
+		GroupTrial trial = GroupTrials.formed(10, 1, 0);
 		TrialNode controller = trial.nodes().stream().filter((node) -> node.controls(trial.now())).findFirst().get();
 		engine(trial, first(trial).members().get(1)).pause(trial.now().plusSeconds(8));
 		trial.run(Duration.ofSeconds(7));
@@ -217,7 +217,7 @@
 		long generation = allocation(trial).nextGeneration();
 		TrialNode other = trial.nodes().stream().filter((node) -> node != controller).findFirst().get();
 		other.pause(trial.now().plusSeconds(20));
-		trial.run(REPAIRED);
+		trial.run(REPAIR_TIME);
 		Assertions.assertThat(allocation(trial).nextGeneration()).isEqualTo(generation);
 	}
 
@@ -226,20 +226,20 @@
 	@Test
 	void groupsServeThroughAnOutageOfThePlatform() {
 		FaultyTrialPlatform platform = FaultyTrialPlatform.create(11);
-		GroupTrial trial = Trials.create(11, platform);
-		trial.file(Trials.service("1"), Trials.set(3, 0));
-		trial.run(Trials.FORMED);
+		GroupTrial trial = GroupTrials.create(11, platform);
+		trial.file(GroupTrials.service("1"), GroupTrials.set(3, 0));
+		trial.run(GroupTrials.FORMED);
 		platform.faults().down(true);
-		Assertions.assertThat(downtime(trial, REPAIRED)).isZero();
+		Assertions.assertThat(downtime(trial, REPAIR_TIME)).isZero();
 	}
 
 	// Every second answer of the platform is lost although the write took effect.
 	@Test
-	void lostAnswersFormNoGroupTwice() {
+	void lostResponsesDoNotFormAGroupTwice() {
 		FaultyTrialPlatform platform = FaultyTrialPlatform.create(12);
-		GroupTrial trial = Trials.create(12, platform);
+		GroupTrial trial = GroupTrials.create(12, platform);
 		platform.faults().faults(0, 0.5, 0);
-		trial.file(Trials.service("1"), Trials.set(3, 0));
+		trial.file(GroupTrials.service("1"), GroupTrials.set(3, 0));
 		trial.run(Duration.ofMinutes(4));
 		Assertions.assertThat(groups(trial)).hasSize(3);
 		Assertions.assertThat(allocation(trial).nextGeneration()).isEqualTo(4);
@@ -247,16 +247,16 @@
 
 	// A controller is paused while a group loads; another one takes over.
 	@Test
-	void aLoadUnderWayIsNotStartedAgainByANewController() {
-		GroupTrial trial = Trials.create(13);
+	void aNewControllerDoesNotRestartALoadInProgress() {
+		GroupTrial trial = GroupTrials.create(13);
 		trial.engines().values().forEach(TrialEngine::ignoreFencing);
-		trial.file(Trials.service("1"), Trials.set(1, 0));
+		trial.file(GroupTrials.service("1"), GroupTrials.set(1, 0));
 		trial.run(Duration.ofSeconds(6));
 		trial.nodes()
 			.stream()
 			.filter((node) -> node.controls(trial.now()))
 			.forEach((node) -> node.pause(trial.now().plusSeconds(30)));
-		trial.run(REPAIRED);
+		trial.run(REPAIR_TIME);
 		Assertions.assertThat(first(trial).phase()).isEqualTo(GroupPhase.SERVING);
 		Assertions.assertThat(trial.engines().values()).allMatch((each) -> each.loads() <= 1);
 	}
--- a/src/test/java/sycamorehill/logic/group/Trials.java
+++ b/src/test/java/sycamorehill/logic/group/GroupTrials.java
@@ -18,13 +18,13 @@
  * Small trials for tests: one data centre, two nodes, two domains of six VMs, groups of
  * three.
  */
-final class Trials {
+final class GroupTrials {
 
 	static final DataCentreName DATA_CENTRE = DataCentreName.of("dc0");
 
 	static final Duration FORMED = Duration.ofSeconds(60);
 
-	private Trials() {
+	private GroupTrials() {
 	}
 
 	static GroupTrial create(long seed) {
--- a/src/test/java/sycamorehill/logic/group/SpreadGroupsTests.java
+++ b/src/test/java/sycamorehill/logic/group/PublishedGroupsTests.java
@@ -14,42 +14,42 @@
 import sycamorehill.model.peer.GroupSetSights;
 import sycamorehill.model.peer.GroupsSent;
 
-class SpreadGroupsTests {
+class PublishedGroupsTests {
 
 	private static final GroupSetName SET = GroupSetName.of("drafts");
 
 	private static final GroupName NAME = GroupName.of(SET, 0);
 
 	private static GroupsSent message(long version, long generation, int age) {
-		GroupSetSights sights = new GroupSetSights(SET, List.of(0), List.of(generation), List.of(age), List.of(0),
+		GroupSetSights observations = new GroupSetSights(SET, List.of(0), List.of(generation), List.of(age), List.of(0),
 				List.of(0), List.of(0), List.of(0L));
 		return new GroupsSent(DataCentreName.of("dc0"), NodeIncarnation.of(NodeName.of("n"), 1), 1, 0, version, 0,
-				List.of(sights), List.of());
+				List.of(observations), List.of());
 	}
 
-	private static SpreadGroups received(SpreadGroups groups, GroupsSent message, int second) {
-		return groups.received(message, Instant.ofEpochSecond(second));
+	private static PublishedGroups withMessage(PublishedGroups groups, GroupsSent message, int second) {
+		return groups.withMessage(message, Instant.ofEpochSecond(second));
 	}
 
 	// A steward that lags behind tells of a group that has been given up since.
 	@Test
-	void aMessageOnAnOlderAllocationIsPassedOver() {
-		SpreadGroups groups = received(SpreadGroups.none(), message(8, 4, 0), 1);
-		Assertions.assertThat(received(groups, message(7, 3, 0), 2)).isEqualTo(groups);
+	void aMessageBasedOnAnOlderAllocationIsIgnored() {
+		PublishedGroups groups = withMessage(PublishedGroups.none(), message(8, 4, 0), 1);
+		Assertions.assertThat(withMessage(groups, message(7, 3, 0), 2)).isEqualTo(groups);
 	}
 
 	@Test
-	void aMessageOnANewerAllocationDropsWhatItDoesNotName() {
-		SpreadGroups groups = received(SpreadGroups.none(), message(8, 4, 0), 1);
+	void aMessageBasedOnANewerAllocationRemovesGroupsItDoesNotList() {
+		PublishedGroups groups = withMessage(PublishedGroups.none(), message(8, 4, 0), 1);
 		GroupsSent none = new GroupsSent(DataCentreName.of("dc0"), NodeIncarnation.of(NodeName.of("n"), 1), 2, 0, 9, 0,
 				List.of(), List.of());
-		Assertions.assertThat(received(groups, none, 2).groups()).isEmpty();
+		Assertions.assertThat(withMessage(groups, none, 2).groups()).isEmpty();
 	}
 
 	@Test
-	void ofTwoStewardsTheFresherSightCounts() {
-		SpreadGroups groups = received(SpreadGroups.none(), message(8, 4, 200), 3);
-		Assertions.assertThat(received(groups, message(8, 4, 4000), 4).groups().get(NAME).seenAt())
+	void theMostRecentObservationOfTwoStewardsIsUsed() {
+		PublishedGroups groups = withMessage(PublishedGroups.none(), message(8, 4, 200), 3);
+		Assertions.assertThat(withMessage(groups, message(8, 4, 4000), 4).groups().get(NAME).seenAt())
 			.isEqualTo(Instant.ofEpochMilli(2800));
 	}
 
