--- a/src/main/java/sycamorehill/logic/dispatch/Admission.java
+++ b/src/main/java/sycamorehill/logic/dispatch/Admission.java
@@ -19,52 +19,53 @@
 	 * Requests with a target, against its slots, up to which one that will be late is
 	 * taken: one slot of ten is kept for those that can be in time.
 	 */
-	private static final double MOST_LATE = 0.9;
+	private static final double MAXIMUM_LOAD_FOR_LATE = 0.9;
 
 	/** The same for callers that were refused before. */
-	private static final double MOST_RETURNING = 1.0;
+	private static final double MAXIMUM_LOAD_FOR_RETRIES = 1.0;
 
 	/** The same for streams that have begun. */
-	private static final double MOST_BEGUN = 1.4;
+	private static final double MAXIMUM_LOAD_FOR_STARTED_STREAMS = 1.4;
 
 	/**
 	 * Part of the route's time that a caller has left when it comes for the first time;
 	 * one that comes back has waited for some of it.
 	 */
-	private static final double FIRST_COME = 0.97;
+	private static final double MINIMUM_TIMEOUT_SHARE_OF_NEW_REQUESTS = 0.97;
 
 	/** Part of the time left within which the answer must begin. */
-	private static final double USABLE_TIME = 0.5;
+	private static final double MAXIMUM_FIRST_ANSWER_SHARE = 0.5;
 
 	private Admission() {
 	}
 
-	static Entrance decide(Outlook outlook) {
-		if (outlook.expectedFirst().toMillis() > USABLE_TIME * outlook.left().toMillis()) {
-			return Entrance.REFUSED;
+	static Decision decide(Estimate estimate) {
+		if (estimate.timeToFirstAnswer().toMillis() > MAXIMUM_FIRST_ANSWER_SHARE * estimate.timeLeft().toMillis()) {
+			return Decision.REFUSED;
 		}
-		boolean inTime = !outlook.returning()
-				&& outlook.waited().plus(outlook.expectedFirst()).compareTo(outlook.target()) <= 0;
-		if (inTime) {
-			return Entrance.IN_TIME;
+		boolean onTime = !estimate.isRetry() && estimate.elapsed()
+			.plus(estimate.timeToFirstAnswer())
+			.compareTo(estimate.firstAnswerObjective()) <= 0;
+		if (onTime) {
+			return Decision.ON_TIME;
 		}
-		return (outlook.requests() < most(outlook) * outlook.slots()) ? Entrance.LATE : Entrance.REFUSED;
+		return (estimate.requests() < maximumLoad(estimate) * estimate.slots()) ? Decision.LATE : Decision.REFUSED;
 	}
 
-	private static double most(Outlook outlook) {
-		if (outlook.begun()) {
-			return MOST_BEGUN;
+	private static double maximumLoad(Estimate estimate) {
+		if (estimate.answerStarted()) {
+			return MAXIMUM_LOAD_FOR_STARTED_STREAMS;
 		}
-		return outlook.returning() ? MOST_RETURNING : MOST_LATE;
+		return estimate.isRetry() ? MAXIMUM_LOAD_FOR_RETRIES : MAXIMUM_LOAD_FOR_LATE;
 	}
 
 	/**
 	 * How a request is taken.
 	 */
-	enum Entrance {
+	enum Decision {
 
 		/** It can be in time. */
-		IN_TIME,
+		ON_TIME,
 
 		/** It will be late, and gives way to those that can be in time. */
 		LATE,
@@ -77,20 +78,21 @@
 	/**
 	 * What is known of a request and of the best target for it.
 	 *
-	 * @param expectedFirst expected time to the first answer
-	 * @param target time to the first answer that is in time
-	 * @param waited time since the request came
-	 * @param left time that the caller and the route still allow
+	 * @param timeToFirstAnswer expected time to the first answer
+	 * @param firstAnswerObjective time to the first answer that is in time
+	 * @param elapsed time since the request came
+	 * @param timeLeft time that the caller and the route still allow
 	 * @param timeout time that the route allows in all
 	 * @param requests requests that the target has
 	 * @param slots requests that it runs at once
-	 * @param begun whether the caller has part of the answer already
+	 * @param answerStarted whether the caller has part of the answer already
 	 */
-	record Outlook(Duration expectedFirst, Duration target, Duration waited, Duration left, Duration timeout,
-			int requests, int slots, boolean begun) {
+	record Estimate(Duration timeToFirstAnswer, Duration firstAnswerObjective, Duration elapsed, Duration timeLeft,
+			Duration timeout, int requests, int slots, boolean answerStarted) {
 
-		private boolean returning() {
-			return this.left.plus(this.waited).toMillis() < FIRST_COME * this.timeout.toMillis();
+		private boolean isRetry() {
+			return this.timeLeft.plus(this.elapsed).toMillis() < MINIMUM_TIMEOUT_SHARE_OF_NEW_REQUESTS
+					* this.timeout.toMillis();
 		}
 
 	}
--- a/src/main/java/sycamorehill/logic/dispatch/ActiveRequest.java
+++ b/src/main/java/sycamorehill/logic/dispatch/DispatchedRequest.java
@@ -15,7 +15,7 @@
 /**
  * A request between its arrival and its final answer.
  */
-final class ActiveRequest {
+final class DispatchedRequest {
 
 	private final CallerRequest request;
 
@@ -25,13 +25,13 @@
 
 	private final Optional<Workspace> workspace;
 
-	private final Instant arrived;
+	private final Instant arrivedAt;
 
-	private final Set<TargetName> avoided = new HashSet<>();
+	private final Set<TargetName> triedTargets = new HashSet<>();
 
 	private Optional<TargetName> target = Optional.empty();
 
-	private Instant attemptStarted = Instant.MIN;
+	private Instant attemptStartedAt = Instant.MIN;
 
 	private int attempts;
 
@@ -41,48 +41,48 @@
 
 	private boolean failureHeld;
 
-	private Optional<Duration> firstAnswer = Optional.empty();
+	private Optional<Duration> timeToFirstAnswer = Optional.empty();
 
-	private ActiveRequest(CallerRequest request, Route route, ServiceName service, Optional<Workspace> workspace,
-			Instant arrived) {
+	private DispatchedRequest(CallerRequest request, Route route, ServiceName service, Optional<Workspace> workspace,
+			Instant arrivedAt) {
 		this.request = request;
 		this.route = route;
 		this.service = service;
 		this.workspace = workspace;
-		this.arrived = arrived;
+		this.arrivedAt = arrivedAt;
 	}
 
-	static ActiveRequest of(CallerRequest request, Route route, ServiceName service, Optional<Workspace> workspace,
-			Instant arrived) {
-		return new ActiveRequest(request, route, service, workspace, arrived);
+	static DispatchedRequest of(CallerRequest request, Route route, ServiceName service, Optional<Workspace> workspace,
+			Instant arrivedAt) {
+		return new DispatchedRequest(request, route, service, workspace, arrivedAt);
 	}
 
-	int begin(TargetName chosen, Instant now) {
+	int startAttempt(TargetName chosen, Instant now) {
 		this.target = Optional.of(chosen);
-		this.attemptStarted = now;
+		this.attemptStartedAt = now;
 		this.attempts++;
 		return this.attempts;
 	}
 
-	void ended() {
-		this.target.ifPresent(this.avoided::add);
+	void endAttempt() {
+		this.target.ifPresent(this.triedTargets::add);
 		this.target = Optional.empty();
 	}
 
-	void reachedTarget() {
+	void countReachedTarget() {
 		this.targetsReached++;
 	}
 
-	void ran() {
+	void markMayHaveRun() {
 		this.mayHaveRun = true;
 	}
 
-	void holdFailure() {
+	void markFailureHeld() {
 		this.failureHeld = true;
 	}
 
-	void answerBegan(Duration time) {
-		this.firstAnswer = Optional.of(time);
+	void markAnswerStarted(Duration elapsed) {
+		this.timeToFirstAnswer = Optional.of(elapsed);
 	}
 
 	CallerRequest request() {
@@ -101,20 +101,20 @@
 		return this.workspace;
 	}
 
-	Instant arrived() {
-		return this.arrived;
+	Instant arrivedAt() {
+		return this.arrivedAt;
 	}
 
-	Set<TargetName> avoided() {
-		return this.avoided;
+	Set<TargetName> triedTargets() {
+		return this.triedTargets;
 	}
 
 	Optional<TargetName> target() {
 		return this.target;
 	}
 
-	Instant attemptStarted() {
-		return this.attemptStarted;
+	Instant attemptStartedAt() {
+		return this.attemptStartedAt;
 	}
 
 	int attempts() {
@@ -133,12 +133,12 @@
 		return this.failureHeld;
 	}
 
-	boolean answerBegun() {
-		return this.firstAnswer.isPresent();
+	boolean answerStarted() {
+		return this.timeToFirstAnswer.isPresent();
 	}
 
-	Optional<Duration> firstAnswer() {
-		return this.firstAnswer;
+	Optional<Duration> timeToFirstAnswer() {
+		return this.timeToFirstAnswer;
 	}
 
 	/**
@@ -147,10 +147,10 @@
 	 * @return the time left, negative once it is over
 	 */
 	Duration timeLeft(Instant now) {
-		return bound().minus(Duration.between(this.arrived, now));
+		return effectiveTimeout().minus(Duration.between(this.arrivedAt, now));
 	}
 
-	Duration bound() {
+	Duration effectiveTimeout() {
 		Duration timeout = this.route.timeout();
 		return this.request.timeLeft().filter((left) -> left.compareTo(timeout) < 0).orElse(timeout);
 	}
--- a/src/main/java/sycamorehill/logic/dispatch/EndedGroups.java
+++ b/src/main/java/sycamorehill/logic/dispatch/EndedGroups.java
@@ -17,13 +17,13 @@
 final class EndedGroups {
 
 	/** The directory shows an engine's change within this time, or drops the engine. */
-	private static final Duration SHOWN_WITHIN = Duration.ofSeconds(10);
+	private static final Duration MAXIMUM_DIRECTORY_DELAY = Duration.ofSeconds(10);
 
-	private final Map<GroupKey, Instant> ended = new HashMap<>();
+	private final Map<GroupKey, Instant> endedAt = new HashMap<>();
 
 	void add(String group, long epoch, Instant now) {
-		this.ended.values().removeIf((at) -> now.isAfter(at.plus(SHOWN_WITHIN)));
-		this.ended.put(new GroupKey(group, epoch), now);
+		this.endedAt.values().removeIf((at) -> now.isAfter(at.plus(MAXIMUM_DIRECTORY_DELAY)));
+		this.endedAt.put(new GroupKey(group, epoch), now);
 	}
 
 	/**
@@ -33,9 +33,9 @@
 	 * @return true if the group that it reports has ended
 	 */
 	boolean contains(Optional<Membership> head, Instant now) {
-		return !this.ended.isEmpty() && head.map(GroupKey::of)
-			.map(this.ended::get)
-			.filter((at) -> now.isBefore(at.plus(SHOWN_WITHIN)))
+		return !this.endedAt.isEmpty() && head.map(GroupKey::of)
+			.map(this.endedAt::get)
+			.filter((at) -> now.isBefore(at.plus(MAXIMUM_DIRECTORY_DELAY)))
 			.isPresent();
 	}
 
--- a/src/main/java/sycamorehill/logic/dispatch/FinalAnswers.java
+++ b/src/main/java/sycamorehill/logic/dispatch/FinalAnswers.java
@@ -29,9 +29,9 @@
 	 * When to come back if all targets are full: slots come free within a fraction of an
 	 * answer's length. The spread keeps callers apart.
 	 */
-	private static final Duration COME_BACK = Duration.ofMillis(300);
+	private static final Duration MINIMUM_RETRY_AFTER = Duration.ofMillis(300);
 
-	private static final int COME_BACK_SPREAD_MILLIS = 500;
+	private static final int RETRY_AFTER_JITTER_MILLIS = 500;
 
 	private final RandomGenerator random;
 
@@ -47,8 +47,8 @@
 	 * When a caller that was refused is asked to come back.
 	 * @return the time from now
 	 */
-	Duration comeBack() {
-		return COME_BACK.plusMillis(this.random.nextInt(COME_BACK_SPREAD_MILLIS));
+	Duration retryAfter() {
+		return MINIMUM_RETRY_AFTER.plusMillis(this.random.nextInt(RETRY_AFTER_JITTER_MILLIS));
 	}
 
 	/**
@@ -58,20 +58,20 @@
 	 * @param version the configuration that decided it
 	 * @param effects collects what is wanted
 	 */
-	void unrouted(CallerRequest request, EntryEffect.Answer answer, String version, Effects effects) {
+	void refuseUnrouted(CallerRequest request, EntryEffect.Answer answer, String version, Effects effects) {
 		effects.log(LogEvent.REQUEST_REFUSED,
 				"request=" + request.identifier() + " status=" + answer.status() + " cause='" + answer.detail()
 						+ "' host=" + request.host() + " path=" + request.path() + " configuration=" + version);
 		effects.add(answer);
 	}
 
-	void delivered(ActiveRequest request, TargetName target, AttemptEnd.Delivered delivered, Instant now,
+	void recordDelivered(DispatchedRequest request, TargetName target, AttemptEnd.Delivered delivered, Instant now,
 			Effects effects) {
 		effects.log(LogEvent.REQUEST_SERVED,
 				describe(request, now) + " target=" + target + " status=" + delivered.status() + " first-millis="
-						+ request.firstAnswer().map(Duration::toMillis).orElse(-1L) + " pause-millis="
+						+ request.timeToFirstAnswer().map(Duration::toMillis).orElse(-1L) + " pause-millis="
 						+ delivered.longestPause().toMillis());
-		finished(request, Outcome.SERVED, now, effects);
+		addFinished(request, Outcome.SERVED, now, effects);
 	}
 
 	/**
@@ -81,28 +81,28 @@
 	 * @param now the present time
 	 * @param effects collects what is wanted
 	 */
-	void givenUp(ActiveRequest request, String cause, Instant now, Effects effects) {
+	void giveUp(DispatchedRequest request, String cause, Instant now, Effects effects) {
 		long number = request.request().number();
-		boolean ran = request.answerBegun() || request.failureHeld() || request.mayHaveRun();
-		finished(request, ran ? Outcome.FAILED : Outcome.REFUSED, now, effects);
-		String line = describe(request, now) + " cause='" + cause + "'";
-		if (request.answerBegun()) {
+		boolean mayHaveRun = request.answerStarted() || request.failureHeld() || request.mayHaveRun();
+		addFinished(request, mayHaveRun ? Outcome.FAILED : Outcome.REFUSED, now, effects);
+		String fields = describe(request, now) + " cause='" + cause + "'";
+		if (request.answerStarted()) {
 			effects.add(new EntryEffect.BreakAnswer(number));
-			effects.log(LogEvent.REQUEST_FAILED, line + " outcome=broken");
+			effects.log(LogEvent.REQUEST_FAILED, fields + " outcome=broken");
 		}
 		else if (request.failureHeld()) {
 			effects.add(new EntryEffect.GiveHeldFailure(number));
-			effects.log(LogEvent.REQUEST_FAILED, line + " outcome=failure-of-target");
+			effects.log(LogEvent.REQUEST_FAILED, fields + " outcome=failure-of-target");
 		}
 		else if (request.mayHaveRun()) {
 			effects.add(new EntryEffect.Answer(number, BAD_GATEWAY, "the outcome is not known: " + cause,
 					Optional.empty()));
-			effects.log(LogEvent.REQUEST_FAILED, line + " outcome=unknown");
+			effects.log(LogEvent.REQUEST_FAILED, fields + " outcome=unknown");
 		}
 		else {
-			Duration comeBack = comeBack();
-			effects.add(new EntryEffect.Answer(number, UNAVAILABLE, "not run: " + cause, Optional.of(comeBack)));
-			effects.log(LogEvent.REQUEST_REFUSED, line + " come-back-millis=" + comeBack.toMillis());
+			Duration retryAfter = retryAfter();
+			effects.add(new EntryEffect.Answer(number, UNAVAILABLE, "not run: " + cause, Optional.of(retryAfter)));
+			effects.log(LogEvent.REQUEST_REFUSED, fields + " come-back-millis=" + retryAfter.toMillis());
 		}
 	}
 
@@ -112,21 +112,21 @@
 	 * @param now the present time
 	 * @param effects collects what is wanted
 	 */
-	void timeOver(ActiveRequest request, Instant now, Effects effects) {
-		finished(request, Outcome.FAILED, now, effects);
+	void answerTimeout(DispatchedRequest request, Instant now, Effects effects) {
+		addFinished(request, Outcome.FAILED, now, effects);
 		effects.add(new EntryEffect.Answer(request.request().number(), GATEWAY_TIMEOUT, "no answer in time",
 				Optional.empty()));
 		effects.log(LogEvent.REQUEST_FAILED, describe(request, now) + " cause='time is over' outcome=unknown");
 	}
 
-	void abandoned(ActiveRequest request, Instant now, Effects effects) {
+	void recordAbandoned(DispatchedRequest request, Instant now, Effects effects) {
 		effects.log(LogEvent.REQUEST_FAILED, describe(request, now) + " cause='caller left'");
-		finished(request, Outcome.ABANDONED, now, effects);
+		addFinished(request, Outcome.ABANDONED, now, effects);
 	}
 
-	private static void finished(ActiveRequest request, Outcome outcome, Instant now, Effects effects) {
-		effects.add(new EntryEffect.Finished(request.service(), outcome, Duration.between(request.arrived(), now),
-				request.firstAnswer()));
+	private static void addFinished(DispatchedRequest request, Outcome outcome, Instant now, Effects effects) {
+		effects.add(new EntryEffect.Finished(request.service(), outcome, Duration.between(request.arrivedAt(), now),
+				request.timeToFirstAnswer()));
 	}
 
 	/**
@@ -135,10 +135,11 @@
 	 * @param now the present time
 	 * @return the fields
 	 */
-	static String describe(ActiveRequest request, Instant now) {
+	static String describe(DispatchedRequest request, Instant now) {
 		return "request=" + request.request().identifier() + " route=" + request.route().name() + " service="
 				+ request.service() + request.request().model().map((model) -> " model=" + model).orElse("")
-				+ " attempts=" + request.attempts() + " millis=" + Duration.between(request.arrived(), now).toMillis();
+				+ " attempts=" + request.attempts() + " millis="
+				+ Duration.between(request.arrivedAt(), now).toMillis();
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/dispatch/Placement.java
+++ b/src/main/java/sycamorehill/logic/dispatch/Placement.java
@@ -25,65 +25,65 @@
 	 * twice, for a new connection and for the request, and the cost of bytes between
 	 * them.
 	 */
-	private static final double OTHER_DATA_CENTRE_MILLIS = 30;
+	private static final double REMOTE_DATA_CENTRE_PENALTY_MILLIS = 30;
 
 	/** What a target that fails every request would be behind by. */
-	private static final double FAILURE_MILLIS = 2000;
+	private static final double FAILURE_PENALTY_MILLIS = 2000;
 
 	/** Spread of the random part that keeps nodes from choosing alike. */
-	private static final double SPREAD_MILLIS = 8;
+	private static final double JITTER_MILLIS = 8;
 
 	/**
 	 * How steeply the expected wait grows as a target fills: what is known of its load is
 	 * old, so that a target with one free slot often has none.
 	 */
-	private static final int FILLING = 6;
+	private static final int LOAD_EXPONENT = 6;
 
 	/**
 	 * Time to a first event that the engines' figures don't explain. First events that
 	 * are seen take its place where they take longer.
 	 */
-	private static final double FIRST_EVENT_MILLIS = 110;
+	private static final double FIRST_EVENT_OVERHEAD_MILLIS = 110;
 
 	/** Time in the target when nothing is known of it yet. */
-	private static final double UNKNOWN_ANSWER_MILLIS = 30;
+	private static final double DEFAULT_ANSWER_MILLIS = 30;
 
 	/**
 	 * Nodes that may all compare all targets. More of them see the same target free in
 	 * reports some hundred milliseconds old, and all send there.
 	 */
-	private static final int NODES_COMPARING_ALL = 12;
+	private static final int MAXIMUM_NODES_COMPARING_ALL = 12;
 
 	/**
 	 * Targets of the own data centre that one of many nodes compares, drawn anew for each
 	 * request: each node finds a target with a free slot, and few nodes the same one.
 	 */
-	private static final int COMPARED_NEAR = 4;
+	private static final int LOCAL_SAMPLE_SIZE = 4;
 
 	/** The same of other data centres, so that a full data centre spills over. */
-	private static final int COMPARED_FAR = 1;
+	private static final int REMOTE_SAMPLE_SIZE = 1;
 
-	private final DataCentreName own;
+	private final DataCentreName localDataCentre;
 
 	private final RandomGenerator random;
 
-	private int nodes = 1;
+	private int nodeCount = 1;
 
-	private Placement(DataCentreName own, RandomGenerator random) {
-		this.own = own;
+	private Placement(DataCentreName localDataCentre, RandomGenerator random) {
+		this.localDataCentre = localDataCentre;
 		this.random = random;
 	}
 
-	static Placement of(DataCentreName own, RandomGenerator random) {
-		return new Placement(own, random);
+	static Placement of(DataCentreName localDataCentre, RandomGenerator random) {
+		return new Placement(localDataCentre, random);
 	}
 
 	/**
 	 * Notes how many nodes place requests.
-	 * @param living the nodes that live
+	 * @param liveNodes the nodes that live
 	 */
-	void nodes(int living) {
-		this.nodes = living;
+	void setNodeCount(int liveNodes) {
+		this.nodeCount = liveNodes;
 	}
 
 	/**
@@ -91,101 +91,104 @@
 	 * @param candidates all targets
 	 * @return some of them, or all where few nodes place requests
 	 */
-	List<Candidate> draw(List<Candidate> candidates) {
-		if (fewNodes()) {
+	List<Candidate> sample(List<Candidate> candidates) {
+		if (hasFewNodes()) {
 			return candidates;
 		}
-		List<Candidate> drawn = new ArrayList<>();
-		drawn.addAll(draw(candidates, true, COMPARED_NEAR));
-		drawn.addAll(draw(candidates, false, COMPARED_FAR));
-		return drawn;
+		List<Candidate> sampled = new ArrayList<>();
+		sampled.addAll(sample(candidates, true, LOCAL_SAMPLE_SIZE));
+		sampled.addAll(sample(candidates, false, REMOTE_SAMPLE_SIZE));
+		return sampled;
 	}
 
-	private List<Candidate> draw(List<Candidate> candidates, boolean near, int number) {
-		List<Candidate> left = new ArrayList<>(candidates);
-		left.removeIf((candidate) -> candidate.entry().dataCentre().equals(this.own) != near);
-		List<Candidate> drawn = new ArrayList<>();
-		while (drawn.size() < number && !left.isEmpty()) {
-			drawn.add(left.remove(this.random.nextInt(left.size())));
+	private List<Candidate> sample(List<Candidate> candidates, boolean local, int size) {
+		List<Candidate> remaining = new ArrayList<>(candidates);
+		remaining.removeIf((candidate) -> candidate.entry().dataCentre().equals(this.localDataCentre) != local);
+		List<Candidate> sampled = new ArrayList<>();
+		while (sampled.size() < size && !remaining.isEmpty()) {
+			sampled.add(remaining.remove(this.random.nextInt(remaining.size())));
 		}
-		return drawn;
+		return sampled;
 	}
 
 	/**
 	 * Chooses among targets.
 	 * @param candidates the targets
-	 * @param avoided targets that have failed this request
-	 * @param loads what is known of targets
+	 * @param excluded targets that have failed this request
+	 * @param statuses what is known of targets
 	 * @param size the request's size
 	 * @param now the present time
 	 * @return the target expected to answer first; empty if none may be given work
 	 */
-	Optional<Choice> choose(List<Candidate> candidates, Set<TargetName> avoided, Map<TargetName, TargetLoad> loads,
-			Optional<PromptSize> size, Instant now) {
+	Optional<Choice> choose(List<Candidate> candidates, Set<TargetName> excluded,
+			Map<TargetName, TargetStatus> statuses, Optional<PromptSize> size, Instant now) {
 		Choice best = null;
-		double least = Double.MAX_VALUE;
+		double lowestScore = Double.MAX_VALUE;
 		for (Candidate candidate : candidates) {
-			TargetLoad load = loads.get(candidate.entry().name());
-			if (avoided.contains(candidate.entry().name()) || (load != null && load.isAside(now))) {
+			TargetStatus status = statuses.get(candidate.entry().name());
+			if (excluded.contains(candidate.entry().name()) || (status != null && status.isEjected(now))) {
 				continue;
 			}
-			double wait = waitMillis(candidate, load, now);
-			double first = wait + runMillis(candidate, load, size, now);
-			double score = first + handicap(candidate, load);
-			if (score < least) {
-				least = score;
-				best = new Choice(candidate, millis(wait), millis(first));
+			double queueing = queueingMillis(candidate, status, now);
+			double timeToFirstAnswer = queueing + timeToFirstAnswerMillis(candidate, status, size, now);
+			double score = timeToFirstAnswer + penaltyMillis(candidate, status);
+			if (score < lowestScore) {
+				lowestScore = score;
+				best = new Choice(candidate, ofMillis(queueing), ofMillis(timeToFirstAnswer));
 			}
 		}
 		return Optional.ofNullable(best);
 	}
 
-	private double handicap(Candidate candidate, TargetLoad load) {
-		double handicap = this.random.nextDouble() * SPREAD_MILLIS;
-		if (!candidate.entry().dataCentre().equals(this.own)) {
-			handicap += OTHER_DATA_CENTRE_MILLIS;
+	private double penaltyMillis(Candidate candidate, TargetStatus status) {
+		double penalty = this.random.nextDouble() * JITTER_MILLIS;
+		if (!candidate.entry().dataCentre().equals(this.localDataCentre)) {
+			penalty += REMOTE_DATA_CENTRE_PENALTY_MILLIS;
 		}
-		if (load != null) {
-			handicap += load.failureShare() * FAILURE_MILLIS;
+		if (status != null) {
+			penalty += status.failureRate() * FAILURE_PENALTY_MILLIS;
 		}
-		return handicap;
+		return penalty;
 	}
 
-	private static double waitMillis(Candidate candidate, TargetLoad load, Instant now) {
-		if (load == null) {
+	private static double queueingMillis(Candidate candidate, TargetStatus status, Instant now) {
+		if (status == null) {
 			return 0;
 		}
-		double slotFreeEvery = answerMillis(candidate, load) / candidate.slots();
-		int requests = load.requests(now);
-		int ahead = requests + 1 - candidate.slots();
-		double queue = (ahead > 0) ? ahead : 0;
-		return slotFreeEvery * (queue + Math.pow(Math.min(1, (double) requests / candidate.slots()), FILLING));
+		double millisPerFreeSlot = slotHoldMillis(candidate, status) / candidate.slots();
+		int requests = status.requests(now);
+		int excess = requests + 1 - candidate.slots();
+		double queued = (excess > 0) ? excess : 0;
+		return millisPerFreeSlot
+				* (queued + Math.pow(Math.min(1, (double) requests / candidate.slots()), LOAD_EXPONENT));
 	}
 
 	// Time that a request holds its slot.
-	private static double answerMillis(Candidate candidate, TargetLoad load) {
+	private static double slotHoldMillis(Candidate candidate, TargetStatus status) {
 		if (candidate.engines().isEmpty()) {
-			return (load.firstAnswerMillis() > 0) ? load.firstAnswerMillis() : UNKNOWN_ANSWER_MILLIS;
+			return (status.firstAnswerMillis() > 0) ? status.firstAnswerMillis() : DEFAULT_ANSWER_MILLIS;
 		}
 		EngineFigures engines = candidate.engines().get();
 		return engines.usualAnswer() * stepMillis(engines, candidate.model().orElseThrow(), candidate.slots());
 	}
 
-	private static double runMillis(Candidate candidate, TargetLoad load, Optional<PromptSize> size, Instant now) {
+	private static double timeToFirstAnswerMillis(Candidate candidate, TargetStatus status, Optional<PromptSize> size,
+			Instant now) {
 		if (candidate.engines().isEmpty()) {
-			return (load != null && load.firstAnswerMillis() > 0) ? load.firstAnswerMillis() : UNKNOWN_ANSWER_MILLIS;
+			return (status != null && status.firstAnswerMillis() > 0) ? status.firstAnswerMillis()
+					: DEFAULT_ANSWER_MILLIS;
 		}
 		EngineFigures engines = candidate.engines().get();
 		ModelFigures model = candidate.model().orElseThrow();
-		int running = (load != null) ? Math.min(load.requests(now), candidate.slots()) : 0;
-		double reading = reading(engines, model, size).toNanos() / 1e6;
-		double unread = (load != null) ? load.unread(now).toNanos() / 1e6 : 0;
-		double predicted = FIRST_EVENT_MILLIS * model.pace() + unread + reading
-				+ engines.stride() * stepMillis(engines, model, running);
+		int runningRequests = (status != null) ? Math.min(status.requests(now), candidate.slots()) : 0;
+		double prefill = prefillTime(engines, model, size).toNanos() / 1e6;
+		double prefillLeft = (status != null) ? status.prefillLeft(now).toNanos() / 1e6 : 0;
+		double predicted = FIRST_EVENT_OVERHEAD_MILLIS * model.pace() + prefillLeft + prefill
+				+ engines.stride() * stepMillis(engines, model, runningRequests);
 		// An engine that is slower than its figures shows in the time of its first
 		// events.
-		double seen = (load != null) ? load.firstAnswerMillis() : 0;
-		return Math.max(predicted, seen + unread);
+		double observed = (status != null) ? status.firstAnswerMillis() : 0;
+		return Math.max(predicted, observed + prefillLeft);
 	}
 
 	/**
@@ -195,24 +198,24 @@
 	 * @param size the request's size
 	 * @return the time
 	 */
-	static Duration reading(EngineFigures engines, ModelFigures model, Optional<PromptSize> size) {
+	static Duration prefillTime(EngineFigures engines, ModelFigures model, Optional<PromptSize> size) {
 		double tokens = size.map(PromptSize::promptTokens).orElse(engines.usualPrompt());
-		return millis(tokens / engines.readTokensPerSecond() * 1000 * model.pace());
+		return ofMillis(tokens / engines.readTokensPerSecond() * 1000 * model.pace());
 	}
 
 	/**
 	 * Whether so few nodes place requests that each tells the others of every request.
 	 * @return true for few nodes
 	 */
-	boolean fewNodes() {
-		return this.nodes <= NODES_COMPARING_ALL;
+	boolean hasFewNodes() {
+		return this.nodeCount <= MAXIMUM_NODES_COMPARING_ALL;
 	}
 
-	private static double stepMillis(EngineFigures engines, ModelFigures model, int running) {
-		return engines.step(running, model).toNanos() / 1e6;
+	private static double stepMillis(EngineFigures engines, ModelFigures model, int runningRequests) {
+		return engines.step(runningRequests, model).toNanos() / 1e6;
 	}
 
-	private static Duration millis(double millis) {
+	private static Duration ofMillis(double millis) {
 		return Duration.ofNanos((long) (millis * 1e6));
 	}
 
@@ -220,10 +223,10 @@
 	 * A target and when its first answer is expected.
 	 *
 	 * @param candidate the target
-	 * @param queueing time in the target's queue before the request runs
-	 * @param firstAnswer time to the first answer
+	 * @param queueingTime time in the target's queue before the request runs
+	 * @param timeToFirstAnswer time to the first answer
 	 */
-	record Choice(Candidate candidate, Duration queueing, Duration firstAnswer) {
+	record Choice(Candidate candidate, Duration queueingTime, Duration timeToFirstAnswer) {
 	}
 
 }
--- /dev/null
+++ b/src/main/java/sycamorehill/logic/dispatch/RequestDispatcher.java
@@ -0,0 +1,566 @@
+package sycamorehill.logic.dispatch;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.random.RandomGenerator;
+
+import sycamorehill.logic.Effects;
+import sycamorehill.logic.directory.TargetDirectory;
+import sycamorehill.model.identity.ServiceName;
+import sycamorehill.model.identity.TargetName;
+import sycamorehill.model.log.LogEvent;
+import sycamorehill.model.serving.AttemptEnd;
+import sycamorehill.model.serving.CallerRequest;
+import sycamorehill.model.serving.Configuration;
+import sycamorehill.model.serving.EngineFigures;
+import sycamorehill.model.serving.EntryEffect;
+import sycamorehill.model.serving.EntryEvent;
+import sycamorehill.model.serving.EntrySettings;
+import sycamorehill.model.serving.NodeMessage;
+import sycamorehill.model.serving.NodeRecord;
+import sycamorehill.model.serving.NotRunCause;
+import sycamorehill.model.serving.RequestKind;
+import sycamorehill.model.serving.ServiceFigures;
+import sycamorehill.model.serving.TargetAddress;
+import sycamorehill.model.serving.TargetEntry;
+import sycamorehill.model.serving.Workspace;
+
+/**
+ * Leads each request from its arrival to its final answer: finds its route and workspace,
+ * chooses targets, sends again where that is safe, and refuses what can't be served.
+ */
+public final class RequestDispatcher {
+
+	private static final int UNAVAILABLE = 503;
+
+	/**
+	 * Attempts that reached no target, such as refused connections, before a request is
+	 * given up; they cost a connection each and run nothing.
+	 */
+	private static final int MAXIMUM_UNREACHED_ATTEMPTS = 4;
+
+	/** Ranks that targets know, 0 to 9; without one a request has rank 5. */
+	private static final int LOWEST_PRIORITY = 9;
+
+	/**
+	 * The last rank of requests that can be in time; those that will be late come after
+	 * it.
+	 */
+	private static final int LOWEST_ON_TIME_PRIORITY = 8;
+
+	/**
+	 * A rank of the workspace goes before any rank of the route, of which 3 are told
+	 * apart.
+	 */
+	private static final int PRIORITIES_PER_WORKSPACE = 3;
+
+	/**
+	 * How long a target that said it is full gets no more work: about one step of its
+	 * batch.
+	 */
+	private static final Duration FULL_TARGET_EJECTION = Duration.ofMillis(60);
+
+	/** How long a target that is not what the directory says gets no work. */
+	private static final Duration WRONG_TARGET_EJECTION = Duration.ofMillis(500);
+
+	/**
+	 * How long a target whose answers have all paused gets no work, unless it answers.
+	 */
+	private static final Duration SILENT_TARGET_EJECTION = Duration.ofSeconds(2);
+
+	/**
+	 * When a caller that another node serves may come back: at once, but not in a loop.
+	 */
+	private static final Duration RETRY_ELSEWHERE_AFTER = Duration.ofMillis(50);
+
+	private final String nodeName;
+
+	private final TargetDirectory directory;
+
+	private final TargetSelector targetSelector;
+
+	private final RandomGenerator random;
+
+	private final Map<Long, DispatchedRequest> activeRequests = new HashMap<>();
+
+	private final RetryBudgets retryBudgets;
+
+	private final FinalAnswers finalAnswers;
+
+	private final CrashHistory crashHistory = CrashHistory.create();
+
+	private final RequestRouter router;
+
+	private RequestDispatcher(EntrySettings settings, TargetDirectory directory, RandomGenerator random) {
+		this.nodeName = settings.nodeName();
+		this.retryBudgets = RetryBudgets.of(settings);
+		this.directory = directory;
+		this.targetSelector = TargetSelector.of(settings, directory, random);
+		this.finalAnswers = FinalAnswers.of(random);
+		this.router = RequestRouter.of(this.crashHistory, this.finalAnswers::retryAfter);
+		this.random = random;
+	}
+
+	/**
+	 * Creates the desk.
+	 * @param settings the node's settings
+	 * @param directory the targets seen
+	 * @param random feeds all random choices
+	 * @return the desk
+	 */
+	public static RequestDispatcher of(EntrySettings settings, TargetDirectory directory, RandomGenerator random) {
+		return new RequestDispatcher(settings, directory, random);
+	}
+
+	/**
+	 * Routes by another configuration from now on.
+	 * @param configuration the configuration
+	 */
+	public void adopt(Configuration configuration) {
+		this.router.adopt(configuration);
+	}
+
+	/**
+	 * Counts the requests without a final answer.
+	 * @return the number of requests
+	 */
+	public int activeRequests() {
+		return this.activeRequests.size();
+	}
+
+	/**
+	 * Takes a request.
+	 * @param request the request
+	 * @param arrivedAt when it came
+	 * @param now the present time
+	 * @param effects collects what is wanted
+	 */
+	public void handleRequest(CallerRequest request, Instant arrivedAt, Instant now, Effects effects) {
+		RequestRouter.Decision decision = this.router.route(request);
+		if (decision instanceof RequestRouter.Refused refused) {
+			refuseUnrouted(request, refused, effects);
+		}
+		else if (decision instanceof RequestRouter.Routed routed) {
+			dispatch(request, routed, arrivedAt, now, effects);
+		}
+	}
+
+	private void dispatch(CallerRequest request, RequestRouter.Routed routed, Instant arrivedAt, Instant now,
+			Effects effects) {
+		ServiceName service = routed.route().service(this.random.nextDouble());
+		DispatchedRequest active = DispatchedRequest.of(request, routed.route(), service, routed.workspace(),
+				arrivedAt);
+		this.activeRequests.put(request.number(), active);
+		effects.add(new EntryEffect.BoundRequest(request.number(), active.timeLeft(now)));
+		this.retryBudgets.of(service).recordRequest(now);
+		place(active, "no target can take it", now, effects);
+	}
+
+	/**
+	 * Refuses a request because this node stops; another one takes it at once.
+	 * @param request the request
+	 * @param effects collects what is wanted
+	 */
+	public void refuseStopping(CallerRequest request, Effects effects) {
+		refuseUnrouted(request,
+				new RequestRouter.Refused(UNAVAILABLE, "not run: this node stops", Optional.of(RETRY_ELSEWHERE_AFTER)),
+				effects);
+	}
+
+	private void refuseUnrouted(CallerRequest request, RequestRouter.Refused refused, Effects effects) {
+		String version = this.router.configuration().map((current) -> String.valueOf(current.version())).orElse("none");
+		this.finalAnswers.refuseUnrouted(request,
+				new EntryEffect.Answer(request.number(), refused.status(), refused.detail(), refused.retryAfter()),
+				version, effects);
+	}
+
+	private void place(DispatchedRequest active, String fallbackCause, Instant now, Effects effects) {
+		Configuration configuration = this.router.configuration().orElseThrow();
+		TargetSelector.Selection selection = this.targetSelector.select(active, configuration, now);
+		if (selection.admission() == Admission.Decision.REFUSED) {
+			giveUp(active, selection.choice().isEmpty() ? fallbackCause : "all targets are full", now, effects);
+			return;
+		}
+		int priority = (selection.admission() == Admission.Decision.LATE) ? LOWEST_PRIORITY : priority(active);
+		startAttempt(active, selection.choice().orElseThrow().candidate(), configuration, priority, now, effects);
+	}
+
+	private void startAttempt(DispatchedRequest active, Candidate candidate, Configuration configuration, int priority,
+			Instant now, Effects effects) {
+		TargetName name = candidate.entry().name();
+		int attempt = active.startAttempt(name, now);
+		this.targetSelector.recordSent(candidate, now);
+		candidate.engines().ifPresent((engines) -> recordPrefill(active, candidate, engines, now, effects));
+		int connections = configuration.service(active.service()).map(ServiceFigures::maximumConnections).orElse(1);
+		RequestKind kind = active.route().kind();
+		boolean anotherAttemptMayFollow = kind == RequestKind.IDEMPOTENT
+				&& active.targetsReached() + 1 < active.route().maximumAttempts();
+		effects.add(new EntryEffect.StartAttempt(active.request().number(), attempt,
+				new TargetAddress(name, candidate.entry().address()), connections,
+				new EntryEffect.Handling(kind, anotherAttemptMayFollow), active.workspace().map(Workspace::name),
+				priority));
+	}
+
+	// Prompts that several nodes send to one target within some milliseconds are read
+	// together, and hold up its streams. A report of the load comes too late.
+	private void recordPrefill(DispatchedRequest active, Candidate candidate, EngineFigures engines, Instant now,
+			Effects effects) {
+		TargetName name = candidate.entry().name();
+		Duration prefillTime = Placement.prefillTime(engines, candidate.model().orElseThrow(), active.request().size());
+		status(name).addPrefill(prefillTime, now);
+		if (this.targetSelector.hasFewNodes()) {
+			effects.add(new EntryEffect.TellAll(new NodeMessage.Placed(this.nodeName, name, prefillTime)));
+		}
+	}
+
+	private static int priority(DispatchedRequest active) {
+		int workspacePriority = active.workspace().map(Workspace::priority).orElse(1);
+		return Math.min(LOWEST_ON_TIME_PRIORITY,
+				workspacePriority * PRIORITIES_PER_WORKSPACE + Math.min(2, active.route().priority()));
+	}
+
+	/**
+	 * Notes the first event of an attempt's answer.
+	 * @param number the request
+	 * @param now the present time
+	 */
+	public void handleFirstEvent(long number, Instant now) {
+		DispatchedRequest request = this.activeRequests.get(number);
+		if (request == null) {
+			return;
+		}
+		if (!request.answerStarted()) {
+			request.markAnswerStarted(Duration.between(request.arrivedAt(), now));
+		}
+		request.target()
+			.ifPresent((target) -> status(target).recordFirstAnswer(Duration.between(request.attemptStartedAt(), now),
+					now));
+	}
+
+	/**
+	 * Takes the end of an attempt.
+	 * @param number the request
+	 * @param attempt the attempt's number
+	 * @param end how it ended
+	 * @param now the present time
+	 * @param effects collects what is wanted
+	 */
+	public void handleAttemptEnd(long number, int attempt, AttemptEnd end, Instant now, Effects effects) {
+		DispatchedRequest request = this.activeRequests.get(number);
+		if (request == null || request.attempts() != attempt || request.target().isEmpty()) {
+			return;
+		}
+		TargetName target = request.target().get();
+		status(target).recordEnded();
+		request.endAttempt();
+		boolean repeatable = request.route().kind().repeatable();
+		if (end instanceof AttemptEnd.Delivered delivered) {
+			handleDelivered(request, target, delivered, now, effects);
+		}
+		else if (end instanceof AttemptEnd.NotRun notRun) {
+			handleNotRun(request, target, notRun, now, effects);
+		}
+		else if (end instanceof AttemptEnd.Failed failed) {
+			request.countReachedTarget();
+			request.markMayHaveRun();
+			request.markFailureHeld();
+			retryOrGiveUp(request, target, "status " + failed.status(), repeatable, now, effects);
+		}
+		else if (end instanceof AttemptEnd.Unknown unknown) {
+			request.countReachedTarget();
+			request.markMayHaveRun();
+			status(target).recordFailure(now);
+			recordCrash(request, target, effects);
+			retryOrGiveUp(request, target, unknown.cause(), repeatable, now, effects);
+		}
+		else if (end instanceof AttemptEnd.Broken broken) {
+			request.countReachedTarget();
+			request.markMayHaveRun();
+			status(target).recordFailure(now);
+			recordCrash(request, target, effects);
+			boolean resumable = broken.resumable() && request.route().kind() == RequestKind.RESUMABLE_STREAM;
+			retryOrGiveUp(request, target, broken.cause(), resumable, now, effects);
+		}
+	}
+
+	private void recordCrash(DispatchedRequest request, TargetName target, Effects effects) {
+		long content = request.request().content();
+		this.crashHistory.recordCrash(content, target);
+		effects.add(new EntryEffect.TellAll(new NodeMessage.Suspicion(this.nodeName, content, target)));
+	}
+
+	/**
+	 * Takes what another node told.
+	 * @param message the message
+	 * @param now the present time
+	 * @param effects collects what is wanted
+	 */
+	public void handleMessage(NodeMessage message, Instant now, Effects effects) {
+		if (message instanceof NodeMessage.Loads loads) {
+			this.targetSelector.statuses().handleReport(loads, now);
+		}
+		else if (message instanceof NodeMessage.LoadsAdded added) {
+			added.sums().forEach((sum) -> this.targetSelector.statuses().handleReport(sum, now));
+		}
+		else if (message instanceof NodeMessage.Placed placed) {
+			this.targetSelector.statuses().handleReport(placed, now);
+		}
+		else if (message instanceof NodeMessage.TargetLimited limited) {
+			this.targetSelector.rateLimits().handleMessage(limited, now, effects);
+		}
+		else if (message instanceof NodeMessage.Suspicion suspicion) {
+			this.crashHistory.recordCrash(suspicion.content(), suspicion.target());
+		}
+		else if (message instanceof NodeMessage.Cleared cleared) {
+			this.crashHistory.clear(cleared.content());
+		}
+	}
+
+	/**
+	 * Counts the requests that a target has from all nodes, as far as it is known.
+	 * @param target the target
+	 * @param now the present time
+	 * @return the number of requests
+	 */
+	public int countRequests(TargetName target, Instant now) {
+		return this.targetSelector.statuses().requests(target, now);
+	}
+
+	/**
+	 * Tells how many requests this node has with each target.
+	 * @return the numbers
+	 */
+	public Map<TargetName, Integer> inFlightByTarget() {
+		return this.targetSelector.statuses().inFlightByTarget();
+	}
+
+	/**
+	 * Shares out anew what all nodes may send together.
+	 * @param liveNodes number of nodes that live, this one with them
+	 * @param peers the other nodes, as far as each is known
+	 * @param now the present time
+	 * @param effects collects what is wanted
+	 */
+	public void updateNodes(int liveNodes, List<NodeRecord> peers, Instant now, Effects effects) {
+		this.retryBudgets.setNodeCount(liveNodes);
+		this.targetSelector.updateNodes(liveNodes, peers, now, effects);
+	}
+
+	/**
+	 * Goes by other settings from now on.
+	 * @param settings the settings
+	 */
+	public void updateSettings(EntrySettings settings) {
+		this.retryBudgets.updateSettings(settings);
+	}
+
+	private void handleDelivered(DispatchedRequest request, TargetName target, AttemptEnd.Delivered delivered,
+			Instant now, Effects effects) {
+		if (!request.route().kind().streaming()) {
+			status(target).recordFirstAnswer(Duration.between(request.attemptStartedAt(), now), now);
+		}
+		this.activeRequests.remove(request.request().number());
+		long content = request.request().content();
+		if (this.crashHistory.isSuspect(content)) {
+			this.crashHistory.clear(content);
+			effects.add(new EntryEffect.TellAll(new NodeMessage.Cleared(this.nodeName, content)));
+		}
+		this.finalAnswers.recordDelivered(request, target, delivered, now, effects);
+	}
+
+	private void handleNotRun(DispatchedRequest request, TargetName target, AttemptEnd.NotRun notRun, Instant now,
+			Effects effects) {
+		switch (notRun.cause()) {
+			case NOT_SENT -> status(target).recordFailure(now);
+			case WRONG_TARGET -> handleWrongTarget(request, target, now);
+			case REFUSED -> status(target).eject(now, FULL_TARGET_EJECTION);
+		}
+		boolean unreached = notRun.cause() == NotRunCause.NOT_SENT;
+		if (!unreached) {
+			request.countReachedTarget();
+		}
+		boolean allowed = unreached ? request.attempts() - request.targetsReached() < MAXIMUM_UNREACHED_ATTEMPTS
+				: takeRetry(request, now);
+		String cause = "not run by " + target + ": " + notRun.cause();
+		if (!allowed) {
+			giveUp(request, cause, now, effects);
+			return;
+		}
+		logRetry(request, target, cause, now, effects);
+		place(request, cause, now, effects);
+	}
+
+	// A stream that goes on asks for the weights that it began with, and is also refused
+	// by a head that serves others.
+	private void handleWrongTarget(DispatchedRequest request, TargetName target, Instant now) {
+		status(target).eject(now, WRONG_TARGET_EJECTION);
+		if (request.answerStarted()) {
+			return;
+		}
+		this.directory.find(target)
+			.flatMap(TargetEntry::membership)
+			.ifPresent((membership) -> this.targetSelector.markGroupEnded(membership.group(), membership.epoch(), now));
+	}
+
+	/**
+	 * Notes that a group serves no more, before the directory shows it.
+	 * @param head the engine that took its requests
+	 * @param group the group's name
+	 * @param epoch the group's epoch
+	 * @param now the present time
+	 * @param effects collects what is wanted
+	 */
+	public void handleGroupEnded(TargetName head, String group, long epoch, Instant now, Effects effects) {
+		this.targetSelector.markGroupEnded(group, epoch, now);
+		moveStreams(head, now, effects);
+	}
+
+	private void retryOrGiveUp(DispatchedRequest request, TargetName target, String cause, boolean allowed, Instant now,
+			Effects effects) {
+		if (!allowed || !takeRetry(request, now)) {
+			giveUp(request, cause, now, effects);
+			return;
+		}
+		logRetry(request, target, cause, now, effects);
+		place(request, cause, now, effects);
+	}
+
+	private boolean takeRetry(DispatchedRequest request, Instant now) {
+		return request.targetsReached() < request.route().maximumAttempts() && !request.timeLeft(now).isNegative()
+				&& this.retryBudgets.of(request.service()).tryRetry(now);
+	}
+
+	private void logRetry(DispatchedRequest request, TargetName target, String cause, Instant now, Effects effects) {
+		effects.log(LogEvent.REQUEST_SENT_AGAIN, FinalAnswers.describe(request, now) + " from=" + target + " cause='"
+				+ cause + "' begun=" + request.answerStarted());
+	}
+
+	private void giveUp(DispatchedRequest request, String cause, Instant now, Effects effects) {
+		this.activeRequests.remove(request.request().number());
+		this.finalAnswers.giveUp(request, cause, now, effects);
+	}
+
+	/**
+	 * Answers a request whose time is over.
+	 * @param number the request
+	 * @param now the present time
+	 * @param effects collects what is wanted
+	 */
+	public void handleTimeout(long number, Instant now, Effects effects) {
+		DispatchedRequest request = this.activeRequests.get(number);
+		if (request == null) {
+			return;
+		}
+		request.target().ifPresent((target) -> {
+			status(target).recordEnded();
+			request.markMayHaveRun();
+			effects.add(new EntryEffect.CancelAttempt(number, request.attempts()));
+		});
+		if (request.answerStarted() || request.failureHeld() || !request.mayHaveRun()) {
+			giveUp(request, "time is over", now, effects);
+			return;
+		}
+		this.activeRequests.remove(number);
+		this.finalAnswers.answerTimeout(request, now, effects);
+	}
+
+	/**
+	 * Forgets a request whose caller left.
+	 * @param number the request
+	 * @param now the present time
+	 * @param effects collects what is wanted
+	 */
+	public void handleCallerDisconnected(long number, Instant now, Effects effects) {
+		DispatchedRequest request = this.activeRequests.remove(number);
+		if (request != null) {
+			request.target().ifPresent((target) -> status(target).recordEnded());
+			this.finalAnswers.recordAbandoned(request, now, effects);
+		}
+	}
+
+	/**
+	 * All answers of a target have paused: a member of its group was lost, or the target
+	 * itself. Streams that can go on elsewhere do; others wait, for silence alone is no
+	 * reason to end an answer.
+	 * @param target the target
+	 * @param now the present time
+	 * @param effects collects what is wanted
+	 */
+	public void handleSilentTarget(TargetName target, Instant now, Effects effects) {
+		status(target).eject(now, SILENT_TARGET_EJECTION);
+		effects.log(LogEvent.TARGET_SILENT, "target=" + target + " in-flight=" + status(target).inFlight());
+		moveStreams(target, now, effects);
+	}
+
+	/**
+	 * Other nodes have found a target silent. A node that has streams there which have
+	 * begun sees for itself whether they go on: two nodes behind a link that loses
+	 * packets may be wrong for all others.
+	 * @param target the target
+	 * @param now the present time
+	 * @param effects collects what is wanted
+	 */
+	public void handleReportedSilence(TargetName target, Instant now, Effects effects) {
+		boolean hasStartedStream = this.activeRequests.values()
+			.stream()
+			.anyMatch((request) -> request.answerStarted() && request.target().filter(target::equals).isPresent());
+		if (!hasStartedStream) {
+			handleSilentTarget(target, now, effects);
+		}
+	}
+
+	private void moveStreams(TargetName target, Instant now, Effects effects) {
+		for (DispatchedRequest request : List.copyOf(this.activeRequests.values())) {
+			boolean onTarget = request.target().filter(target::equals).isPresent();
+			if (onTarget && request.route().kind() == RequestKind.RESUMABLE_STREAM && hasAlternative(request, now)
+					&& takeRetry(request, now)) {
+				effects.add(new EntryEffect.CancelAttempt(request.request().number(), request.attempts()));
+				status(target).recordEnded();
+				request.endAttempt();
+				request.countReachedTarget();
+				request.markMayHaveRun();
+				logRetry(request, target, "silent", now, effects);
+				place(request, "the target fell silent", now, effects);
+			}
+		}
+	}
+
+	private boolean hasAlternative(DispatchedRequest request, Instant now) {
+		if (request.targetsReached() + 1 >= request.route().maximumAttempts()) {
+			return false;
+		}
+		return this.targetSelector.hasTarget(request, this.router.configuration().orElseThrow(), now);
+	}
+
+	/**
+	 * Takes what a target told of itself with an answer.
+	 * @param report what it told
+	 * @param now the present time
+	 * @param effects collects what is wanted
+	 */
+	public void handleTargetReport(EntryEvent.TargetTold report, Instant now, Effects effects) {
+		report.load().ifPresent((load) -> status(report.target()).recordReport(load, now));
+		Instant sentAt = Optional.ofNullable(this.activeRequests.get(report.number()))
+			.filter((request) -> request.target().filter(report.target()::equals).isPresent())
+			.map(DispatchedRequest::attemptStartedAt)
+			.orElse(Instant.MIN);
+		this.targetSelector.rateLimits().handleTargetReport(report.target(), report.limit(), sentAt, now, effects);
+	}
+
+	/**
+	 * Forgets a target that ended.
+	 * @param target the target
+	 */
+	public void forget(TargetName target) {
+		this.targetSelector.forget(target);
+	}
+
+	private TargetStatus status(TargetName target) {
+		return this.targetSelector.status(target);
+	}
+
+}
--- a/src/main/java/sycamorehill/logic/dispatch/RequestGate.java
+++ b/src/main/java/sycamorehill/logic/dispatch/RequestRouter.java
@@ -14,7 +14,7 @@
  * Decides whether a request may be given to any target: by its route, its key, and
  * whether its content has crashed targets.
  */
-final class RequestGate {
+final class RequestRouter {
 
 	private static final int UNAUTHORIZED = 401;
 
@@ -23,34 +23,34 @@
 	private static final int UNAVAILABLE = 503;
 
 	/** When a content that was lost with several targets may come back: rarely. */
-	private static final Duration COME_BACK_SUSPECT = Duration.ofSeconds(30);
+	private static final Duration SUSPECT_RETRY_AFTER = Duration.ofSeconds(30);
 
-	private final CrashBook crashes;
+	private final CrashHistory crashHistory;
 
-	private final Supplier<Duration> comeBack;
+	private final Supplier<Duration> retryAfter;
 
 	private Optional<Configuration> configuration = Optional.empty();
 
 	private RouteTable routes = RouteTable.of(List.of());
 
-	private RequestGate(CrashBook crashes, Supplier<Duration> comeBack) {
-		this.crashes = crashes;
-		this.comeBack = comeBack;
+	private RequestRouter(CrashHistory crashHistory, Supplier<Duration> retryAfter) {
+		this.crashHistory = crashHistory;
+		this.retryAfter = retryAfter;
 	}
 
 	/**
 	 * Creates the gate, which refuses all before there is a configuration.
-	 * @param crashes contents that were lost with targets
-	 * @param comeBack when a caller may come back that only came too early
+	 * @param crashHistory contents that were lost with targets
+	 * @param retryAfter when a caller may come back that only came too early
 	 * @return the gate
 	 */
-	static RequestGate of(CrashBook crashes, Supplier<Duration> comeBack) {
-		return new RequestGate(crashes, comeBack);
+	static RequestRouter of(CrashHistory crashHistory, Supplier<Duration> retryAfter) {
+		return new RequestRouter(crashHistory, retryAfter);
 	}
 
-	void adopt(Configuration adopted) {
-		this.configuration = Optional.of(adopted);
-		this.routes = RouteTable.of(adopted.routes());
+	void adopt(Configuration newConfiguration) {
+		this.configuration = Optional.of(newConfiguration);
+		this.routes = RouteTable.of(newConfiguration.routes());
 	}
 
 	/**
@@ -61,9 +61,9 @@
 		return this.configuration;
 	}
 
-	Decision decide(CallerRequest request) {
+	Decision route(CallerRequest request) {
 		if (this.configuration.isEmpty()) {
-			return new Refused(UNAVAILABLE, "no configuration yet", Optional.of(this.comeBack.get()));
+			return new Refused(UNAVAILABLE, "no configuration yet", Optional.of(this.retryAfter.get()));
 		}
 		Optional<Route> route = this.routes.find(request.host(), request.path());
 		if (route.isEmpty()) {
@@ -73,11 +73,11 @@
 		if (workspace.isEmpty() && this.configuration.get().keysNeeded() && !route.get().open()) {
 			return new Refused(UNAUTHORIZED, "the key is not known", Optional.empty());
 		}
-		if (this.crashes.refused(request.content())) {
+		if (this.crashHistory.isRefused(request.content())) {
 			return new Refused(UNAVAILABLE, "not run: this content was lost with several targets",
-					Optional.of(COME_BACK_SUSPECT));
+					Optional.of(SUSPECT_RETRY_AFTER));
 		}
-		return new Admitted(route.get(), workspace);
+		return new Routed(route.get(), workspace);
 	}
 
 	/**
@@ -93,7 +93,7 @@
 	 * @param route its route
 	 * @param workspace the workspace that holds its key; empty on routes without keys
 	 */
-	record Admitted(Route route, Optional<Workspace> workspace) implements Decision {
+	record Routed(Route route, Optional<Workspace> workspace) implements Decision {
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/dispatch/RetryBudgets.java
+++ b/src/main/java/sycamorehill/logic/dispatch/RetryBudgets.java
@@ -17,54 +17,54 @@
 	 * Part of the fixed number that is used: nodes count each other late, and arrivals
 	 * that were cancelled on the way count too.
 	 */
-	private static final double EXTRA_PART = 0.7;
+	private static final double USED_ALLOWANCE_SHARE = 0.7;
 
 	/**
 	 * Nodes that are counted at least in each data centre: a node that has just started
 	 * knows no other yet, and all may start at once.
 	 */
-	private static final int FEWEST_IN_DATA_CENTRE = 2;
+	private static final int MINIMUM_NODES_PER_DATA_CENTRE = 2;
 
-	private final Map<ServiceName, RetryBudget> budgets = new HashMap<>();
+	private final Map<ServiceName, SlidingWindowRetryBudget> budgets = new HashMap<>();
 
-	private EntrySettings settings;
+	private EntrySettings entrySettings;
 
-	private int nodes;
+	private int nodeCount;
 
-	private RetryBudgets(EntrySettings settings) {
-		this.settings = settings;
-		nodes(1);
+	private RetryBudgets(EntrySettings entrySettings) {
+		this.entrySettings = entrySettings;
+		setNodeCount(1);
 	}
 
-	static RetryBudgets of(EntrySettings settings) {
-		return new RetryBudgets(settings);
+	static RetryBudgets of(EntrySettings entrySettings) {
+		return new RetryBudgets(entrySettings);
 	}
 
-	RetryBudget of(ServiceName service) {
-		return this.budgets.computeIfAbsent(service,
-				(name) -> RetryBudget.of(this.settings.retryWindow(), this.settings.retryRatio(), extra()));
+	SlidingWindowRetryBudget of(ServiceName service) {
+		return this.budgets.computeIfAbsent(service, (name) -> SlidingWindowRetryBudget
+			.of(this.entrySettings.retryWindow(), this.entrySettings.retryRatio(), allowance()));
 	}
 
 	/**
 	 * Shares the fixed number out anew.
-	 * @param living number of nodes that live
+	 * @param liveNodes number of nodes that live
 	 */
-	void nodes(int living) {
-		this.nodes = Math.max(living, FEWEST_IN_DATA_CENTRE * this.settings.dataCentres().size());
-		apply();
+	void setNodeCount(int liveNodes) {
+		this.nodeCount = Math.max(liveNodes, MINIMUM_NODES_PER_DATA_CENTRE * this.entrySettings.dataCentres().size());
+		applyBounds();
 	}
 
-	void settings(EntrySettings read) {
-		this.settings = read;
-		apply();
+	void updateSettings(EntrySettings newSettings) {
+		this.entrySettings = newSettings;
+		applyBounds();
 	}
 
-	private void apply() {
-		this.budgets.values().forEach((budget) -> budget.bounds(this.settings.retryRatio(), extra()));
+	private void applyBounds() {
+		this.budgets.values().forEach((budget) -> budget.setBounds(this.entrySettings.retryRatio(), allowance()));
 	}
 
-	private double extra() {
-		return this.settings.retryExtra() * EXTRA_PART / this.nodes;
+	private double allowance() {
+		return this.entrySettings.retryExtra() * USED_ALLOWANCE_SHARE / this.nodeCount;
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/dispatch/RouteTable.java
+++ b/src/main/java/sycamorehill/logic/dispatch/RouteTable.java
@@ -14,27 +14,27 @@
  */
 final class RouteTable {
 
-	private final Map<String, Map<String, Route>> byHost;
+	private final Map<String, Map<String, Route>> routesByHost;
 
-	private RouteTable(Map<String, Map<String, Route>> byHost) {
-		this.byHost = byHost;
+	private RouteTable(Map<String, Map<String, Route>> routesByHost) {
+		this.routesByHost = routesByHost;
 	}
 
 	static RouteTable of(List<Route> routes) {
-		Map<String, Map<String, Route>> byHost = new HashMap<>();
+		Map<String, Map<String, Route>> routesByHost = new HashMap<>();
 		for (Route route : routes) {
-			byHost.computeIfAbsent(route.host(), (host) -> new HashMap<>()).put(route.pathPrefix(), route);
+			routesByHost.computeIfAbsent(route.host(), (host) -> new HashMap<>()).put(route.pathPrefix(), route);
 		}
-		return new RouteTable(byHost);
+		return new RouteTable(routesByHost);
 	}
 
 	Optional<Route> find(String host, String path) {
-		Map<String, Route> ofHost = this.byHost.get(host);
-		if (ofHost == null) {
+		Map<String, Route> hostRoutes = this.routesByHost.get(host);
+		if (hostRoutes == null) {
 			return Optional.empty();
 		}
 		for (int slash = path.lastIndexOf('/'); slash >= 0; slash = path.lastIndexOf('/', slash - 1)) {
-			Route route = ofHost.get(path.substring(0, slash + 1));
+			Route route = hostRoutes.get(path.substring(0, slash + 1));
 			if (route != null) {
 				return Optional.of(route);
 			}
--- a/src/main/java/sycamorehill/logic/dispatch/ServingTargets.java
+++ b/src/main/java/sycamorehill/logic/dispatch/ServingTargets.java
@@ -24,13 +24,13 @@
 
 	private final TargetDirectory directory;
 
-	private final Map<ServiceName, List<Candidate>> byService = new HashMap<>();
+	private final Map<ServiceName, List<Candidate>> candidatesByService = new HashMap<>();
 
-	private final EndedGroups ended = new EndedGroups();
+	private final EndedGroups endedGroups = new EndedGroups();
 
-	private long derivedFrom = -1;
+	private long derivedChanges = -1;
 
-	private Configuration derivedWith;
+	private Configuration derivedConfiguration;
 
 	private ServingTargets(TargetDirectory directory) {
 		this.directory = directory;
@@ -49,38 +49,39 @@
 	 * @return the targets
 	 */
 	List<Candidate> find(Configuration configuration, ServiceName service, Optional<String> model, Instant now) {
-		if (this.derivedFrom != this.directory.changes() || this.derivedWith != configuration) {
+		if (this.derivedChanges != this.directory.changes() || this.derivedConfiguration != configuration) {
 			derive(configuration);
 		}
-		List<Candidate> all = this.byService.getOrDefault(service, List.of());
+		List<Candidate> all = this.candidatesByService.getOrDefault(service, List.of());
 		if (model.isEmpty()) {
 			return all;
 		}
 		return all.stream()
 			.filter((candidate) -> candidate.model().map((figures) -> figures.name().equals(model.get())).orElse(true))
-			.filter((candidate) -> !this.ended.contains(candidate.entry().membership(), now))
+			.filter((candidate) -> !this.endedGroups.contains(candidate.entry().membership(), now))
 			.toList();
 	}
 
-	void ended(String group, long epoch, Instant now) {
-		this.ended.add(group, epoch, now);
+	void markGroupEnded(String group, long epoch, Instant now) {
+		this.endedGroups.add(group, epoch, now);
 	}
 
 	private void derive(Configuration configuration) {
-		this.byService.clear();
+		this.candidatesByService.clear();
 		Map<ServiceName, List<TargetEntry>> entries = new HashMap<>();
 		for (TargetEntry entry : this.directory.all()) {
 			entries.computeIfAbsent(entry.service(), (service) -> new ArrayList<>()).add(entry);
 		}
 		entries.forEach((service, targets) -> {
 			Optional<EngineFigures> engines = configuration.service(service).flatMap(ServiceFigures::engines);
-			this.byService.put(service, engines.map((figures) -> groups(targets, figures)).orElse(plain(targets)));
+			this.candidatesByService.put(service,
+					engines.map((figures) -> groupCandidates(targets, figures)).orElse(plainCandidates(targets)));
 		});
-		this.derivedFrom = this.directory.changes();
-		this.derivedWith = configuration;
+		this.derivedChanges = this.directory.changes();
+		this.derivedConfiguration = configuration;
 	}
 
-	private List<Candidate> groups(List<TargetEntry> targets, EngineFigures figures) {
+	private List<Candidate> groupCandidates(List<TargetEntry> targets, EngineFigures figures) {
 		return GroupViews.of(targets, this.directory.vanished(), figures)
 			.stream()
 			.filter(GroupView::serving)
@@ -89,7 +90,7 @@
 			.toList();
 	}
 
-	private static List<Candidate> plain(List<TargetEntry> targets) {
+	private static List<Candidate> plainCandidates(List<TargetEntry> targets) {
 		return targets.stream()
 			.filter((target) -> !target.leaving())
 			.map((target) -> new Candidate(target, target.slots(), Optional.empty(), Optional.empty()))
--- /dev/null
+++ b/src/main/java/sycamorehill/logic/dispatch/TargetRateLimit.java
@@ -0,0 +1,123 @@
+package sycamorehill.logic.dispatch;
+
+import java.time.Duration;
+import java.time.Instant;
+
+import sycamorehill.model.serving.RequestRate;
+
+/**
+ * What one target takes from all nodes together, and this node's part of it.
+ */
+final class TargetRateLimit {
+
+	/** Nodes that share a target which takes next to nothing. */
+	private static final int MINIMUM_SHARING_NODES = 3;
+
+	/**
+	 * Further nodes that share a target, for each request a second that it takes. Each
+	 * may send one request at once, so that few of them keep to a low limit together.
+	 */
+	private static final int SHARING_NODES_PER_REQUEST = 2;
+
+	/** Without any request nobody would hear that a target is in need no more. */
+	private static final double MINIMUM_REQUESTS_PER_SECOND = 0.2;
+
+	/** A node that has sent nothing for long sends one request at once, not several. */
+	private static final double MAXIMUM_BURST = 1;
+
+	private final Instant firstReportedAt;
+
+	private RequestRate rate;
+
+	private double localRequestsPerSecond;
+
+	private double tokens;
+
+	private Instant refilledAt;
+
+	private Instant reportedAt;
+
+	private Instant broadcastAt = Instant.MIN;
+
+	private TargetRateLimit(RequestRate rate, Instant now) {
+		this.firstReportedAt = now;
+		this.rate = rate;
+		this.reportedAt = now;
+		this.refilledAt = now;
+	}
+
+	static TargetRateLimit of(RequestRate rate, Instant now) {
+		return new TargetRateLimit(rate, now);
+	}
+
+	/**
+	 * Counts the nodes that share the target, if there are as many.
+	 * @return their number
+	 */
+	int sharingNodes() {
+		return MINIMUM_SHARING_NODES
+				+ (int) (SHARING_NODES_PER_REQUEST * Math.min(this.rate.perSecond(), Integer.MAX_VALUE / 4));
+	}
+
+	/**
+	 * Shares the limit out anew.
+	 * @param nodeCount number of nodes that share it
+	 * @param included whether this node is one of them
+	 * @param now the present time
+	 */
+	void assignShare(int nodeCount, boolean included, Instant now) {
+		refill(now);
+		this.localRequestsPerSecond = included
+				? Math.max(this.rate.perSecond(), MINIMUM_REQUESTS_PER_SECOND) / nodeCount : 0;
+	}
+
+	void recordReport(RequestRate reportedRate, Instant now) {
+		this.rate = reportedRate;
+		this.reportedAt = now;
+	}
+
+	void recordBroadcast(Instant now) {
+		this.broadcastAt = now;
+	}
+
+	boolean allowsRequest(Instant now) {
+		refill(now);
+		return this.tokens >= MAXIMUM_BURST;
+	}
+
+	void recordSent(Instant now) {
+		refill(now);
+		this.tokens = Math.max(0, this.tokens - 1);
+	}
+
+	private void refill(Instant now) {
+		double seconds = Duration.between(this.refilledAt, now).toNanos() / 1e9;
+		this.tokens = Math.min(MAXIMUM_BURST, this.tokens + seconds * this.localRequestsPerSecond);
+		this.refilledAt = now;
+	}
+
+	boolean hasShare() {
+		return this.localRequestsPerSecond > 0;
+	}
+
+	RequestRate rate() {
+		return this.rate;
+	}
+
+	/**
+	 * When the target was first heard to name a limit.
+	 * @return the time
+	 */
+	Instant firstReportedAt() {
+		return this.firstReportedAt;
+	}
+
+	Instant reportedAt() {
+		return this.reportedAt;
+	}
+
+	Instant broadcastAt() {
+		return this.broadcastAt;
+	}
+
+}
--- /dev/null
+++ b/src/main/java/sycamorehill/logic/dispatch/TargetRateLimits.java
@@ -0,0 +1,211 @@
+package sycamorehill.logic.dispatch;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.stream.Stream;
+
+import sycamorehill.logic.Effects;
+import sycamorehill.logic.directory.TargetDirectory;
+import sycamorehill.logic.placement.RendezvousHash;
+import sycamorehill.model.identity.DataCentreName;
+import sycamorehill.model.identity.NodeName;
+import sycamorehill.model.identity.TargetName;
+import sycamorehill.model.log.LogEvent;
+import sycamorehill.model.serving.EntryEffect;
+import sycamorehill.model.serving.NodeMessage;
+import sycamorehill.model.serving.NodeRecord;
+import sycamorehill.model.serving.RequestRate;
+import sycamorehill.model.serving.TargetEntry;
+
+/**
+ * Keeps to what targets in need take from all nodes together. A limit that each node kept
+ * to by itself would be passed as many times as there are nodes, so a few nodes share the
+ * target, of its own data centre first, each with an equal part; the others send nothing.
+ * All nodes that know the same nodes pick the same ones.
+ */
+final class TargetRateLimits {
+
+	/**
+	 * What a target said is told again so often, for nodes that a message did not reach.
+	 */
+	private static final Duration BROADCAST_INTERVAL = Duration.ofSeconds(3);
+
+	/**
+	 * Times that a limit is told to be over: with one message in ten lost, none misses
+	 * it.
+	 */
+	private static final int LIFT_BROADCASTS = 4;
+
+	/**
+	 * A limit of which nothing is heard for so long is over. A target that nobody asks
+	 * says nothing, and may be in need all the while.
+	 */
+	private static final Duration LIMIT_VALIDITY = Duration.ofMinutes(2);
+
+	/** Answers on several connections overtake each other by less. */
+	private static final Duration MINIMUM_LIFT_DELAY = Duration.ofSeconds(1);
+
+	private static final String HASH_KEY_PREFIX = "limit/";
+
+	private final NodeRecord self;
+
+	private final TargetDirectory directory;
+
+	private final Map<TargetName, TargetRateLimit> limits = new HashMap<>();
+
+	private final Map<TargetName, LiftedLimit> liftedLimits = new HashMap<>();
+
+	private List<NodeRecord> peers = List.of();
+
+	private TargetRateLimits(NodeRecord self, TargetDirectory directory) {
+		this.self = self;
+		this.directory = directory;
+	}
+
+	static TargetRateLimits of(NodeRecord self, TargetDirectory directory) {
+		return new TargetRateLimits(self, directory);
+	}
+
+	/**
+	 * Shares all limits out anew, forgets those that are out of date, and tells again of
+	 * those that are over.
+	 * @param newPeers the other nodes that send requests
+	 * @param now the present time
+	 * @param effects collects what is wanted
+	 */
+	void updateNodes(List<NodeRecord> newPeers, Instant now, Effects effects) {
+		this.peers = newPeers;
+		this.limits.values().removeIf((limit) -> now.isAfter(limit.reportedAt().plus(LIMIT_VALIDITY)));
+		this.limits.forEach((target, limit) -> assignShare(target, limit, now));
+		this.liftedLimits.replaceAll((target, lifted) -> broadcastLiftAgain(target, lifted, now, effects));
+		this.liftedLimits.values().removeIf((lifted) -> lifted.broadcastsLeft() == 0);
+	}
+
+	private LiftedLimit broadcastLiftAgain(TargetName target, LiftedLimit lifted, Instant now, Effects effects) {
+		if (now.isBefore(lifted.nextBroadcastAt())) {
+			return lifted;
+		}
+		broadcast(target, Optional.empty(), effects);
+		return new LiftedLimit(lifted.broadcastsLeft() - 1, now.plus(BROADCAST_INTERVAL));
+	}
+
+	/**
+	 * Takes what a target said with an answer.
+	 * @param target the target
+	 * @param limit what it takes from all nodes; empty if it names no limit
+	 * @param sentAt when the request was sent that it answers
+	 * @param now the present time
+	 * @param effects collects what is wanted
+	 */
+	void handleTargetReport(TargetName target, Optional<RequestRate> limit, Instant sentAt, Instant now,
+			Effects effects) {
+		TargetRateLimit known = this.limits.get(target);
+		if (limit.isPresent()) {
+			boolean changed = known == null || !known.rate().equals(limit.get());
+			TargetRateLimit applied = applyLimit(target, limit.get(), this.self.name(), now, effects);
+			if (changed || now.isAfter(applied.broadcastAt().plus(BROADCAST_INTERVAL))) {
+				applied.recordBroadcast(now);
+				broadcast(target, limit, effects);
+			}
+		}
+		else if (known != null && !sentAt.isBefore(known.firstReportedAt())
+				&& now.isAfter(known.reportedAt().plus(MINIMUM_LIFT_DELAY))) {
+			lift(target, this.self.name(), effects);
+			broadcast(target, limit, effects);
+			this.liftedLimits.put(target, new LiftedLimit(LIFT_BROADCASTS - 1, now.plus(BROADCAST_INTERVAL)));
+		}
+	}
+
+	/**
+	 * Takes what another node was told by a target.
+	 * @param message what it was told
+	 * @param now the present time
+	 * @param effects collects what is wanted
+	 */
+	void handleMessage(NodeMessage.TargetLimited message, Instant now, Effects effects) {
+		if (message.limit().isPresent()) {
+			applyLimit(message.target(), message.limit().get(), message.sender(), now, effects).recordBroadcast(now);
+		}
+		else if (this.limits.containsKey(message.target())) {
+			lift(message.target(), message.sender(), effects);
+		}
+	}
+
+	private TargetRateLimit applyLimit(TargetName target, RequestRate rate, String reporter, Instant now,
+			Effects effects) {
+		this.liftedLimits.remove(target);
+		TargetRateLimit known = this.limits.get(target);
+		if (known != null && known.rate().equals(rate)) {
+			known.recordReport(rate, now);
+			return known;
+		}
+		TargetRateLimit limit = this.limits.computeIfAbsent(target, (name) -> TargetRateLimit.of(rate, now));
+		limit.recordReport(rate, now);
+		assignShare(target, limit, now);
+		effects.log(LogEvent.TARGET_LIMITED, "target=" + target + " per-second=" + rate.perSecond() + " sharing="
+				+ limit.sharingNodes() + " shares=" + limit.hasShare() + " told-by=" + reporter);
+		return limit;
+	}
+
+	private void lift(TargetName target, String reporter, Effects effects) {
+		this.limits.remove(target);
+		effects.log(LogEvent.TARGET_LIMITED, "target=" + target + " lifted told-by=" + reporter);
+	}
+
+	private void broadcast(TargetName target, Optional<RequestRate> limit, Effects effects) {
+		effects.add(new EntryEffect.TellAll(new NodeMessage.TargetLimited(this.self.name(), target, limit)));
+	}
+
+	private void assignShare(TargetName target, TargetRateLimit limit, Instant now) {
+		Optional<DataCentreName> dataCentre = this.directory.find(target).map(TargetEntry::dataCentre);
+		List<String> sharingNodes = Stream.concat(Stream.of(this.self), this.peers.stream())
+			.sorted(Comparator.comparing((NodeRecord node) -> dataCentre.filter(node.dataCentre()::equals).isEmpty())
+				.thenComparingLong((node) -> RendezvousHash.weight(HASH_KEY_PREFIX + target, NodeName.of(node.name()))))
+			.limit(limit.sharingNodes())
+			.map(NodeRecord::name)
+			.toList();
+		limit.assignShare(sharingNodes.size(), sharingNodes.contains(this.self.name()), now);
+	}
+
+	/**
+	 * Leaves out the targets that get no request from this node now.
+	 * @param candidates the targets that serve
+	 * @param now the present time
+	 * @return those that may be given one
+	 */
+	List<Candidate> withinLimits(List<Candidate> candidates, Instant now) {
+		if (this.limits.isEmpty()) {
+			return candidates;
+		}
+		return candidates.stream().filter((candidate) -> allowsRequest(candidate.entry().name(), now)).toList();
+	}
+
+	private boolean allowsRequest(TargetName target, Instant now) {
+		TargetRateLimit limit = this.limits.get(target);
+		return limit == null || limit.allowsRequest(now);
+	}
+
+	void recordSent(TargetName target, Instant now) {
+		Optional.ofNullable(this.limits.get(target)).ifPresent((limit) -> limit.recordSent(now));
+	}
+
+	void forget(TargetName target) {
+		this.limits.remove(target);
+		this.liftedLimits.remove(target);
+	}
+
+	/**
+	 * A limit that is over.
+	 *
+	 * @param broadcastsLeft how often that is told yet
+	 * @param nextBroadcastAt when it is told next
+	 */
+	private record LiftedLimit(int broadcastsLeft, Instant nextBroadcastAt) {
+	}
+
+}
--- /dev/null
+++ b/src/main/java/sycamorehill/logic/dispatch/TargetSelector.java
@@ -0,0 +1,146 @@
+package sycamorehill.logic.dispatch;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.List;
+import java.util.Optional;
+import java.util.random.RandomGenerator;
+
+import sycamorehill.logic.Effects;
+import sycamorehill.logic.directory.TargetDirectory;
+import sycamorehill.model.identity.TargetName;
+import sycamorehill.model.serving.Configuration;
+import sycamorehill.model.serving.EntrySettings;
+import sycamorehill.model.serving.NodeRecord;
+
+/**
+ * Chooses the target of a request among those that serve, by what is known of their loads
+ * and limits, and decides whether it may be given there.
+ */
+final class TargetSelector {
+
+	private final ServingTargets servingTargets;
+
+	private final Placement placement;
+
+	private final TargetStatusRegistry statuses = TargetStatusRegistry.create();
+
+	private final TargetRateLimits rateLimits;
+
+	private TargetSelector(EntrySettings settings, TargetDirectory directory, RandomGenerator random) {
+		this.servingTargets = ServingTargets.of(directory);
+		this.placement = Placement.of(settings.dataCentre(), random);
+		this.rateLimits = TargetRateLimits.of(settings.record(), directory);
+	}
+
+	static TargetSelector of(EntrySettings settings, TargetDirectory directory, RandomGenerator random) {
+		return new TargetSelector(settings, directory, random);
+	}
+
+	/**
+	 * Chooses a target; many nodes compare a few of them first.
+	 * @param request the request
+	 * @param configuration the configuration in force
+	 * @param now the present time
+	 * @return the target, and whether the request may be given to it
+	 */
+	Selection select(DispatchedRequest request, Configuration configuration, Instant now) {
+		List<Candidate> all = candidates(request, configuration, now);
+		List<Candidate> sampled = this.placement.sample(all);
+		Selection selection = selectBest(request, sampled, now);
+		return (selection.admission() == Admission.Decision.REFUSED && sampled.size() < all.size())
+				? selectBest(request, all, now) : selection;
+	}
+
+	/**
+	 * Whether any target may be given a request.
+	 * @param request the request
+	 * @param configuration the configuration in force
+	 * @param now the present time
+	 * @return true if there is one
+	 */
+	boolean hasTarget(DispatchedRequest request, Configuration configuration, Instant now) {
+		return selectBest(request, candidates(request, configuration, now), now)
+			.admission() != Admission.Decision.REFUSED;
+	}
+
+	private List<Candidate> candidates(DispatchedRequest request, Configuration configuration, Instant now) {
+		return this.rateLimits.withinLimits(
+				this.servingTargets.find(configuration, request.service(), request.request().model(), now), now);
+	}
+
+	private Selection selectBest(DispatchedRequest request, List<Candidate> candidates, Instant now) {
+		Optional<Placement.Choice> choice = this.placement.choose(candidates, request.triedTargets(),
+				this.statuses.byTarget(), request.request().size(), now);
+		return new Selection(choice,
+				choice.map((best) -> decideAdmission(request, best, now)).orElse(Admission.Decision.REFUSED));
+	}
+
+	private Admission.Decision decideAdmission(DispatchedRequest request, Placement.Choice choice, Instant now) {
+		Candidate candidate = choice.candidate();
+		return Admission.decide(new Admission.Estimate(choice.timeToFirstAnswer(), request.route().target(),
+				Duration.between(request.arrivedAt(), now), request.timeLeft(now), request.route().timeout(),
+				this.statuses.requests(candidate.entry().name(), now), candidate.slots(), request.answerStarted()));
+	}
+
+	/**
+	 * Notes that a request is given to a target.
+	 * @param candidate the target
+	 * @param now the present time
+	 */
+	void recordSent(Candidate candidate, Instant now) {
+		TargetName name = candidate.entry().name();
+		status(name).recordSent(candidate.slots());
+		this.rateLimits.recordSent(name, now);
+	}
+
+	/**
+	 * Notes that a group serves no more, before the directory shows it.
+	 * @param group the group's name
+	 * @param epoch the group's epoch
+	 * @param now the present time
+	 */
+	void markGroupEnded(String group, long epoch, Instant now) {
+		this.servingTargets.markGroupEnded(group, epoch, now);
+	}
+
+	void updateNodes(int liveNodes, List<NodeRecord> peers, Instant now, Effects effects) {
+		this.placement.setNodeCount(liveNodes);
+		this.rateLimits.updateNodes(peers, now, effects);
+	}
+
+	/**
+	 * Whether so few nodes place requests that each tells the others of every request.
+	 * @return true for few nodes
+	 */
+	boolean hasFewNodes() {
+		return this.placement.hasFewNodes();
+	}
+
+	TargetStatus status(TargetName target) {
+		return this.statuses.getOrCreate(target);
+	}
+
+	TargetStatusRegistry statuses() {
+		return this.statuses;
+	}
+
+	TargetRateLimits rateLimits() {
+		return this.rateLimits;
+	}
+
+	void forget(TargetName target) {
+		this.statuses.forget(target);
+		this.rateLimits.forget(target);
+	}
+
+	/**
+	 * Where a request goes.
+	 *
+	 * @param choice the best target; empty if none may be given work
+	 * @param admission whether it is given there
+	 */
+	record Selection(Optional<Placement.Choice> choice, Admission.Decision admission) {
+	}
+
+}
--- a/src/main/java/sycamorehill/logic/entry/EntryReducer.java
+++ b/src/main/java/sycamorehill/logic/entry/EntryReducer.java
@@ -8,7 +8,7 @@
 
 import sycamorehill.logic.Effects;
 import sycamorehill.logic.directory.TargetDirectory;
-import sycamorehill.logic.dispatch.RequestDesk;
+import sycamorehill.logic.dispatch.RequestDispatcher;
 import sycamorehill.logic.layout.GroupControl;
 import sycamorehill.model.identity.TargetName;
 import sycamorehill.model.log.LogEvent;
@@ -54,7 +54,7 @@
 
 	private final TargetDirectory directory = TargetDirectory.create();
 
-	private final RequestDesk requests;
+	private final RequestDispatcher requests;
 
 	private final GroupControl groups;
 
@@ -95,7 +95,7 @@
 		this.newsLog = NewsLog.of(settings.nodeName(), this.relay, this.directory);
 		this.configurationTexts = ConfigurationTexts.of(settings.nodeName(), this.neighbours, this.relay);
 		this.loadSums = LoadSums.of(settings.record(), this.neighbours, this.relay);
-		this.requests = RequestDesk.of(settings, this.directory, random);
+		this.requests = RequestDispatcher.of(settings, this.directory, random);
 		this.groups = GroupControl.of(settings, this.directory, self, started);
 	}
 
@@ -151,7 +151,7 @@
 		}
 		boolean mayWait = !knowsAll() && this.reached;
 		if (!mayWait || !this.early.add(request, now)) {
-			this.requests.arrived(request, now, now, effects);
+			this.requests.handleRequest(request, now, now, effects);
 		}
 	}
 
@@ -161,7 +161,7 @@
 
 	private void takeEarly(Instant now, Effects effects) {
 		for (EarlyRequests.Early each : this.early.take(knowsAll() || !this.reached, now)) {
-			this.requests.arrived(each.request(), each.since(), now, effects);
+			this.requests.handleRequest(each.request(), each.since(), now, effects);
 		}
 	}
 
@@ -171,7 +171,7 @@
 			return;
 		}
 		this.neighbours.heard(message, now);
-		this.requests.heard(message, now, effects);
+		this.requests.handleMessage(message, now, effects);
 		if (message instanceof NodeMessage.Loads loads) {
 			this.loadSums.heard(loads, now);
 			return;
@@ -181,10 +181,10 @@
 			reported(silence.sender(), silence.target(), now, effects);
 		}
 		else if (message instanceof NodeMessage.SilenceConfirmed confirmed) {
-			this.requests.silentElsewhere(confirmed.target(), now, effects);
+			this.requests.handleReportedSilence(confirmed.target(), now, effects);
 		}
 		else if (message instanceof NodeMessage.GroupEnded ended) {
-			this.requests.groupEnded(ended.head(), ended.group(), ended.epoch(), now, effects);
+			this.requests.handleGroupEnded(ended.head(), ended.group(), ended.epoch(), now, effects);
 		}
 		else if (message instanceof NodeMessage.StoreNews news) {
 			heardNews(news, now, effects);
@@ -237,12 +237,12 @@
 	private void reported(String node, TargetName target, Instant now, Effects effects) {
 		if (this.groups.controls(now) && this.silences.confirms(node, target, now)) {
 			effects.add(new EntryEffect.TellAll(new NodeMessage.SilenceConfirmed(this.settings.nodeName(), target)));
-			this.requests.silentElsewhere(target, now, effects);
+			this.requests.handleReportedSilence(target, now, effects);
 		}
 	}
 
 	private void silent(TargetName target, Instant now, Effects effects) {
-		this.requests.silent(target, now, effects);
+		this.requests.handleSilentTarget(target, now, effects);
 		this.groups.suspect(target, now, effects);
 		reported(this.settings.nodeName(), target, now, effects);
 		this.groups.controller()
@@ -252,10 +252,10 @@
 
 	private void tellLoads(Instant now, Effects effects) {
 		NodeMessage.Loads loads = new NodeMessage.Loads(this.settings.nodeName(), this.settings.dataCentre(),
-				this.reached, this.requests.inFlight());
+				this.reached, this.requests.inFlightByTarget());
 		this.loadSums.tell(loads, this.stopOrdered != null, now, effects);
 		this.nodesLiving = this.neighbours.living(now);
-		this.requests.nodes(this.nodesLiving, this.neighbours.sharing(now), now, effects);
+		this.requests.updateNodes(this.nodesLiving, this.neighbours.sharing(now), now, effects);
 	}
 
 	private boolean acceptRequest(EntryEvent event, Instant now, Effects effects) {
@@ -264,20 +264,20 @@
 			arrived(arrived.request(), now, effects);
 		}
 		else if (event instanceof EntryEvent.AnswerBegun begun) {
-			this.requests.begun(begun.number(), now);
+			this.requests.handleFirstEvent(begun.number(), now);
 		}
 		else if (event instanceof EntryEvent.AttemptEnded ended) {
-			this.requests.ended(ended.number(), ended.attempt(), ended.end(), now, effects);
+			this.requests.handleAttemptEnd(ended.number(), ended.attempt(), ended.end(), now, effects);
 		}
 		else if (event instanceof EntryEvent.CallerGone gone) {
 			this.early.remove(gone.number());
-			this.requests.callerGone(gone.number(), now, effects);
+			this.requests.handleCallerDisconnected(gone.number(), now, effects);
 		}
 		else if (event instanceof EntryEvent.TimedOut timedOut) {
-			this.requests.timedOut(timedOut.number(), now, effects);
+			this.requests.handleTimeout(timedOut.number(), now, effects);
 		}
 		else if (event instanceof EntryEvent.TargetTold told) {
-			this.requests.told(told, now, effects);
+			this.requests.handleTargetReport(told, now, effects);
 		}
 		else if (event instanceof EntryEvent.TargetSilent silent) {
 			silent(silent.target(), now, effects);
@@ -340,7 +340,7 @@
 			return;
 		}
 		else if (event instanceof EntryEvent.SettingsRead read) {
-			this.requests.settings(read.settings());
+			this.requests.updateSettings(read.settings());
 			effects.log(LogEvent.SETTINGS_RELOADED, "node=" + read.settings().nodeName());
 		}
 		else if (event instanceof EntryEvent.StopOrdered) {
@@ -373,7 +373,8 @@
 
 	private void tickGroups(Instant now, Effects effects) {
 		boolean away = !this.reached && this.neighbours.storeAwayForAll(now);
-		this.groups.tick(new GroupControl.Sight(this.configuration, this.requests::requests, this.relay.fed(now), away),
+		this.groups.tick(
+				new GroupControl.Sight(this.configuration, this.requests::countRequests, this.relay.fed(now), away),
 				now, effects);
 	}
 
--- a/src/test/java/sycamorehill/logic/dispatch/AdmissionTests.java
+++ b/src/test/java/sycamorehill/logic/dispatch/AdmissionTests.java
@@ -13,42 +13,42 @@
  */
 class AdmissionTests {
 
-	private static Admission.Outlook outlook(long expectedMillis, int requests, long leftMillis) {
-		return new Admission.Outlook(Duration.ofMillis(expectedMillis), Duration.ofMillis(300), Duration.ZERO,
+	private static Admission.Estimate estimate(long expectedMillis, int requests, long leftMillis) {
+		return new Admission.Estimate(Duration.ofMillis(expectedMillis), Duration.ofMillis(300), Duration.ZERO,
 				Duration.ofMillis(leftMillis), Duration.ofMillis(6000), requests, 12, false);
 	}
 
 	@Test
-	void takesARequestThatCanBeInTimeUrgently() {
-		assertThat(Admission.decide(outlook(180, 11, 6000))).isEqualTo(Admission.Entrance.IN_TIME);
+	void admitsARequestThatCanBeOnTime() {
+		assertThat(Admission.decide(estimate(180, 11, 6000))).isEqualTo(Admission.Decision.ON_TIME);
 	}
 
 	@Test
-	void lateRequestsGiveWayAndAreFew() {
-		assertThat(Admission.decide(outlook(400, 10, 6000))).isEqualTo(Admission.Entrance.LATE);
-		assertThat(Admission.decide(outlook(900, 11, 6000))).isEqualTo(Admission.Entrance.REFUSED);
+	void admitsLateRequestsOnlyBelowTheirLoadLimit() {
+		assertThat(Admission.decide(estimate(400, 10, 6000))).isEqualTo(Admission.Decision.LATE);
+		assertThat(Admission.decide(estimate(900, 11, 6000))).isEqualTo(Admission.Decision.REFUSED);
 	}
 
 	@Test
-	void aCallerThatComesBackGoesBeforeNewOnes() {
-		assertThat(Admission.decide(outlook(900, 11, 5200))).isEqualTo(Admission.Entrance.LATE);
-		assertThat(Admission.decide(outlook(900, 12, 5200))).isEqualTo(Admission.Entrance.REFUSED);
+	void aRetryIsAdmittedAtAHigherLoadThanANewLateRequest() {
+		assertThat(Admission.decide(estimate(900, 11, 5200))).isEqualTo(Admission.Decision.LATE);
+		assertThat(Admission.decide(estimate(900, 12, 5200))).isEqualTo(Admission.Decision.REFUSED);
 	}
 
 	// A stream has begun and its group is lost. Refusing the rest because all groups are
 	// full would cut an answer that the caller is reading.
 	@Test
-	void aStreamThatHasBegunGoesOnWhereOthersAreRefused() {
-		Admission.Outlook full = outlook(900, 15, 5200);
-		Admission.Outlook begun = new Admission.Outlook(full.expectedFirst(), full.target(), full.waited(), full.left(),
-				full.timeout(), full.requests(), full.slots(), true);
-		assertThat(Admission.decide(full)).isEqualTo(Admission.Entrance.REFUSED);
-		assertThat(Admission.decide(begun)).isEqualTo(Admission.Entrance.LATE);
+	void aStartedStreamIsAdmittedWhereOthersAreRefused() {
+		Admission.Estimate full = estimate(900, 15, 5200);
+		Admission.Estimate begun = new Admission.Estimate(full.timeToFirstAnswer(), full.firstAnswerObjective(),
+				full.elapsed(), full.timeLeft(), full.timeout(), full.requests(), full.slots(), true);
+		assertThat(Admission.decide(full)).isEqualTo(Admission.Decision.REFUSED);
+		assertThat(Admission.decide(begun)).isEqualTo(Admission.Decision.LATE);
 	}
 
 	@Test
-	void aRequestWhoseTimeIsNearlyOverIsNotHeld() {
-		assertThat(Admission.decide(outlook(400, 5, 700))).isEqualTo(Admission.Entrance.REFUSED);
+	void aRequestWithLittleTimeLeftIsRefused() {
+		assertThat(Admission.decide(estimate(400, 5, 700))).isEqualTo(Admission.Decision.REFUSED);
 	}
 
 	// A group with 12 slots of 1 s is asked for twice what it can answer for 20 s, and
@@ -56,23 +56,23 @@
 	// requests beyond the slots kept all of them busy with late answers: nobody was in
 	// time, as a slot that comes free each 83 ms is taken by one who is late already.
 	@Test
-	void twiceTheLoadKeepsAnswersInTime() {
-		Play play = Play.of(42);
-		assertThat(play.inTime).as(play.toString()).isGreaterThan((int) (0.85 * 20 * Play.SLOTS));
-		assertThat(play.longestWait).isLessThan(6000);
+	void twiceTheCapacityKeepsAnswersOnTime() {
+		Simulation simulation = Simulation.run(42);
+		assertThat(simulation.onTime).as(simulation.toString()).isGreaterThan((int) (0.85 * 20 * Simulation.SLOTS));
+		assertThat(simulation.longestWait).isLessThan(6000);
 	}
 
 	@Test
-	void fourTimesTheLoadKeepsAnswersInTime() {
-		Play play = Play.of(21);
-		assertThat(play.inTime).as(play.toString()).isGreaterThan((int) (0.85 * 20 * Play.SLOTS));
+	void fourTimesTheCapacityKeepsAnswersOnTime() {
+		Simulation simulation = Simulation.run(21);
+		assertThat(simulation.onTime).as(simulation.toString()).isGreaterThan((int) (0.85 * 20 * Simulation.SLOTS));
 	}
 
 	@Test
-	void aLoadThatFitsIsRefusedNothing() {
-		Play play = Play.of(130);
-		assertThat(play.refusedTwice).as(play.toString()).isZero();
-		assertThat(play.inTime).isGreaterThan((int) (0.95 * 20_000 / 130));
+	void aLoadWithinCapacityIsNotRefused() {
+		Simulation simulation = Simulation.run(130);
+		assertThat(simulation.refusedTwice).as(simulation.toString()).isZero();
+		assertThat(simulation.onTime).isGreaterThan((int) (0.95 * 20_000 / 130));
 	}
 
 	private static int busy(long[] freeAt, long now) {
@@ -86,7 +86,7 @@
 	/**
 	 * One group, and callers who come at a steady pace and once more after a refusal.
 	 */
-	private static final class Play {
+	private static final class Simulation {
 
 		private static final int SLOTS = 12;
 
@@ -103,12 +103,12 @@
 				(one, other) -> (one[0] != other[0]) ? Long.compare(one[0], other[0]) : Long.compare(one[2], other[2]));
 
 		/** Time of return, first arrival. */
-		private final PriorityQueue<long[]> returning = new PriorityQueue<>(
+		private final PriorityQueue<long[]> retries = new PriorityQueue<>(
 				(one, other) -> Long.compare(one[0], other[0]));
 
 		private final Random random = new Random(1);
 
-		private int inTime;
+		private int onTime;
 
 		private int late;
 
@@ -116,31 +116,31 @@
 
 		private long longestWait;
 
-		static Play of(int gapMillis) {
-			Play play = new Play();
+		static Simulation run(int gapMillis) {
+			Simulation simulation = new Simulation();
 			for (long now = 0; now < 20_000; now++) {
 				if (now % gapMillis == 0) {
-					play.arrive(now, now);
+					simulation.arrive(now, now);
 				}
-				while (!play.returning.isEmpty() && play.returning.peek()[0] <= now) {
-					play.arrive(now, play.returning.poll()[1]);
+				while (!simulation.retries.isEmpty() && simulation.retries.peek()[0] <= now) {
+					simulation.arrive(now, simulation.retries.poll()[1]);
 				}
-				play.serve(now);
+				simulation.serve(now);
 			}
-			return play;
+			return simulation;
 		}
 
 		private void arrive(long now, long first) {
 			int requests = busy(this.freeAt, now) + this.queue.size();
 			long wait = Math.max(0, requests + 1 - SLOTS) * (long) SERVICE_MILLIS / SLOTS;
-			Admission.Entrance entrance = Admission.decide(new Admission.Outlook(
+			Admission.Decision entrance = Admission.decide(new Admission.Estimate(
 					Duration.ofMillis(FIRST_EVENT_MILLIS + wait), Duration.ofMillis(TARGET_MILLIS), Duration.ZERO,
 					Duration.ofMillis(6000 - (now - first)), Duration.ofMillis(6000), requests, SLOTS, false));
-			if (entrance != Admission.Entrance.REFUSED) {
-				this.queue.add(new long[] { (entrance == Admission.Entrance.IN_TIME) ? 0 : 1, first, now });
+			if (entrance != Admission.Decision.REFUSED) {
+				this.queue.add(new long[] { (entrance == Admission.Decision.ON_TIME) ? 0 : 1, first, now });
 			}
 			else if (first == now) {
-				this.returning.add(new long[] { now + 300 + this.random.nextInt(500), first });
+				this.retries.add(new long[] { now + 300 + this.random.nextInt(500), first });
 			}
 			else {
 				this.refusedTwice++;
@@ -153,7 +153,7 @@
 					long[] next = this.queue.poll();
 					this.freeAt[slot] = now + SERVICE_MILLIS;
 					if (now - next[1] + FIRST_EVENT_MILLIS <= TARGET_MILLIS) {
-						this.inTime++;
+						this.onTime++;
 					}
 					else {
 						this.late++;
@@ -165,7 +165,7 @@
 
 		@Override
 		public String toString() {
-			return "in time " + this.inTime + ", late " + this.late + ", refused twice " + this.refusedTwice;
+			return "in time " + this.onTime + ", late " + this.late + ", refused twice " + this.refusedTwice;
 		}
 
 	}
--- a/src/test/java/sycamorehill/logic/dispatch/PlacementPlayTests.java
+++ b/src/test/java/sycamorehill/logic/dispatch/PlacementSimulationTests.java
@@ -26,30 +26,30 @@
  * Many nodes place requests on the same groups, each by what it was told some hundred
  * milliseconds ago.
  */
-class PlacementPlayTests {
+class PlacementSimulationTests {
 
 	// 67 nodes see the same group free in the same old report and all send there: it
 	// queues while others stand free, and one stream in nine begins late with a third of
 	// the slots unused.
 	@Test
 	void manyNodesDoNotAllChooseTheSameGroup() {
-		assertThat(Play.lateShare(67, 24, 200)).isLessThan(0.05);
+		assertThat(Simulation.lateShare(67, 24, 200)).isLessThan(0.05);
 	}
 
 	@Test
 	void manyNodesUseThreeQuartersOfTheSlots() {
-		assertThat(Play.lateShare(67, 24, 240)).isLessThan(0.18);
+		assertThat(Simulation.lateShare(67, 24, 240)).isLessThan(0.18);
 	}
 
 	@Test
 	void fewNodesCompareAllTargets() {
-		assertThat(Play.lateShare(6, 12, 100)).isLessThan(0.01);
+		assertThat(Simulation.lateShare(6, 12, 100)).isLessThan(0.01);
 	}
 
 	/**
 	 * Nodes, groups of 12 slots and a load, in steps of a millisecond.
 	 */
-	private static final class Play {
+	private static final class Simulation {
 
 		private static final int SLOTS = 12;
 
@@ -67,21 +67,21 @@
 
 		private final List<Node> nodes = new ArrayList<>();
 
-		private final PriorityQueue<Happening> happenings = new PriorityQueue<>(
+		private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>(
 				(one, other) -> Long.compare(one.at, other.at));
 
-		private final double perSecond;
+		private final double requestsPerSecond;
 
-		private final long tellEvery;
+		private final long broadcastIntervalMillis;
 
 		private int placed;
 
 		private int late;
 
-		private Play(int nodeCount, int groupCount, double perSecond, Random random) {
+		private Simulation(int nodeCount, int groupCount, double requestsPerSecond, Random random) {
 			this.random = random;
-			this.perSecond = perSecond;
-			this.tellEvery = Math.max(200, nodeCount * 1000L / 3 / 60);
+			this.requestsPerSecond = requestsPerSecond;
+			this.broadcastIntervalMillis = Math.max(200, nodeCount * 1000L / 3 / 60);
 			for (int index = 0; index < groupCount; index++) {
 				TargetEntry entry = ServingSamples.member("g" + index, "small.1" + index, 1, 0, MemberState.OPEN);
 				this.candidates.add(new Candidate(entry, SLOTS, Optional.of(ServingSamples.SMALL),
@@ -97,16 +97,16 @@
 		 * Plays five times.
 		 * @param nodeCount number of nodes
 		 * @param groupCount number of groups
-		 * @param perSecond requests a second, of 0.9 s each
+		 * @param requestsPerSecond requests a second, of 0.9 s each
 		 * @return part of the requests that waited for a slot too long
 		 */
-		static double lateShare(int nodeCount, int groupCount, double perSecond) {
+		static double lateShare(int nodeCount, int groupCount, double requestsPerSecond) {
 			double sum = 0;
 			for (int seed = 1; seed <= SEEDS; seed++) {
-				Play play = new Play(nodeCount, groupCount, perSecond, new Random(seed));
-				play.nodes.forEach((node) -> node.placement.nodes(nodeCount));
-				play.run();
-				sum += play.lateShare();
+				Simulation simulation = new Simulation(nodeCount, groupCount, requestsPerSecond, new Random(seed));
+				simulation.nodes.forEach((node) -> node.placement.setNodeCount(nodeCount));
+				simulation.run();
+				sum += simulation.lateShare();
 			}
 			return sum / SEEDS;
 		}
@@ -117,28 +117,28 @@
 
 		private void run() {
 			for (long now = 0; now < 12_000; now++) {
-				while (!this.happenings.isEmpty() && this.happenings.peek().at <= now) {
-					this.happenings.poll().what.run();
+				while (!this.events.isEmpty() && this.events.peek().at <= now) {
+					this.events.poll().action.run();
 				}
-				if (this.random.nextDouble() < this.perSecond / 1000) {
+				if (this.random.nextDouble() < this.requestsPerSecond / 1000) {
 					place(this.nodes.get(this.random.nextInt(this.nodes.size())), now);
 				}
-				tell(now);
+				broadcastLoads(now);
 			}
 		}
 
-		private void tell(long now) {
+		private void broadcastLoads(long now) {
 			for (int index = 0; index < this.nodes.size(); index++) {
-				if ((now + index * 37L) % this.tellEvery != 0) {
+				if ((now + index * 37L) % this.broadcastIntervalMillis != 0) {
 					continue;
 				}
 				Node sender = this.nodes.get(index);
-				NodeMessage.Loads told = new NodeMessage.Loads(sender.name, DataCentreName.of("north"), true,
-						sender.loads.inFlight());
-				boolean far = (now / this.tellEvery) % 5 == 0 || this.nodes.size() < 13;
+				NodeMessage.Loads loads = new NodeMessage.Loads(sender.name, DataCentreName.of("north"), true,
+						sender.statuses.inFlightByTarget());
+				boolean toAllNodes = (now / this.broadcastIntervalMillis) % 5 == 0 || this.nodes.size() < 13;
 				for (int other = 0; other < this.nodes.size(); other++) {
-					if (other != index && (far || other % 3 == index % 3)) {
-						this.nodes.get(other).loads.heard(told, at(now));
+					if (other != index && (toAllNodes || other % 3 == index % 3)) {
+						this.nodes.get(other).statuses.handleReport(loads, at(now));
 					}
 				}
 			}
@@ -146,12 +146,13 @@
 
 		private void place(Node node, long now) {
 			Placement.Choice choice = node.placement
-				.choose(node.placement.draw(this.candidates), Set.of(), node.loads.known(), Optional.empty(), at(now))
+				.choose(node.placement.sample(this.candidates), Set.of(), node.statuses.byTarget(), Optional.empty(),
+						at(now))
 				.orElseThrow();
 			Group group = this.groups.get(this.candidates.indexOf(choice.candidate()));
-			node.loads.of(choice.candidate().entry().name()).sent(SLOTS);
+			node.statuses.getOrCreate(choice.candidate().entry().name()).recordSent(SLOTS);
 			this.placed++;
-			group.queue.add(new Waiting(node, choice.candidate(), now));
+			group.queue.add(new QueuedRequest(node, choice.candidate(), now));
 			group.serve(now);
 		}
 
@@ -166,7 +167,7 @@
 
 			private final String name;
 
-			private final TargetLoads loads = TargetLoads.create();
+			private final TargetStatusRegistry statuses = TargetStatusRegistry.create();
 
 			private final Placement placement;
 
@@ -182,30 +183,30 @@
 		 */
 		private final class Group {
 
-			private final Deque<Waiting> queue = new ArrayDeque<>();
+			private final Deque<QueuedRequest> queue = new ArrayDeque<>();
 
 			private int running;
 
 			void serve(long now) {
 				while (this.running < SLOTS && !this.queue.isEmpty()) {
-					Waiting next = this.queue.poll();
+					QueuedRequest next = this.queue.poll();
 					this.running++;
-					if (now - next.since > LATE_MILLIS) {
-						Play.this.late++;
+					if (now - next.queuedAt > LATE_MILLIS) {
+						Simulation.this.late++;
 					}
 					begin(next, now);
 				}
 			}
 
-			private void begin(Waiting request, long now) {
-				TargetLoad load = request.node.loads.of(request.candidate.entry().name());
-				Play.this.happenings.add(new Happening(now + 130, () -> {
-					load.told(new EngineLoad(this.running, this.queue.size(), SLOTS), at(now + 130));
-					load.answered(Duration.ofMillis(now + 130 - request.since), at(now + 130));
+			private void begin(QueuedRequest request, long now) {
+				TargetStatus status = request.node.statuses.getOrCreate(request.candidate.entry().name());
+				Simulation.this.events.add(new ScheduledEvent(now + 130, () -> {
+					status.recordReport(new EngineLoad(this.running, this.queue.size(), SLOTS), at(now + 130));
+					status.recordFirstAnswer(Duration.ofMillis(now + 130 - request.queuedAt), at(now + 130));
 				}));
-				long time = 200 + (long) (-700 * Math.log(1 - Play.this.random.nextDouble()));
-				Play.this.happenings.add(new Happening(now + time, () -> {
-					load.ended();
+				long time = 200 + (long) (-700 * Math.log(1 - Simulation.this.random.nextDouble()));
+				Simulation.this.events.add(new ScheduledEvent(now + time, () -> {
+					status.recordEnded();
 					this.running--;
 					serve(now + time);
 				}));
@@ -216,13 +217,13 @@
 		/**
 		 * A request in a group's queue.
 		 */
-		private record Waiting(Node node, Candidate candidate, long since) {
+		private record QueuedRequest(Node node, Candidate candidate, long queuedAt) {
 		}
 
 		/**
 		 * Something that happens later.
 		 */
-		private record Happening(long at, Runnable what) {
+		private record ScheduledEvent(long at, Runnable action) {
 		}
 
 	}
--- a/src/test/java/sycamorehill/logic/dispatch/RequestDeskTests.java
+++ b/src/test/java/sycamorehill/logic/dispatch/RequestDispatcherTests.java
@@ -27,18 +27,18 @@
 /**
  * What callers get for each way in which attempts end.
  */
-class RequestDeskTests {
+class RequestDispatcherTests {
 
 	private Instant now = Instant.ofEpochSecond(1000);
 
 	private final TargetDirectory directory = TargetDirectory.create();
 
-	private RequestDesk desk;
+	private RequestDispatcher dispatcher;
 
 	@BeforeEach
-	void begin() {
-		this.desk = RequestDesk.of(ServingSamples.settings("one"), this.directory, new Random(1));
-		this.desk.adopt(ServingSamples.configuration(1));
+	void createDispatcher() {
+		this.dispatcher = RequestDispatcher.of(ServingSamples.settings("one"), this.directory, new Random(1));
+		this.dispatcher.adopt(ServingSamples.configuration(1));
 		targets(ServingSamples.plain("p1"), ServingSamples.plain("p2"),
 				ServingSamples.member("a1", "small.1", 1, 0, MemberState.OPEN),
 				ServingSamples.member("a2", "small.1", 1, 1, MemberState.READY),
@@ -52,13 +52,13 @@
 
 	private List<EntryEffect> arrive(long number, String path) {
 		Effects effects = Effects.begin();
-		this.desk.arrived(ServingSamples.request(number, path), this.now, this.now, effects);
+		this.dispatcher.handleRequest(ServingSamples.request(number, path), this.now, this.now, effects);
 		return effects.all();
 	}
 
 	private List<EntryEffect> end(long number, int attempt, AttemptEnd end) {
 		Effects effects = Effects.begin();
-		this.desk.ended(number, attempt, end, this.now, effects);
+		this.dispatcher.handleAttemptEnd(number, attempt, end, this.now, effects);
 		return effects.all();
 	}
 
@@ -83,7 +83,7 @@
 	// An order is sent and its connection breaks before an answer. A second attempt, or a
 	// refusal after which the caller tries again, would place the order twice.
 	@Test
-	void anOrderWithAnUnknownOutcomeIsNeitherSentAgainNorRefused() {
+	void anOrderWithAnUnknownOutcomeIsNeitherRetriedNorRefused() {
 		arrive(1, "/once/x");
 		List<EntryEffect> effects = end(1, 1, new AttemptEnd.Unknown("connection closed"));
 		assertThat(starts(effects)).isEmpty();
@@ -94,7 +94,7 @@
 	// The target says that it did not run the order, which may go to one target only: the
 	// caller is told the truth, and when to come back.
 	@Test
-	void anOrderThatWasNotRunIsRefusedWithATimeToComeBack() {
+	void anOrderThatWasNotRunIsRefusedWithRetryAfter() {
 		arrive(1, "/once/x");
 		EntryEffect.Answer answer = answer(end(1, 1, new AttemptEnd.NotRun(NotRunCause.REFUSED, Optional.empty())));
 		assertThat(answer.status()).isEqualTo(503);
@@ -104,7 +104,7 @@
 	// A refused connection took no byte: the order goes to another target, which is the
 	// first that it reaches.
 	@Test
-	void anOrderThatReachedNoTargetGoesToAnother() {
+	void anOrderThatReachedNoTargetIsSentToAnother() {
 		TargetName first = target(arrive(1, "/once/x"));
 		TargetName second = target(end(1, 1, new AttemptEnd.NotRun(NotRunCause.NOT_SENT, Optional.empty())));
 		assertThat(second).isNotEqualTo(first);
@@ -113,7 +113,7 @@
 	// The first attempt has an unknown outcome and the second is refused: the request may
 	// have run, so the answer must not promise that it has not.
 	@Test
-	void anUnknownAttemptIsNotForgottenWhenTheNextOneIsRefused() {
+	void anUnknownOutcomeIsKeptWhenTheNextAttemptIsRefused() {
 		arrive(1, "/again/x");
 		end(1, 1, new AttemptEnd.Unknown("connection closed"));
 		List<EntryEffect> effects = end(1, 2, new AttemptEnd.NotRun(NotRunCause.REFUSED, Optional.empty()));
@@ -121,7 +121,7 @@
 	}
 
 	@Test
-	void aFailureOfTheTargetIsTriedElsewhereOnceAndThenGivenAsItIs() {
+	void aFailedAttemptIsRetriedOnceAndThenItsFailureIsReturned() {
 		TargetName first = target(arrive(1, "/again/x"));
 		TargetName second = target(end(1, 1, new AttemptEnd.Failed(500)));
 		assertThat(second).isNotEqualTo(first);
@@ -134,7 +134,7 @@
 	@Test
 	void aBrokenStreamIsResumedOnAnotherGroupOnce() {
 		TargetName first = target(arrive(1, "/stream/x"));
-		this.desk.begun(1, this.now);
+		this.dispatcher.handleFirstEvent(1, this.now);
 		TargetName second = target(end(1, 1, new AttemptEnd.Broken("connection closed", true)));
 		assertThat(second).isNotEqualTo(first);
 		assertThat(end(1, 2, new AttemptEnd.Broken("connection closed", true)))
@@ -143,9 +143,9 @@
 
 	// A stream that may run only once breaks: it ends in a way that can't look whole.
 	@Test
-	void aBrokenStreamThatMayNotBeResumedBreaksOff() {
+	void aBrokenStreamThatMayNotBeResumedIsAborted() {
 		arrive(1, "/single/x");
-		this.desk.begun(1, this.now);
+		this.dispatcher.handleFirstEvent(1, this.now);
 		assertThat(end(1, 1, new AttemptEnd.Broken("connection closed", true)))
 			.contains(new EntryEffect.BreakAnswer(1));
 	}
@@ -154,29 +154,29 @@
 	// group; with no other group it waits, because silence is no reason to end an
 	// answer.
 	@Test
-	void aSilentGroupLosesItsStreamsOnlyToAnotherGroup() {
+	void streamsOfASilentGroupMoveOnlyToAnotherGroup() {
 		TargetName first = target(arrive(1, "/stream/x"));
 		Effects effects = Effects.begin();
-		this.desk.silent(first, this.now, effects);
+		this.dispatcher.handleSilentTarget(first, this.now, effects);
 		assertThat(target(effects.all())).isNotEqualTo(first);
 		Effects none = Effects.begin();
-		this.desk.silent(target(effects.all()), this.now, none);
+		this.dispatcher.handleSilentTarget(target(effects.all()), this.now, none);
 		assertThat(starts(none.all())).isEmpty();
 		assertThat(none.all()).noneMatch(EntryEffect.Answer.class::isInstance);
 	}
 
-	private void hearSilence(TargetName target, Effects effects) {
-		this.desk.silentElsewhere(target, this.now, effects);
+	private void reportSilence(TargetName target, Effects effects) {
+		this.dispatcher.handleReportedSilence(target, this.now, effects);
 	}
 
 	// A group lost a member. This node has one request there, which waits for its first
 	// event and says nothing yet; other nodes have streams there that stand still. Left
 	// alone, the request would wait for a second, and new ones would join it.
 	@Test
-	void aRequestThatWaitsAtAGroupThatOthersFoundSilentMovesOn() {
+	void aWaitingRequestMovesWhenOtherNodesReportItsGroupSilent() {
 		TargetName first = target(arrive(1, "/stream/x"));
 		Effects effects = Effects.begin();
-		hearSilence(first, effects);
+		reportSilence(first, effects);
 		assertThat(target(effects.all())).isNotEqualTo(first);
 		assertThat(target(arrive(2, "/stream/x"))).isNotEqualTo(first);
 	}
@@ -184,11 +184,11 @@
 	// Two nodes behind a link that loses packets took a group for silent. Its streams to
 	// this node go on.
 	@Test
-	void aStreamThatGoesOnIsNotMovedForOthers() {
+	void aStartedStreamStaysWhenOtherNodesReportItsGroupSilent() {
 		TargetName first = target(arrive(1, "/stream/x"));
-		this.desk.begun(1, this.now);
+		this.dispatcher.handleFirstEvent(1, this.now);
 		Effects effects = Effects.begin();
-		hearSilence(first, effects);
+		reportSilence(first, effects);
 		assertThat(effects.all()).isEmpty();
 	}
 
@@ -196,7 +196,7 @@
 	// of a group that it has left. Each node sent it a request every half second, and
 	// each request has two targets to try.
 	@Test
-	void aGroupThatItsHeadHasLeftGetsNoMoreRequestsThoughTheDirectoryShowsIt() {
+	void aGroupThatItsHeadHasLeftReceivesNoRequestsWhileStillListed() {
 		TargetName first = target(arrive(1, "/stream/x"));
 		end(1, 1, new AttemptEnd.NotRun(NotRunCause.WRONG_TARGET, Optional.empty()));
 		this.now = this.now.plusSeconds(3);
@@ -208,11 +208,11 @@
 	// The controller has taken a group apart and tells all nodes. The head takes part in
 	// another group soon after, under another epoch, and gets requests again.
 	@Test
-	void aHeadGetsRequestsAgainInItsNextGroup() {
+	void aHeadReceivesRequestsAgainInItsNextGroup() {
 		TargetName first = target(arrive(1, "/stream/x"));
 		String group = first.equals(TargetName.of("a1")) ? "small.1" : "small.2";
 		Effects effects = Effects.begin();
-		this.desk.groupEnded(first, group, group.equals("small.1") ? 1 : 2, this.now, effects);
+		this.dispatcher.handleGroupEnded(first, group, group.equals("small.1") ? 1 : 2, this.now, effects);
 		assertThat(target(effects.all())).isNotEqualTo(first);
 		targets(ServingSamples.member(first.toString(), "small.9", 9, 0, MemberState.OPEN),
 				ServingSamples.member("z2", "small.9", 9, 1, MemberState.READY));
@@ -220,7 +220,7 @@
 	}
 
 	@Test
-	void aLeavingTargetGetsNoNewWork() {
+	void aLeavingTargetReceivesNoRequests() {
 		targets(ServingSamples.leaving(ServingSamples.plain("p1")), ServingSamples.plain("p2"));
 		for (int number = 1; number <= 5; number++) {
 			assertThat(target(arrive(number, "/once/x"))).isEqualTo(TargetName.of("p2"));
@@ -230,7 +230,7 @@
 	// A member of a group is gone while its head still looks open: it left the group,
 	// began another life, said that it leaves and went, or was never seen at all.
 	@Test
-	void aGroupWithAMissingMemberGetsNoNewWork() {
+	void aGroupWithAMissingMemberReceivesNoRequests() {
 		TargetEntry head = ServingSamples.member("a1", "small.1", 1, 0, MemberState.OPEN);
 		TargetEntry member = ServingSamples.member("a2", "small.1", 1, 1, MemberState.READY);
 		targets(head, ServingSamples.engine("a2", "d0"));
@@ -250,7 +250,7 @@
 	// four of twelve groups down. The group goes on until the controller takes it apart,
 	// or the entry has been gone for 10 s.
 	@Test
-	void aGroupGoesOnWhileOnlyTheEntryOfAMemberIsGone() {
+	void aGroupServesUntilTheMissingEntryOfAMemberExpires() {
 		targets(ServingSamples.member("a1", "small.1", 1, 0, MemberState.OPEN));
 		assertThat(target(arrive(1, "/stream/x"))).isEqualTo(TargetName.of("a1"));
 		this.now = this.now.plusSeconds(11);
@@ -261,16 +261,16 @@
 	// The head's own entry goes without notice: it may be leaving, and a leaving target
 	// gets no new work.
 	@Test
-	void aGroupWhoseHeadsEntryIsGoneGetsNoNewWork() {
+	void aGroupWithoutTheEntryOfItsHeadReceivesNoRequests() {
 		targets(ServingSamples.member("a2", "small.1", 1, 1, MemberState.READY));
 		assertThat(answer(arrive(1, "/stream/x")).status()).isEqualTo(503);
 	}
 
 	@Test
-	void aTimedOutRequestThatMayHaveRunGetsNoPromise() {
+	void aTimedOutRequestThatMayHaveRunIsNotReportedAsNotRun() {
 		arrive(1, "/once/x");
 		Effects effects = Effects.begin();
-		this.desk.timedOut(1, this.now.plus(Duration.ofSeconds(6)), effects);
+		this.dispatcher.handleTimeout(1, this.now.plus(Duration.ofSeconds(6)), effects);
 		assertThat(effects.all()).contains(new EntryEffect.CancelAttempt(1, 1));
 		assertThat(answer(effects.all()).status()).isEqualTo(504);
 	}
@@ -279,33 +279,33 @@
 	// After three targets it is refused everywhere; a bystander that was answered
 	// since is not.
 	@Test
-	void aContentThatWasLostWithThreeTargetsIsRefused() {
+	void aContentThatCrashedThreeTargetsIsRefusedUntilCleared() {
 		long content = ServingSamples.request(7, "/again/x").content();
 		for (String target : List.of("p1", "p2", "p3")) {
-			this.desk.heard(new NodeMessage.Suspicion("two", content, TargetName.of(target)), this.now,
+			this.dispatcher.handleMessage(new NodeMessage.Suspicion("two", content, TargetName.of(target)), this.now,
 					Effects.begin());
 		}
 		assertThat(answer(arrive(7, "/again/x")).status()).isEqualTo(503);
-		this.desk.heard(new NodeMessage.Cleared("two", content), this.now, Effects.begin());
+		this.dispatcher.handleMessage(new NodeMessage.Cleared("two", content), this.now, Effects.begin());
 		assertThat(starts(arrive(7, "/again/x"))).hasSize(1);
 	}
 
 	@Test
-	void anUnknownKeyAndAnUnknownPathAreRefusedBeforeAnyTargetIsAsked() {
+	void anUnknownKeyAndAnUnknownPathAreRefusedBeforeAnyAttempt() {
 		assertThat(answer(arrive(1, "/nowhere/x")).status()).isEqualTo(404);
 		Effects effects = Effects.begin();
 		var request = ServingSamples.request(2, "/once/x");
-		this.desk.arrived(new CallerRequest(2, "r2", request.host(), request.path(), Optional.of("other"),
+		this.dispatcher.handleRequest(new CallerRequest(2, "r2", request.host(), request.path(), Optional.of("other"),
 				Optional.empty(), Optional.empty(), Optional.empty(), 1), this.now, this.now, effects);
 		assertThat(answer(effects.all()).status()).isEqualTo(401);
 	}
 
 	// Before any configuration is known a node can't tell a bad request from a good one.
 	@Test
-	void aNodeWithoutAConfigurationPromisesNothing() {
-		RequestDesk fresh = RequestDesk.of(ServingSamples.settings("one"), this.directory, new Random(1));
+	void aNodeWithoutAConfigurationAnswersUnavailable() {
+		RequestDispatcher fresh = RequestDispatcher.of(ServingSamples.settings("one"), this.directory, new Random(1));
 		Effects effects = Effects.begin();
-		fresh.arrived(ServingSamples.request(1, "/nowhere/x"), this.now, this.now, effects);
+		fresh.handleRequest(ServingSamples.request(1, "/nowhere/x"), this.now, this.now, effects);
 		assertThat(answer(effects.all()).status()).isEqualTo(503);
 	}
 
--- a/src/test/java/sycamorehill/logic/dispatch/RetryBudgetTests.java
+++ b/src/test/java/sycamorehill/logic/dispatch/SlidingWindowRetryBudgetTests.java
@@ -11,14 +11,14 @@
 /**
  * Bounds on repeats.
  */
-class RetryBudgetTests {
+class SlidingWindowRetryBudgetTests {
 
 	// All targets fail for a while and every request asks for a repeat. In each
 	// window that slides over the run, repeats stay below the part of the requests
 	// and the fixed number.
 	@Test
-	void holdsInEveryWindowOfAStorm() {
-		RetryBudget budget = RetryBudget.of(Duration.ofSeconds(10), 0.2, 5);
+	void holdsInEveryWindowWhileAllTargetsFail() {
+		SlidingWindowRetryBudget budget = SlidingWindowRetryBudget.of(Duration.ofSeconds(10), 0.2, 5);
 		Random random = new Random(3);
 		int[] requests = new int[600];
 		int[] repeats = new int[600];
@@ -27,9 +27,9 @@
 			Instant now = start.plusMillis(tenth * 100L);
 			int arrivals = random.nextInt(5);
 			for (int arrival = 0; arrival < arrivals; arrival++) {
-				budget.request(now);
+				budget.recordRequest(now);
 				requests[tenth]++;
-				repeats[tenth] += budget.take(now) ? 1 : 0;
+				repeats[tenth] += budget.tryRetry(now) ? 1 : 0;
 			}
 		}
 		for (int from = 0; from + 100 <= 600; from++) {
