--- a/src/main/java/sycamorehill/entry/EntryMetrics.java
+++ b/src/main/java/sycamorehill/entry/EntryMetrics.java
@@ -34,9 +34,9 @@
 	private EntryMetrics(EntryReducer reducer) {
 		gauge("requests.active", reducer::requestsActive);
 		gauge("targets.known", reducer::targetsKnown);
-		gauge("nodes.living", reducer::nodesLiving);
+		gauge("nodes.living", reducer::liveNodes);
 		gauge("configuration.version", reducer::configurationVersion);
-		gauge("store.reached", () -> reducer.storeReached() ? 1 : 0);
+		gauge("store.reached", () -> reducer.isStoreReachable() ? 1 : 0);
 		gauge("process.heap-used-bytes", () -> ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
 		new DropwizardExports(this.registry).register(this.collectors);
 	}
--- a/src/main/java/sycamorehill/entry/EntryNode.java
+++ b/src/main/java/sycamorehill/entry/EntryNode.java
@@ -117,10 +117,10 @@
 	private void start() throws InterruptedException {
 		EventLog.write(LogLine.of(LogEvent.NODE_STARTED, "node=" + this.settings.nodeName() + " callers="
 				+ this.settings.callers() + " store=" + this.settings.store()));
-		this.configurations = FeedReader.of(() -> pace(EntryReducer.STORE_WAIT), "configuration",
+		this.configurations = FeedReader.of(() -> pace(EntryReducer.STORE_LONG_POLL_WAIT), "configuration",
 				this.ports.configurations(), this.loop, new EachConfiguration());
-		this.targets = FeedReader.of(() -> pace(EntryReducer.STORE_WAIT), "targets", this.ports.targets(), this.loop,
-				new EachTarget());
+		this.targets = FeedReader.of(() -> pace(EntryReducer.STORE_LONG_POLL_WAIT), "targets", this.ports.targets(),
+				this.loop, new EachTarget());
 		this.messenger.start(this.settings.neighbours());
 		enter();
 		this.configurations.start();
@@ -161,7 +161,7 @@
 
 	private FeedReader.Pace pace(Duration longestWait) {
 		Instant now = this.clock.instant();
-		return new FeedReader.Pace(longestWait, this.reducer.readPause(now), this.reducer.fed(now));
+		return new FeedReader.Pace(longestWait, this.reducer.readPause(now), this.reducer.followsReader(now));
 	}
 
 	// Of two nodes that start at once, the one that lists after the other was entered
@@ -392,7 +392,7 @@
 
 	private void lookForEnd(Instant ordered) {
 		Duration since = Duration.between(ordered, this.clock.instant());
-		if (since.compareTo(EntryReducer.TAKES_REQUESTS_FOR) < 0) {
+		if (since.compareTo(EntryReducer.ACCEPTANCE_AFTER_STOP) < 0) {
 			return;
 		}
 		this.callers.closeIdle();
--- a/src/main/java/sycamorehill/logic/directory/GroupKey.java
+++ b/src/main/java/sycamorehill/logic/directory/GroupKey.java
@@ -13,11 +13,11 @@
 
 	/**
 	 * The group that an engine reports.
-	 * @param seat the engine's place in it
+	 * @param membership the engine's place in it
 	 * @return the key
 	 */
-	public static GroupKey of(Membership seat) {
-		return new GroupKey(seat.group(), seat.epoch());
+	public static GroupKey of(Membership membership) {
+		return new GroupKey(membership.group(), membership.epoch());
 	}
 
 	@Override
--- a/src/main/java/sycamorehill/logic/directory/GroupView.java
+++ b/src/main/java/sycamorehill/logic/directory/GroupView.java
@@ -42,12 +42,12 @@
 	 * Whether every rank was seen once, no member is leaving and all hold the model.
 	 * @return true if the group is whole
 	 */
-	public boolean whole() {
-		if (!allSeen()) {
+	public boolean allMembersReady() {
+		if (!allRanksReported()) {
 			return false;
 		}
 		for (TargetEntry member : this.members) {
-			if (member.leaving() || !holds(state(member))) {
+			if (member.leaving() || !hasLoadedModel(memberState(member))) {
 				return false;
 			}
 		}
@@ -58,7 +58,7 @@
 	 * Whether every rank was seen once, whatever its state.
 	 * @return true if no member is missing
 	 */
-	public boolean allSeen() {
+	public boolean allRanksReported() {
 		if (this.members.size() != this.model.size()) {
 			return false;
 		}
@@ -77,7 +77,7 @@
 	 * @return true if it is whole and its head is open
 	 */
 	public boolean serving() {
-		return whole() && state(head()) == MemberState.OPEN && !this.vanished.contains(head().name());
+		return allMembersReady() && memberState(head()) == MemberState.OPEN && !this.vanished.contains(head().name());
 	}
 
 	/**
@@ -92,11 +92,11 @@
 	 * Whether the member of rank 0 was seen.
 	 * @return true if it was
 	 */
-	public boolean headSeen() {
+	public boolean headReported() {
 		return head().membership().orElseThrow().rank() == 0;
 	}
 
-	private static boolean holds(MemberState state) {
+	private static boolean hasLoadedModel(MemberState state) {
 		return state == MemberState.READY || state == MemberState.OPEN;
 	}
 
@@ -105,7 +105,7 @@
 	 * @param member the member
 	 * @return its state
 	 */
-	public static MemberState state(TargetEntry member) {
+	public static MemberState memberState(TargetEntry member) {
 		return member.membership().orElseThrow().state();
 	}
 
--- a/src/main/java/sycamorehill/logic/directory/GroupViews.java
+++ b/src/main/java/sycamorehill/logic/directory/GroupViews.java
@@ -35,19 +35,20 @@
 	 * Collects the groups of one service.
 	 * @param entries the service's engines
 	 * @param vanished the last word of engines whose entries went lately
-	 * @param figures what its engines do
+	 * @param parameters what its engines do
 	 * @return all groups that at least one engine reports, in a fixed order
 	 */
 	public static List<GroupView> of(List<TargetEntry> entries, Collection<TargetEntry> vanished,
-			EngineFigures figures) {
+			EngineFigures parameters) {
 		Map<GroupKey, List<TargetEntry>> byGroup = new HashMap<>();
 		for (TargetEntry entry : entries) {
 			entry.membership()
-				.ifPresent((seat) -> byGroup.computeIfAbsent(GroupKey.of(seat), (key) -> new ArrayList<>()).add(entry));
+				.ifPresent((membership) -> byGroup.computeIfAbsent(GroupKey.of(membership), (key) -> new ArrayList<>())
+					.add(entry));
 		}
-		Set<TargetName> gone = new HashSet<>();
+		Set<TargetName> vanishedNames = new HashSet<>();
 		for (TargetEntry entry : vanished) {
-			gone.add(entry.name());
+			vanishedNames.add(entry.name());
 			// A group of which no engine is left in the directory can't be used or
 			// changed.
 			entry.membership().map(GroupKey::of).map(byGroup::get).ifPresent((members) -> members.add(entry));
@@ -55,24 +56,25 @@
 		List<GroupView> groups = new ArrayList<>();
 		for (List<TargetEntry> members : byGroup.values()) {
 			members.sort(BY_RANK);
-			view(members, gone, figures).ifPresent(groups::add);
+			createView(members, vanishedNames, parameters).ifPresent(groups::add);
 		}
 		groups.sort(BY_NAME);
 		return groups;
 	}
 
-	private static Optional<GroupView> view(List<TargetEntry> members, Set<TargetName> gone, EngineFigures figures) {
-		Set<TargetName> vanished = gone.isEmpty() ? Set.of()
-				: members.stream().map(TargetEntry::name).filter(gone::contains).collect(Collectors.toSet());
+	private static Optional<GroupView> createView(List<TargetEntry> members, Set<TargetName> vanishedNames,
+			EngineFigures parameters) {
+		Set<TargetName> vanished = vanishedNames.isEmpty() ? Set.of()
+				: members.stream().map(TargetEntry::name).filter(vanishedNames::contains).collect(Collectors.toSet());
 		var membership = members.get(0).membership().orElseThrow();
-		return model(members, membership.group(), figures).map((model) -> new GroupView(membership.group(),
+		return findModel(members, membership.group(), parameters).map((model) -> new GroupView(membership.group(),
 				membership.epoch(), model, List.copyOf(members), vanished));
 	}
 
-	private static Optional<ModelFigures> model(List<TargetEntry> members, String group, EngineFigures figures) {
+	private static Optional<ModelFigures> findModel(List<TargetEntry> members, String group, EngineFigures parameters) {
 		return GroupNames.model(group)
 			.or(() -> members.stream().flatMap((member) -> member.loaded().stream()).findFirst())
-			.flatMap(figures::model);
+			.flatMap(parameters::model);
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/directory/TargetDirectory.java
+++ b/src/main/java/sycamorehill/logic/directory/TargetDirectory.java
@@ -29,7 +29,7 @@
 	 * themselves again within about 2 s; the rest is the time that a change needs to
 	 * arrive here.
 	 */
-	static final Duration RETURN_TIME = Duration.ofMillis(2300);
+	static final Duration REREGISTRATION_TIME = Duration.ofMillis(2300);
 
 	private final Map<TargetName, TargetEntry> entries = new HashMap<>();
 
@@ -37,11 +37,11 @@
 
 	private final VanishedTargets vanished = new VanishedTargets();
 
-	private boolean away;
+	private boolean storeUnreachable;
 
-	private Instant returned = Instant.MIN;
+	private Instant storeReachableSince = Instant.MIN;
 
-	private long changes;
+	private long changeCount;
 
 	private TargetDirectory() {
 	}
@@ -56,17 +56,17 @@
 
 	/**
 	 * Notes whether the store answered.
-	 * @param reached whether it did
+	 * @param reachable whether it did
 	 * @param now the present time
 	 */
-	public void contact(boolean reached, Instant now) {
-		if (!reached) {
-			this.away = true;
+	public void recordStoreContact(boolean reachable, Instant now) {
+		if (!reachable) {
+			this.storeUnreachable = true;
 			return;
 		}
-		if (this.away) {
-			this.away = false;
-			this.returned = now;
+		if (this.storeUnreachable) {
+			this.storeUnreachable = false;
+			this.storeReachableSince = now;
 		}
 	}
 
@@ -93,13 +93,13 @@
 
 	/**
 	 * Takes changes.
-	 * @param several the changes in their order
+	 * @param changes the changes in their order
 	 * @param now the present time
 	 * @return entries of lives that ended
 	 */
-	public List<TargetEntry> apply(List<TargetChange> several, Instant now) {
+	public List<TargetEntry> apply(List<TargetChange> changes, Instant now) {
 		List<TargetEntry> ended = new ArrayList<>();
-		for (TargetChange change : several) {
+		for (TargetChange change : changes) {
 			change.entry().map(this::put).orElseGet(() -> remove(change.name(), now)).ifPresent(ended::add);
 		}
 		return ended;
@@ -113,9 +113,9 @@
 	 */
 	public List<TargetEntry> dropMissing(Instant now) {
 		if (this.vanished.expire(now)) {
-			this.changes++;
+			this.changeCount++;
 		}
-		if (this.missing.isEmpty() || mayBeLapsed(now)) {
+		if (this.missing.isEmpty() || mayHaveExpired(now)) {
 			return List.of();
 		}
 		List<TargetEntry> ended = new ArrayList<>();
@@ -123,7 +123,7 @@
 			ended.add(this.entries.remove(name));
 		}
 		this.missing.clear();
-		this.changes++;
+		this.changeCount++;
 		return ended;
 	}
 
@@ -134,28 +134,28 @@
 	 * @param report what it told
 	 * @return the change; empty if the store answers or nothing is new
 	 */
-	public Optional<TargetChange> reported(TargetName name, EngineReport report) {
-		TargetEntry before = this.entries.get(name);
-		if (!this.away || before == null) {
+	public Optional<TargetChange> applyReport(TargetName name, EngineReport report) {
+		TargetEntry previous = this.entries.get(name);
+		if (!this.storeUnreachable || previous == null) {
 			return Optional.empty();
 		}
-		TargetEntry entry = before.reporting(report.staged(), report.membership());
-		if (entry.equals(before)) {
+		TargetEntry entry = previous.reporting(report.staged(), report.membership());
+		if (entry.equals(previous)) {
 			return Optional.empty();
 		}
 		this.entries.put(name, entry);
-		this.changes++;
+		this.changeCount++;
 		return Optional.of(new TargetChange(name, Optional.of(entry)));
 	}
 
 	private Optional<TargetEntry> put(TargetEntry entry) {
 		this.missing.remove(entry.name());
 		this.vanished.remove(entry.name());
-		TargetEntry before = this.entries.put(entry.name(), entry);
-		if (!entry.equals(before)) {
-			this.changes++;
+		TargetEntry previous = this.entries.put(entry.name(), entry);
+		if (!entry.equals(previous)) {
+			this.changeCount++;
 		}
-		return Optional.ofNullable(before).filter(entry::anotherLife);
+		return Optional.ofNullable(previous).filter(entry::anotherLife);
 	}
 
 	private Optional<TargetEntry> remove(TargetName name, Instant now) {
@@ -163,7 +163,7 @@
 		if (entry == null) {
 			return Optional.empty();
 		}
-		if (mayBeLapsed(now) && !entry.leaving()) {
+		if (mayHaveExpired(now) && !entry.leaving()) {
 			this.missing.add(name);
 			return Optional.empty();
 		}
@@ -172,12 +172,13 @@
 		if (!entry.leaving()) {
 			this.vanished.add(entry, now);
 		}
-		this.changes++;
+		this.changeCount++;
 		return Optional.of(entry);
 	}
 
-	private boolean mayBeLapsed(Instant now) {
-		return this.away || (this.returned != Instant.MIN && now.isBefore(this.returned.plus(RETURN_TIME)));
+	private boolean mayHaveExpired(Instant now) {
+		return this.storeUnreachable || (this.storeReachableSince != Instant.MIN
+				&& now.isBefore(this.storeReachableSince.plus(REREGISTRATION_TIME)));
 	}
 
 	/**
@@ -194,7 +195,7 @@
 	 * @param name the target
 	 * @return true for an entry that may have lapsed
 	 */
-	public boolean lapsed(TargetName name) {
+	public boolean isMissing(TargetName name) {
 		return this.missing.contains(name);
 	}
 
@@ -230,7 +231,7 @@
 	 */
 	public void forgetVanished(TargetName name) {
 		if (this.vanished.remove(name)) {
-			this.changes++;
+			this.changeCount++;
 		}
 	}
 
@@ -238,16 +239,16 @@
 	 * Counts the changes, so that others know when to derive their views again.
 	 * @return the number of changes
 	 */
-	public long changes() {
-		return this.changes;
+	public long changeCount() {
+		return this.changeCount;
 	}
 
 	/**
 	 * Whether the store answers at present.
 	 * @return false while it is away
 	 */
-	public boolean reached() {
-		return !this.away;
+	public boolean isStoreReachable() {
+		return !this.storeUnreachable;
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/directory/VanishedTargets.java
+++ b/src/main/java/sycamorehill/logic/directory/VanishedTargets.java
@@ -23,7 +23,7 @@
 	 * How long the last word is kept. Cuts that last longer are rare, and their groups
 	 * are known again from the entries that come back.
 	 */
-	static final Duration KEPT = Duration.ofSeconds(10);
+	static final Duration RETENTION_TIME = Duration.ofSeconds(10);
 
 	private final Map<TargetName, Vanished> vanished = new HashMap<>();
 
@@ -46,7 +46,7 @@
 	 * @return whether there were any
 	 */
 	boolean expire(Instant now) {
-		return this.vanished.values().removeIf((each) -> now.isAfter(each.since().plus(KEPT)));
+		return this.vanished.values().removeIf((each) -> now.isAfter(each.since().plus(RETENTION_TIME)));
 	}
 
 	Optional<TargetEntry> find(TargetName name) {
--- a/src/main/java/sycamorehill/logic/dispatch/ServingTargets.java
+++ b/src/main/java/sycamorehill/logic/dispatch/ServingTargets.java
@@ -49,7 +49,7 @@
 	 * @return the targets
 	 */
 	List<Candidate> find(Configuration configuration, ServiceName service, Optional<String> model, Instant now) {
-		if (this.derivedFrom != this.directory.changes() || this.derivedWith != configuration) {
+		if (this.derivedFrom != this.directory.changeCount() || this.derivedWith != configuration) {
 			derive(configuration);
 		}
 		List<Candidate> all = this.byService.getOrDefault(service, List.of());
@@ -76,7 +76,7 @@
 			Optional<EngineFigures> engines = configuration.service(service).flatMap(ServiceFigures::engines);
 			this.byService.put(service, engines.map((figures) -> groups(targets, figures)).orElse(plain(targets)));
 		});
-		this.derivedFrom = this.directory.changes();
+		this.derivedFrom = this.directory.changeCount();
 		this.derivedWith = configuration;
 	}
 
--- a/src/main/java/sycamorehill/logic/entry/ConfigurationTexts.java
+++ b/src/main/java/sycamorehill/logic/entry/ConfigurationDistribution.java
@@ -13,36 +13,36 @@
  * Has the text of each configuration told to the nodes that are read for, which spares
  * each of them a call to the store for each version.
  */
-final class ConfigurationTexts {
+final class ConfigurationDistribution {
 
 	/** Time from the news of a version to its text, which is sent at the same time. */
-	private static final Duration TOLD_WITHIN = Duration.ofMillis(200);
+	private static final Duration TEXT_TIMEOUT = Duration.ofMillis(200);
 
 	/** A version that is older than this has reached the others by other ways. */
-	private static final Duration NEW_FOR = Duration.ofSeconds(1);
+	private static final Duration MAXIMUM_SEND_DELAY = Duration.ofSeconds(1);
 
 	private final String self;
 
-	private final Neighbours neighbours;
+	private final PeerNodes peers;
 
 	private final StoreRelay relay;
 
-	private long awaited;
+	private long awaitedVersion;
 
 	private Instant awaitedSince = Instant.MIN;
 
-	private long untold;
+	private long unsentVersion;
 
-	private Instant untoldSince = Instant.MIN;
+	private Instant unsentSince = Instant.MIN;
 
-	private ConfigurationTexts(String self, Neighbours neighbours, StoreRelay relay) {
+	private ConfigurationDistribution(String self, PeerNodes peers, StoreRelay relay) {
 		this.self = self;
-		this.neighbours = neighbours;
+		this.peers = peers;
 		this.relay = relay;
 	}
 
-	static ConfigurationTexts of(String self, Neighbours neighbours, StoreRelay relay) {
-		return new ConfigurationTexts(self, neighbours, relay);
+	static ConfigurationDistribution of(String self, PeerNodes peers, StoreRelay relay) {
+		return new ConfigurationDistribution(self, peers, relay);
 	}
 
 	/**
@@ -52,16 +52,16 @@
 	 * @param now the present time
 	 * @param effects collects what is wanted
 	 */
-	void tell(long version, Instant now, Effects effects) {
-		if (!tells(now)) {
-			this.untold = version;
-			this.untoldSince = now;
+	void send(long version, Instant now, Effects effects) {
+		if (!isDistributor(now)) {
+			this.unsentVersion = version;
+			this.unsentSince = now;
 			return;
 		}
-		this.untold = 0;
-		List<Address> nodes = new ArrayList<>(this.neighbours.near());
-		if (this.relay.reads(now)) {
-			nodes.addAll(this.neighbours.relays(now));
+		this.unsentVersion = 0;
+		List<Address> nodes = new ArrayList<>(this.peers.localAddresses());
+		if (this.relay.isReader(now)) {
+			nodes.addAll(this.peers.relayAddresses(now));
 		}
 		if (!nodes.isEmpty()) {
 			effects.add(new EntryEffect.TellConfiguration(nodes, version));
@@ -74,20 +74,20 @@
 	 * @param now the present time
 	 * @param effects collects what is wanted
 	 */
-	void look(Instant now, Effects effects) {
-		if (this.untold == 0) {
+	void sendPending(Instant now, Effects effects) {
+		if (this.unsentVersion == 0) {
 			return;
 		}
-		if (!now.isBefore(this.untoldSince.plus(NEW_FOR))) {
-			this.untold = 0;
+		if (!now.isBefore(this.unsentSince.plus(MAXIMUM_SEND_DELAY))) {
+			this.unsentVersion = 0;
 		}
-		else if (tells(now)) {
-			tell(this.untold, now, effects);
+		else if (isDistributor(now)) {
+			send(this.unsentVersion, now, effects);
 		}
 	}
 
-	private boolean tells(Instant now) {
-		return this.relay.teller(now).filter(this.self::equals).isPresent();
+	private boolean isDistributor(Instant now) {
+		return this.relay.distributor(now).filter(this.self::equals).isPresent();
 	}
 
 	/**
@@ -97,12 +97,12 @@
 	 * @param now the present time
 	 * @param effects collects what is wanted
 	 */
-	void await(long version, Instant now, Effects effects) {
-		if (version != this.awaited) {
-			this.awaited = version;
+	void awaitText(long version, Instant now, Effects effects) {
+		if (version != this.awaitedVersion) {
+			this.awaitedVersion = version;
 			this.awaitedSince = now;
 		}
-		else if (!now.isBefore(this.awaitedSince.plus(TOLD_WITHIN))) {
+		else if (!now.isBefore(this.awaitedSince.plus(TEXT_TIMEOUT))) {
 			effects.add(new EntryEffect.ReadConfiguration(version));
 		}
 	}
--- a/src/main/java/sycamorehill/logic/entry/EntryReducer.java
+++ b/src/main/java/sycamorehill/logic/entry/EntryReducer.java
@@ -32,25 +32,25 @@
 	 * Time after the order to stop in which requests are still taken: the balancer asks
 	 * each second and sends no new connections after two refusals.
 	 */
-	public static final Duration TAKES_REQUESTS_FOR = Duration.ofMillis(3000);
+	public static final Duration ACCEPTANCE_AFTER_STOP = Duration.ofMillis(3000);
 
 	/**
 	 * How long a call may wait in the store for a change. One that does not end is how a
 	 * node learns that the store has stopped answering it.
 	 */
-	public static final Duration STORE_WAIT = StoreRelay.READER_WAIT;
+	public static final Duration STORE_LONG_POLL_WAIT = StoreRelay.LONG_POLL_WAIT;
 
 	/** Gathers changes of targets and groups, which come several times a second. */
-	private static final Duration SHORTEST_READ_PAUSE = Duration.ofMillis(150);
+	private static final Duration MINIMUM_READ_PAUSE = Duration.ofMillis(150);
 
 	/**
 	 * A change must be followed within 2 s; the rest is for the call itself and for one
 	 * that fails.
 	 */
-	private static final Duration LONGEST_READ_PAUSE = Duration.ofMillis(1000);
+	private static final Duration MAXIMUM_READ_PAUSE = Duration.ofMillis(1000);
 
 	/** Nodes that may all read at the shortest pause. */
-	private static final int NODES_READING_OFTEN = 9;
+	private static final int NODES_AT_MINIMUM_PAUSE = 9;
 
 	private final TargetDirectory directory = TargetDirectory.create();
 
@@ -58,43 +58,43 @@
 
 	private final GroupControl groups;
 
-	private final Neighbours neighbours;
+	private final PeerNodes peers;
 
-	private final LoadSums loadSums;
+	private final LoadAggregation loadAggregation;
 
-	private final ConfigurationTexts configurationTexts;
+	private final ConfigurationDistribution configurationDistribution;
 
-	private final SilenceReports silences = new SilenceReports();
+	private final SilenceReports silenceReports = new SilenceReports();
 
-	private final EarlyRequests early = new EarlyRequests();
+	private final StartupRequestQueue startupRequests = new StartupRequestQueue();
 
 	private final StoreRelay relay;
 
-	private final NewsLog newsLog;
+	private final StoreUpdateLog storeUpdateLog;
 
 	private final EntrySettings settings;
 
 	private Optional<Configuration> configuration = Optional.empty();
 
-	private boolean reached = true;
+	private boolean storeReachable = true;
 
-	private int nodesLiving = 1;
+	private int liveNodes = 1;
 
-	private boolean listed;
+	private boolean targetsListed;
 
 	private boolean introduced;
 
-	private Instant stopOrdered;
+	private Instant stopRequestedAt;
 
 	private boolean ready;
 
 	private EntryReducer(EntrySettings settings, String self, RandomGenerator random, Instant started) {
 		this.settings = settings;
-		this.neighbours = Neighbours.of(settings.record());
-		this.relay = StoreRelay.of(settings.nodeName(), settings.dataCentre(), this.neighbours::goesBefore);
-		this.newsLog = NewsLog.of(settings.nodeName(), this.relay, this.directory);
-		this.configurationTexts = ConfigurationTexts.of(settings.nodeName(), this.neighbours, this.relay);
-		this.loadSums = LoadSums.of(settings.record(), this.neighbours, this.relay);
+		this.peers = PeerNodes.of(settings.record());
+		this.relay = StoreRelay.of(settings.nodeName(), settings.dataCentre(), this.peers::takesPrecedence);
+		this.storeUpdateLog = StoreUpdateLog.of(settings.nodeName(), this.relay, this.directory);
+		this.configurationDistribution = ConfigurationDistribution.of(settings.nodeName(), this.peers, this.relay);
+		this.loadAggregation = LoadAggregation.of(settings.record(), this.peers, this.relay);
 		this.requests = RequestDesk.of(settings, this.directory, random);
 		this.groups = GroupControl.of(settings, this.directory, self, started);
 	}
@@ -119,21 +119,21 @@
 	 */
 	public List<EntryEffect> accept(EntryEvent event, Instant now) {
 		Effects effects = Effects.begin();
-		if (!acceptRequest(event, now, effects) && !acceptGroup(event, now, effects)) {
-			acceptSurroundings(event, now, effects);
+		if (!handleRequestEvent(event, now, effects) && !handleGroupEvent(event, now, effects)) {
+			handleNodeEvent(event, now, effects);
 		}
-		return addressed(effects.all());
+		return resolveBroadcasts(effects.all());
 	}
 
 	// Puts the addresses of all other nodes to what all are told.
-	private List<EntryEffect> addressed(List<EntryEffect> wanted) {
-		if (wanted.stream().noneMatch(EntryEffect.TellAll.class::isInstance)) {
-			return wanted;
+	private List<EntryEffect> resolveBroadcasts(List<EntryEffect> unresolved) {
+		if (unresolved.stream().noneMatch(EntryEffect.TellAll.class::isInstance)) {
+			return unresolved;
 		}
 		Effects effects = Effects.begin();
-		for (EntryEffect effect : wanted) {
-			if (effect instanceof EntryEffect.TellAll tell) {
-				this.neighbours.tellAll(tell.message(), effects);
+		for (EntryEffect effect : unresolved) {
+			if (effect instanceof EntryEffect.TellAll broadcast) {
+				this.peers.sendToAll(broadcast.message(), effects);
 			}
 			else {
 				effects.add(effect);
@@ -144,41 +144,42 @@
 
 	// A request that comes late in a planned stop could be cut off when the process ends:
 	// answers take up to 4 s, and the caller can be served by another node at once.
-	private void arrived(CallerRequest request, Instant now, Effects effects) {
-		if (this.stopOrdered != null && now.isAfter(this.stopOrdered.plus(TAKES_REQUESTS_FOR))) {
+	private void handleRequest(CallerRequest request, Instant now, Effects effects) {
+		if (this.stopRequestedAt != null && now.isAfter(this.stopRequestedAt.plus(ACCEPTANCE_AFTER_STOP))) {
 			this.requests.refuseStopping(request, effects);
 			return;
 		}
-		boolean mayWait = !knowsAll() && this.reached;
-		if (!mayWait || !this.early.add(request, now)) {
+		boolean mayWait = !isInitialized() && this.storeReachable;
+		if (!mayWait || !this.startupRequests.add(request, now)) {
 			this.requests.arrived(request, now, now, effects);
 		}
 	}
 
-	private boolean knowsAll() {
-		return this.configuration.isPresent() && this.listed;
+	private boolean isInitialized() {
+		return this.configuration.isPresent() && this.targetsListed;
 	}
 
-	private void takeEarly(Instant now, Effects effects) {
-		for (EarlyRequests.Early each : this.early.take(knowsAll() || !this.reached, now)) {
-			this.requests.arrived(each.request(), each.since(), now, effects);
+	private void releaseStartupRequests(Instant now, Effects effects) {
+		for (StartupRequestQueue.QueuedRequest request : this.startupRequests
+			.takeDue(isInitialized() || !this.storeReachable, now)) {
+			this.requests.arrived(request.request(), request.arrivedAt(), now, effects);
 		}
 	}
 
-	private void heard(NodeMessage message, Instant now, Effects effects) {
+	private void handleMessage(NodeMessage message, Instant now, Effects effects) {
 		if (message instanceof NodeMessage.LoadsAdded added
-				&& !this.loadSums.heard(added, this.stopOrdered != null, now)) {
+				&& !this.loadAggregation.handleMessage(added, this.stopRequestedAt != null, now)) {
 			return;
 		}
-		this.neighbours.heard(message, now);
+		this.peers.handleMessage(message, now);
 		this.requests.heard(message, now, effects);
 		if (message instanceof NodeMessage.Loads loads) {
-			this.loadSums.heard(loads, now);
+			this.loadAggregation.handleMessage(loads, now);
 			return;
 		}
 		if (message instanceof NodeMessage.Silence silence) {
 			this.groups.suspect(silence.target(), now, effects);
-			reported(silence.sender(), silence.target(), now, effects);
+			recordSilenceReport(silence.sender(), silence.target(), now, effects);
 		}
 		else if (message instanceof NodeMessage.SilenceConfirmed confirmed) {
 			this.requests.silentElsewhere(confirmed.target(), now, effects);
@@ -186,82 +187,83 @@
 		else if (message instanceof NodeMessage.GroupEnded ended) {
 			this.requests.groupEnded(ended.head(), ended.group(), ended.epoch(), now, effects);
 		}
-		else if (message instanceof NodeMessage.StoreNews news) {
-			heardNews(news, now, effects);
+		else if (message instanceof NodeMessage.StoreNews update) {
+			handleStoreUpdate(update, now, effects);
 		}
-		else if (message instanceof NodeMessage.ConfigurationTold told && told.version() > configurationVersion()) {
-			effects.add(new EntryEffect.TakeConfiguration(told.text()));
+		else if (message instanceof NodeMessage.ConfigurationTold received
+				&& received.version() > configurationVersion()) {
+			effects.add(new EntryEffect.TakeConfiguration(received.text()));
 		}
-		else if (message instanceof NodeMessage.TargetsSeen seen && !this.reached) {
-			forget(this.directory.apply(seen.changes(), now), effects);
+		else if (message instanceof NodeMessage.TargetsSeen observed && !this.storeReachable) {
+			removeTargets(this.directory.apply(observed.changes(), now), effects);
 		}
-		else if (message instanceof NodeMessage.LeaseGivenUp given) {
-			this.groups.leaseGivenUp(given.holder(), this.relay.fed(now), now);
+		else if (message instanceof NodeMessage.LeaseGivenUp release) {
+			this.groups.leaseGivenUp(release.holder(), this.relay.followsReader(now), now);
 		}
 	}
 
-	private void heardNews(NodeMessage.StoreNews news, Instant now, Effects effects) {
-		StoreRelay.Consequence consequence = this.relay.heard(news, now);
-		if (!consequence.fed()) {
+	private void handleStoreUpdate(NodeMessage.StoreNews update, Instant now, Effects effects) {
+		StoreRelay.UpdateResult result = this.relay.handleUpdate(update, now);
+		if (!result.accepted()) {
 			return;
 		}
-		this.newsLog.reader(now, effects);
-		contact(true, now, effects);
-		news.lease().ifPresent((lease) -> this.groups.leaseHeard(lease, now, effects));
-		if (consequence.apply()) {
-			this.newsLog.leaving(news.changes(), now, effects);
-			forget(this.directory.apply(news.changes(), now), effects);
+		this.storeUpdateLog.logReaderChange(now, effects);
+		recordStoreContact(true, now, effects);
+		update.lease().ifPresent((lease) -> this.groups.leaseHeard(lease, now, effects));
+		if (result.applyChanges()) {
+			this.storeUpdateLog.logLeavingTargets(update.changes(), now, effects);
+			removeTargets(this.directory.apply(update.changes(), now), effects);
 			tick(now, effects);
 		}
-		if (this.stopOrdered == null) {
-			consequence.passOn().ifPresent((passed) -> this.neighbours.tellNear(passed, effects));
+		if (this.stopRequestedAt == null) {
+			result.relayedUpdate().ifPresent((relayed) -> this.peers.sendToLocalPeers(relayed, effects));
 		}
 		effects.add(new EntryEffect.TargetsKnown(this.relay.revision()));
-		if (consequence.readTargets()) {
+		if (result.readTargets()) {
 			effects.add(new EntryEffect.ReadTargets());
 		}
-		if (consequence.readConfiguration()) {
-			this.configurationTexts.await(news.configurationVersion(), now, effects);
+		if (result.readConfiguration()) {
+			this.configurationDistribution.awaitText(update.configurationVersion(), now, effects);
 		}
 	}
 
-	private void tellNews(NodeMessage.StoreNews news, Instant now, Effects effects) {
-		NodeMessage.StoreNews whole = news.with(this.groups.lease());
-		this.relay.told(now);
-		this.neighbours.tellNear(whole, effects);
-		if (this.relay.reads(now)) {
-			this.neighbours.tellRelays(whole, now, effects);
+	private void sendStoreUpdate(NodeMessage.StoreNews update, Instant now, Effects effects) {
+		NodeMessage.StoreNews complete = update.with(this.groups.lease());
+		this.relay.recordUpdateSent(now);
+		this.peers.sendToLocalPeers(complete, effects);
+		if (this.relay.isReader(now)) {
+			this.peers.sendToRelays(complete, now, effects);
 		}
 	}
 
-	private void reported(String node, TargetName target, Instant now, Effects effects) {
-		if (this.groups.controls(now) && this.silences.confirms(node, target, now)) {
+	private void recordSilenceReport(String node, TargetName target, Instant now, Effects effects) {
+		if (this.groups.controls(now) && this.silenceReports.recordReport(node, target, now)) {
 			effects.add(new EntryEffect.TellAll(new NodeMessage.SilenceConfirmed(this.settings.nodeName(), target)));
 			this.requests.silentElsewhere(target, now, effects);
 		}
 	}
 
-	private void silent(TargetName target, Instant now, Effects effects) {
+	private void handleSilence(TargetName target, Instant now, Effects effects) {
 		this.requests.silent(target, now, effects);
 		this.groups.suspect(target, now, effects);
-		reported(this.settings.nodeName(), target, now, effects);
+		recordSilenceReport(this.settings.nodeName(), target, now, effects);
 		this.groups.controller()
-			.ifPresent((node) -> this.neighbours.tell(node, new NodeMessage.Silence(this.settings.nodeName(), target),
+			.ifPresent((node) -> this.peers.sendTo(node, new NodeMessage.Silence(this.settings.nodeName(), target),
 					effects));
 	}
 
-	private void tellLoads(Instant now, Effects effects) {
+	private void sendLoads(Instant now, Effects effects) {
 		NodeMessage.Loads loads = new NodeMessage.Loads(this.settings.nodeName(), this.settings.dataCentre(),
-				this.reached, this.requests.inFlight());
-		this.loadSums.tell(loads, this.stopOrdered != null, now, effects);
-		this.nodesLiving = this.neighbours.living(now);
-		this.requests.nodes(this.nodesLiving, this.neighbours.sharing(now), now, effects);
+				this.storeReachable, this.requests.inFlight());
+		this.loadAggregation.send(loads, this.stopRequestedAt != null, now, effects);
+		this.liveNodes = this.peers.countLiveNodes(now);
+		this.requests.nodes(this.liveNodes, this.peers.sharingNodes(now), now, effects);
 	}
 
-	private boolean acceptRequest(EntryEvent event, Instant now, Effects effects) {
+	private boolean handleRequestEvent(EntryEvent event, Instant now, Effects effects) {
 		if (event instanceof EntryEvent.RequestArrived arrived) {
 			this.groups.trafficSeen(now);
-			arrived(arrived.request(), now, effects);
+			handleRequest(arrived.request(), now, effects);
 		}
 		else if (event instanceof EntryEvent.AnswerBegun begun) {
 			this.requests.begun(begun.number(), now);
@@ -270,17 +272,17 @@
 			this.requests.ended(ended.number(), ended.attempt(), ended.end(), now, effects);
 		}
 		else if (event instanceof EntryEvent.CallerGone gone) {
-			this.early.remove(gone.number());
+			this.startupRequests.remove(gone.number());
 			this.requests.callerGone(gone.number(), now, effects);
 		}
 		else if (event instanceof EntryEvent.TimedOut timedOut) {
 			this.requests.timedOut(timedOut.number(), now, effects);
 		}
-		else if (event instanceof EntryEvent.TargetTold told) {
-			this.requests.told(told, now, effects);
+		else if (event instanceof EntryEvent.TargetTold received) {
+			this.requests.told(received, now, effects);
 		}
 		else if (event instanceof EntryEvent.TargetSilent silent) {
-			silent(silent.target(), now, effects);
+			handleSilence(silent.target(), now, effects);
 		}
 		else {
 			return false;
@@ -288,7 +290,7 @@
 		return true;
 	}
 
-	private boolean acceptGroup(EntryEvent event, Instant now, Effects effects) {
+	private boolean handleGroupEvent(EntryEvent event, Instant now, Effects effects) {
 		if (event instanceof EntryEvent.OrderAnswered answered) {
 			this.groups.orderAnswered(answered.target(), answered.order(), answered.answer(), now, effects);
 		}
@@ -308,35 +310,35 @@
 		return true;
 	}
 
-	private void acceptSurroundings(EntryEvent event, Instant now, Effects effects) {
+	private void handleNodeEvent(EntryEvent event, Instant now, Effects effects) {
 		if (event instanceof EntryEvent.ConfigurationRead read) {
-			this.relay.configurationAnswered(now);
-			adopt(read.configuration(), now, effects);
+			this.relay.recordConfigurationRead(now);
+			applyConfiguration(read.configuration(), now, effects);
 		}
 		else if (event instanceof EntryEvent.ConfigurationHeard heard) {
-			adopt(heard.configuration(), now, effects);
+			applyConfiguration(heard.configuration(), now, effects);
 		}
 		else if (event instanceof EntryEvent.TargetsListed all) {
-			this.listed = true;
-			contact(true, now, effects);
-			this.relay.listed(all.revision(), now);
-			this.newsLog.leaving(
+			this.targetsListed = true;
+			recordStoreContact(true, now, effects);
+			this.relay.recordTargetList(all.revision(), now);
+			this.storeUpdateLog.logLeavingTargets(
 					all.entries().stream().map((entry) -> new TargetChange(entry.name(), Optional.of(entry))).toList(),
 					now, effects);
-			forget(this.directory.replaceAll(all.entries(), now), effects);
+			removeTargets(this.directory.replaceAll(all.entries(), now), effects);
 		}
 		else if (event instanceof EntryEvent.TargetsChanged changed) {
-			changed(changed, now, effects);
+			handleTargetChanges(changed, now, effects);
 		}
 		else if (event instanceof EntryEvent.DirectoryNotReached) {
-			this.relay.failed();
-			contact(this.relay.fed(now), now, effects);
+			this.relay.recordReadFailure();
+			recordStoreContact(this.relay.followsReader(now), now, effects);
 		}
 		else if (event instanceof EntryEvent.NodesListed all) {
-			listed(all, now, effects);
+			handleNodeList(all, now, effects);
 		}
 		else if (event instanceof EntryEvent.MessageHeard message) {
-			heard(message.message(), now, effects);
+			handleMessage(message.message(), now, effects);
 			return;
 		}
 		else if (event instanceof EntryEvent.SettingsRead read) {
@@ -344,62 +346,62 @@
 			effects.log(LogEvent.SETTINGS_RELOADED, "node=" + read.settings().nodeName());
 		}
 		else if (event instanceof EntryEvent.StopOrdered) {
-			this.stopOrdered = now;
+			this.stopRequestedAt = now;
 			this.groups.stop(effects);
 		}
 		tick(now, effects);
 	}
 
 	// Nodes that started before this one did not find it in their lists.
-	private void listed(EntryEvent.NodesListed all, Instant now, Effects effects) {
-		this.neighbours.listed(all.nodes(), now);
+	private void handleNodeList(EntryEvent.NodesListed all, Instant now, Effects effects) {
+		this.peers.updateNodes(all.nodes(), now);
 		if (!this.introduced) {
 			this.introduced = true;
 			effects.add(new EntryEffect.TellAll(new NodeMessage.Introduction(this.settings.record())));
 		}
 	}
 
-	private void changed(EntryEvent.TargetsChanged changed, Instant now, Effects effects) {
-		contact(true, now, effects);
-		NodeMessage.StoreNews news = this.relay
-			.read(new StoreRelay.Page(changed.since(), changed.revision(), changed.changes()), now);
-		boolean leads = this.relay.reads(now) || this.relay.passesOn(now);
-		if (!changed.changes().isEmpty() && leads && this.stopOrdered == null) {
-			tellNews(news, now, effects);
+	private void handleTargetChanges(EntryEvent.TargetsChanged changed, Instant now, Effects effects) {
+		recordStoreContact(true, now, effects);
+		NodeMessage.StoreNews update = this.relay.recordTargetChanges(
+				new StoreRelay.ChangeBatch(changed.since(), changed.revision(), changed.changes()), now);
+		boolean distributes = this.relay.isReader(now) || this.relay.isRelay(now);
+		if (!changed.changes().isEmpty() && distributes && this.stopRequestedAt == null) {
+			sendStoreUpdate(update, now, effects);
 		}
-		this.newsLog.leaving(changed.changes(), now, effects);
-		forget(this.directory.apply(changed.changes(), now), effects);
+		this.storeUpdateLog.logLeavingTargets(changed.changes(), now, effects);
+		removeTargets(this.directory.apply(changed.changes(), now), effects);
 	}
 
 	private void tickGroups(Instant now, Effects effects) {
-		boolean away = !this.reached && this.neighbours.storeAwayForAll(now);
-		this.groups.tick(new GroupControl.Sight(this.configuration, this.requests::requests, this.relay.fed(now), away),
-				now, effects);
+		boolean storeUnreachableForAll = !this.storeReachable && this.peers.isStoreUnreachableForAll(now);
+		this.groups.tick(new GroupControl.Sight(this.configuration, this.requests::requests,
+				this.relay.followsReader(now), storeUnreachableForAll), now, effects);
 	}
 
 	private void tick(Instant now, Effects effects) {
-		this.newsLog.reader(now, effects);
-		forget(this.directory.dropMissing(now), effects);
-		takeEarly(now, effects);
+		this.storeUpdateLog.logReaderChange(now, effects);
+		removeTargets(this.directory.dropMissing(now), effects);
+		releaseStartupRequests(now, effects);
 		tickGroups(now, effects);
-		if (this.loadSums.due(this.stopOrdered != null, now)) {
-			tellLoads(now, effects);
+		if (this.loadAggregation.isSendDue(this.stopRequestedAt != null, now)) {
+			sendLoads(now, effects);
 		}
-		if (this.stopOrdered == null) {
-			this.configurationTexts.look(now, effects);
+		if (this.stopRequestedAt == null) {
+			this.configurationDistribution.sendPending(now, effects);
 		}
-		if (this.relay.newsDue(now) && this.stopOrdered == null) {
-			tellNews(this.relay.progress(now), now, effects);
+		if (this.relay.isUpdateDue(now) && this.stopRequestedAt == null) {
+			sendStoreUpdate(this.relay.createProgressUpdate(now), now, effects);
 		}
-		boolean nowReady = knowsAll() && this.stopOrdered == null;
-		if (nowReady != this.ready) {
-			this.ready = nowReady;
-			effects.add(new EntryEffect.Ready(nowReady));
+		boolean readyNow = isInitialized() && this.stopRequestedAt == null;
+		if (readyNow != this.ready) {
+			this.ready = readyNow;
+			effects.add(new EntryEffect.Ready(readyNow));
 		}
 	}
 
 	// Versions only go up within one life of the process, whatever the store shows.
-	private void adopt(Configuration read, Instant now, Effects effects) {
+	private void applyConfiguration(Configuration read, Instant now, Effects effects) {
 		long version = this.configuration.map(Configuration::version).orElse(Long.MIN_VALUE);
 		if (read.version() <= version) {
 			if (read.version() < version) {
@@ -409,24 +411,24 @@
 		}
 		boolean first = this.configuration.isEmpty();
 		this.configuration = Optional.of(read);
-		this.relay.inForce(read.version());
+		this.relay.recordAppliedConfiguration(read.version());
 		this.requests.adopt(read);
 		effects.add(new EntryEffect.LimitCallers(read.limits()));
 		effects.log(LogEvent.CONFIGURATION_IN_FORCE, "version=" + read.version() + " routes=" + read.routes().size());
-		if (this.stopOrdered == null && !first) {
-			this.configurationTexts.tell(read.version(), now, effects);
+		if (this.stopRequestedAt == null && !first) {
+			this.configurationDistribution.send(read.version(), now, effects);
 		}
 	}
 
-	private void contact(boolean answered, Instant now, Effects effects) {
-		if (answered != this.reached) {
+	private void recordStoreContact(boolean answered, Instant now, Effects effects) {
+		if (answered != this.storeReachable) {
 			effects.log(LogEvent.STORE_CONTACT, answered ? "back" : "lost");
-			this.reached = answered;
+			this.storeReachable = answered;
 		}
-		this.directory.contact(answered, now);
+		this.directory.recordStoreContact(answered, now);
 	}
 
-	private void forget(List<TargetEntry> ended, Effects effects) {
+	private void removeTargets(List<TargetEntry> ended, Effects effects) {
 		for (TargetEntry entry : ended) {
 			effects.add(new EntryEffect.ForgetTarget(new TargetAddress(entry.name(), entry.address())));
 			effects.log(LogEvent.TARGET_CHANGED, "target=" + entry.name() + " ended address=" + entry.address());
@@ -443,12 +445,13 @@
 	 * @return the pause
 	 */
 	public Duration readPause(Instant now) {
-		if (this.groups.controls(now) || this.relay.reads(now)) {
-			return SHORTEST_READ_PAUSE;
+		if (this.groups.controls(now) || this.relay.isReader(now)) {
+			return MINIMUM_READ_PAUSE;
 		}
-		Duration shared = SHORTEST_READ_PAUSE.multipliedBy(this.neighbours.known()).dividedBy(NODES_READING_OFTEN);
-		Duration pause = (shared.compareTo(SHORTEST_READ_PAUSE) > 0) ? shared : SHORTEST_READ_PAUSE;
-		return (pause.compareTo(LONGEST_READ_PAUSE) < 0) ? pause : LONGEST_READ_PAUSE;
+		Duration proportional = MINIMUM_READ_PAUSE.multipliedBy(this.peers.countKnownNodes())
+			.dividedBy(NODES_AT_MINIMUM_PAUSE);
+		Duration pause = (proportional.compareTo(MINIMUM_READ_PAUSE) > 0) ? proportional : MINIMUM_READ_PAUSE;
+		return (pause.compareTo(MAXIMUM_READ_PAUSE) < 0) ? pause : MAXIMUM_READ_PAUSE;
 	}
 
 	/**
@@ -456,8 +459,8 @@
 	 * @param now the present time
 	 * @return true if this node need not read
 	 */
-	public boolean fed(Instant now) {
-		return this.relay.fed(now);
+	public boolean followsReader(Instant now) {
+		return this.relay.followsReader(now);
 	}
 
 	/**
@@ -480,8 +483,8 @@
 	 * Counts the nodes that were heard lately, this one with them.
 	 * @return the number of nodes
 	 */
-	public long nodesLiving() {
-		return this.nodesLiving;
+	public long liveNodes() {
+		return this.liveNodes;
 	}
 
 	/**
@@ -496,8 +499,8 @@
 	 * Whether the store answered the last call for targets.
 	 * @return true if it did
 	 */
-	public boolean storeReached() {
-		return this.reached;
+	public boolean isStoreReachable() {
+		return this.storeReachable;
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/entry/Neighbours.java
+++ b/src/main/java/sycamorehill/logic/entry/PeerNodes.java
@@ -22,63 +22,63 @@
 /**
  * The other entry nodes: where they are, and which of them were heard lately.
  */
-final class Neighbours {
+final class PeerNodes {
 
 	/** A node that was not heard for so long is not counted: few nodes tell 25 times. */
-	private static final Duration LIVES = Duration.ofSeconds(5);
+	private static final Duration MINIMUM_LIVENESS_TIMEOUT = Duration.ofSeconds(5);
 
 	/** Messages of a node that may be lost in a row before it is not counted. */
-	private static final int MESSAGES_MISSED = 2;
+	private static final int MAXIMUM_MISSED_MESSAGES = 2;
 
 	/**
 	 * What a node told of the store is good for so long: few nodes tell it five times a
 	 * second, many tell half of the others within it.
 	 */
-	private static final Duration STORE_WORD_VALID = Duration.ofMillis(1500);
+	private static final Duration STORE_STATUS_VALIDITY = Duration.ofMillis(1500);
 
 	/** A load report is out of date after about as long as an event takes. */
-	private static final Duration LOADS_TOLD_EVERY = Duration.ofMillis(200);
+	private static final Duration MINIMUM_LOAD_INTERVAL = Duration.ofMillis(200);
 
 	/**
 	 * Messages about loads that a node takes in a second, at most: small VMs have little
 	 * processor time and bandwidth beside their callers'.
 	 */
-	private static final int LOADS_TAKEN_A_SECOND = 60;
+	private static final int MAXIMUM_LOAD_MESSAGES_PER_SECOND = 60;
 
 	/** Other nodes that may all be told at the shortest pause. */
-	private static final int FEW_NODES = 12;
+	private static final int MAXIMUM_PEERS_OF_SMALL_CLUSTER = 12;
 
 	/**
 	 * Nodes of other data centres are told once in so many times: each data centre has
 	 * targets of its own, which its nodes prefer.
 	 */
-	private static final int FAR_TOLD_ONCE_IN = 5;
+	private static final int SENDS_PER_REMOTE_SEND = 5;
 
 	private final NodeRecord self;
 
-	private final DataCentreName own;
+	private final DataCentreName localDataCentre;
 
-	private Instant loadsTold = Instant.MIN;
+	private Instant loadsSentAt = Instant.MIN;
 
-	private int timesTold;
+	private int loadSendCount;
 
 	private final Map<String, NodeRecord> nodes = new HashMap<>();
 
-	private final Map<String, Instant> heard = new HashMap<>();
+	private final Map<String, Instant> lastReceived = new HashMap<>();
 
-	private final Map<String, StoreWord> storeWords = new HashMap<>();
+	private final Map<String, StoreStatus> storeStatuses = new HashMap<>();
 
 	private final Map<DataCentreName, Relay> relays = new HashMap<>();
 
-	private final Map<DataCentreName, Count> counts = new HashMap<>();
+	private final Map<DataCentreName, NodeCount> nodeCounts = new HashMap<>();
 
-	private Neighbours(NodeRecord self) {
+	private PeerNodes(NodeRecord self) {
 		this.self = self;
-		this.own = self.dataCentre();
+		this.localDataCentre = self.dataCentre();
 	}
 
-	static Neighbours of(NodeRecord self) {
-		return new Neighbours(self);
+	static PeerNodes of(NodeRecord self) {
+		return new PeerNodes(self);
 	}
 
 	/**
@@ -87,12 +87,12 @@
 	 * @param listed the nodes
 	 * @param now the present time
 	 */
-	void listed(List<NodeRecord> listed, Instant now) {
+	void updateNodes(List<NodeRecord> listed, Instant now) {
 		Set<String> names = listed.stream().map(NodeRecord::name).collect(Collectors.toSet());
-		Instant since = now.minus(livesFor());
+		Instant since = now.minus(livenessTimeout());
 		for (String node : List.copyOf(this.nodes.keySet())) {
-			if (!names.contains(node) && !heardAfter(node, since)) {
-				forget(node);
+			if (!names.contains(node) && !receivedAfter(node, since)) {
+				remove(node);
 			}
 		}
 		listed.forEach((node) -> add(node, now));
@@ -101,25 +101,25 @@
 	private void add(NodeRecord node, Instant now) {
 		if (!node.name().equals(this.self.name())) {
 			this.nodes.put(node.name(), node);
-			this.heard.putIfAbsent(node.name(), now);
+			this.lastReceived.putIfAbsent(node.name(), now);
 		}
 	}
 
-	private void forget(String node) {
+	private void remove(String node) {
 		this.nodes.remove(node);
-		this.heard.remove(node);
-		this.storeWords.remove(node);
+		this.lastReceived.remove(node);
+		this.storeStatuses.remove(node);
 	}
 
-	void heard(NodeMessage message, Instant now) {
-		this.heard.put(message.sender(), now);
+	void handleMessage(NodeMessage message, Instant now) {
+		this.lastReceived.put(message.sender(), now);
 		if (message instanceof NodeMessage.Loads loads) {
-			this.storeWords.put(message.sender(), new StoreWord(loads.storeReached(), now));
+			this.storeStatuses.put(message.sender(), new StoreStatus(loads.storeReached(), now));
 		}
 		else if (message instanceof NodeMessage.LoadsAdded added) {
 			for (LoadSum sum : added.sums()) {
-				this.heard.put(sum.node(), now);
-				this.counts.put(sum.dataCentre(), new Count(sum.nodes(), now));
+				this.lastReceived.put(sum.node(), now);
+				this.nodeCounts.put(sum.dataCentre(), new NodeCount(sum.nodes(), now));
 			}
 		}
 		else if (message instanceof NodeMessage.Introduction introduction) {
@@ -138,9 +138,9 @@
 	 * @param other another node
 	 * @return true if the first goes before the other
 	 */
-	boolean goesBefore(String node, String other) {
-		int stronger = Double.compare(processor(other), processor(node));
-		return (stronger != 0) ? stronger < 0 : node.compareTo(other) < 0;
+	boolean takesPrecedence(String node, String other) {
+		int comparison = Double.compare(processor(other), processor(node));
+		return (comparison != 0) ? comparison < 0 : node.compareTo(other) < 0;
 	}
 
 	private double processor(String node) {
@@ -156,43 +156,43 @@
 	 * @param now the present time
 	 * @return true if it is time
 	 */
-	boolean loadsDue(Instant now) {
-		boolean possible = !now.isBefore(this.loadsTold.plus(LOADS_TOLD_EVERY));
-		return possible && !now.isBefore(this.loadsTold.plus(interval()));
+	boolean isLoadSendDue(Instant now) {
+		boolean minimumElapsed = !now.isBefore(this.loadsSentAt.plus(MINIMUM_LOAD_INTERVAL));
+		return minimumElapsed && !now.isBefore(this.loadsSentAt.plus(loadInterval()));
 	}
 
-	private Duration interval() {
-		if (fewNodes()) {
-			return LOADS_TOLD_EVERY;
+	private Duration loadInterval() {
+		if (isSmallCluster()) {
+			return MINIMUM_LOAD_INTERVAL;
 		}
-		int near = near().size();
-		double told = near + (double) (this.nodes.size() - near) / FAR_TOLD_ONCE_IN;
-		long millis = (long) (told * 1000 / LOADS_TAKEN_A_SECOND);
-		return Duration.ofMillis(Math.max(millis, LOADS_TOLD_EVERY.toMillis()));
+		int local = localAddresses().size();
+		double messages = local + (double) (this.nodes.size() - local) / SENDS_PER_REMOTE_SEND;
+		long millis = (long) (messages * 1000 / MAXIMUM_LOAD_MESSAGES_PER_SECOND);
+		return Duration.ofMillis(Math.max(millis, MINIMUM_LOAD_INTERVAL.toMillis()));
 	}
 
-	boolean fewNodes() {
-		return this.nodes.size() <= FEW_NODES;
+	boolean isSmallCluster() {
+		return this.nodes.size() <= MAXIMUM_PEERS_OF_SMALL_CLUSTER;
 	}
 
 	/**
 	 * Where the other nodes of the own data centre take messages.
 	 * @return their addresses
 	 */
-	List<Address> near() {
-		return nearRecords().map(NodeRecord::address).toList();
+	List<Address> localAddresses() {
+		return localPeers().map(NodeRecord::address).toList();
 	}
 
-	private Stream<NodeRecord> nearRecords() {
-		return this.nodes.values().stream().filter((node) -> node.dataCentre().equals(this.own));
+	private Stream<NodeRecord> localPeers() {
+		return this.nodes.values().stream().filter((node) -> node.dataCentre().equals(this.localDataCentre));
 	}
 
 	/**
 	 * The other nodes of the own data centre.
 	 * @return their names
 	 */
-	List<String> nearNodes() {
-		return nearRecords().map(NodeRecord::name).toList();
+	List<String> localNames() {
+		return localPeers().map(NodeRecord::name).toList();
 	}
 
 	/**
@@ -201,14 +201,14 @@
 	 * @param now the present time
 	 * @param effects collects what is wanted
 	 */
-	void tellLoads(NodeMessage.Loads loads, Instant now, Effects effects) {
-		this.loadsTold = now;
-		this.timesTold++;
-		if (fewNodes() || this.timesTold % FAR_TOLD_ONCE_IN == 0) {
-			tellAll(loads, effects);
+	void sendLoads(NodeMessage.Loads loads, Instant now, Effects effects) {
+		this.loadsSentAt = now;
+		this.loadSendCount++;
+		if (isSmallCluster() || this.loadSendCount % SENDS_PER_REMOTE_SEND == 0) {
+			sendToAll(loads, effects);
 		}
 		else {
-			effects.add(new EntryEffect.Tell(near(), loads));
+			effects.add(new EntryEffect.Tell(localAddresses(), loads));
 		}
 	}
 
@@ -218,21 +218,21 @@
 	 * @param now the present time
 	 * @return the number of nodes
 	 */
-	int living(Instant now) {
-		Instant since = now.minus(livesFor());
-		Map<DataCentreName, Integer> living = new HashMap<>();
-		living.put(this.own, 1);
+	int countLiveNodes(Instant now) {
+		Instant since = now.minus(livenessTimeout());
+		Map<DataCentreName, Integer> live = new HashMap<>();
+		live.put(this.localDataCentre, 1);
 		for (NodeRecord node : this.nodes.values()) {
-			if (heardAfter(node.name(), since)) {
-				living.merge(node.dataCentre(), 1, Integer::sum);
+			if (receivedAfter(node.name(), since)) {
+				live.merge(node.dataCentre(), 1, Integer::sum);
 			}
 		}
-		this.counts.forEach((dataCentre, count) -> {
-			if (now.isBefore(count.at().plus(LIVES))) {
-				living.put(dataCentre, count.nodes());
+		this.nodeCounts.forEach((dataCentre, count) -> {
+			if (now.isBefore(count.receivedAt().plus(MINIMUM_LIVENESS_TIMEOUT))) {
+				live.put(dataCentre, count.nodes());
 			}
 		});
-		return living.values().stream().mapToInt(Integer::intValue).sum();
+		return live.values().stream().mapToInt(Integer::intValue).sum();
 	}
 
 	/**
@@ -242,9 +242,12 @@
 	 * @param now the present time
 	 * @return the nodes
 	 */
-	List<NodeRecord> sharing(Instant now) {
-		Instant since = now.minus(livesFor());
-		return this.nodes.values().stream().filter((node) -> !fewNodes() || heardAfter(node.name(), since)).toList();
+	List<NodeRecord> sharingNodes(Instant now) {
+		Instant since = now.minus(livenessTimeout());
+		return this.nodes.values()
+			.stream()
+			.filter((node) -> !isSmallCluster() || receivedAfter(node.name(), since))
+			.toList();
 	}
 
 	/**
@@ -254,30 +257,35 @@
 	 * @param now the present time
 	 * @return true if the store is away for all
 	 */
-	boolean storeAwayForAll(Instant now) {
-		Instant since = now.minus(STORE_WORD_VALID);
-		List<StoreWord> lately = this.storeWords.values().stream().filter((word) -> word.at().isAfter(since)).toList();
-		return lately.stream().noneMatch(StoreWord::reached) && 2 * (lately.size() + 1) >= known();
+	boolean isStoreUnreachableForAll(Instant now) {
+		Instant since = now.minus(STORE_STATUS_VALIDITY);
+		List<StoreStatus> recent = this.storeStatuses.values()
+			.stream()
+			.filter((status) -> status.receivedAt().isAfter(since))
+			.toList();
+		return recent.stream().noneMatch(StoreStatus::reached) && 2 * (recent.size() + 1) >= countKnownNodes();
 	}
 
 	/**
 	 * Counts the nodes that are entered, this one with them.
 	 * @return the number of nodes
 	 */
-	int known() {
+	int countKnownNodes() {
 		return 1 + this.nodes.size();
 	}
 
-	private boolean heardAfter(String node, Instant since) {
-		Instant last = this.heard.get(node);
+	private boolean receivedAfter(String node, Instant since) {
+		Instant last = this.lastReceived.get(node);
 		return last != null && since.isBefore(last);
 	}
 
 	// Many nodes tell those of other data centres rarely. Nodes that are not counted
 	// would leave the others too large a part of the retry budget.
-	private Duration livesFor() {
-		Duration many = interval().multipliedBy((long) FAR_TOLD_ONCE_IN * (MESSAGES_MISSED + 1));
-		return (!fewNodes() && many.compareTo(LIVES) > 0) ? many : LIVES;
+	private Duration livenessTimeout() {
+		Duration proportional = loadInterval()
+			.multipliedBy((long) SENDS_PER_REMOTE_SEND * (MAXIMUM_MISSED_MESSAGES + 1));
+		return (!isSmallCluster() && proportional.compareTo(MINIMUM_LIVENESS_TIMEOUT) > 0) ? proportional
+				: MINIMUM_LIVENESS_TIMEOUT;
 	}
 
 	/**
@@ -285,10 +293,10 @@
 	 * @param message what to tell
 	 * @param effects collects what is wanted
 	 */
-	void tellNear(NodeMessage message, Effects effects) {
-		List<Address> near = near();
-		if (!near.isEmpty()) {
-			effects.add(new EntryEffect.Tell(near, message));
+	void sendToLocalPeers(NodeMessage message, Effects effects) {
+		List<Address> addresses = localAddresses();
+		if (!addresses.isEmpty()) {
+			effects.add(new EntryEffect.Tell(addresses, message));
 		}
 	}
 
@@ -301,8 +309,8 @@
 	 * @param now the present time
 	 * @param effects collects what is wanted
 	 */
-	void tellRelays(NodeMessage message, Instant now, Effects effects) {
-		List<Address> relays = relays(now);
+	void sendToRelays(NodeMessage message, Instant now, Effects effects) {
+		List<Address> relays = relayAddresses(now);
 		if (!relays.isEmpty()) {
 			effects.add(new EntryEffect.Tell(relays, message));
 		}
@@ -314,35 +322,35 @@
 	 * @param now the present time
 	 * @return their addresses
 	 */
-	List<Address> relays(Instant now) {
-		Instant since = now.minus(livesFor());
-		Set<String> told = new TreeSet<>();
-		Map<DataCentreName, String> first = new HashMap<>();
+	List<Address> relayAddresses(Instant now) {
+		Instant since = now.minus(livenessTimeout());
+		Set<String> recipients = new TreeSet<>();
+		Map<DataCentreName, String> preferred = new HashMap<>();
 		for (NodeRecord node : this.nodes.values()) {
-			if (!node.dataCentre().equals(this.own)) {
-				first.merge(node.dataCentre(), node.name(), (one, two) -> rather(one, two, since));
+			if (!node.dataCentre().equals(this.localDataCentre)) {
+				preferred.merge(node.dataCentre(), node.name(), (one, two) -> preferredRelay(one, two, since));
 			}
 		}
-		told.addAll(first.values());
-		first.keySet()
+		recipients.addAll(preferred.values());
+		preferred.keySet()
 			.stream()
 			.flatMap((dataCentre) -> Optional.ofNullable(this.relays.get(dataCentre)).stream())
-			.filter((relay) -> since.isBefore(relay.at().plus(LIVES)))
+			.filter((relay) -> since.isBefore(relay.receivedAt().plus(MINIMUM_LIVENESS_TIMEOUT)))
 			.map(Relay::node)
 			.filter(this.nodes::containsKey)
-			.forEach(told::add);
-		return told.stream().map((node) -> this.nodes.get(node).address()).toList();
+			.forEach(recipients::add);
+		return recipients.stream().map((node) -> this.nodes.get(node).address()).toList();
 	}
 
-	private String rather(String node, String other, Instant since) {
-		boolean lives = heardAfter(node, since);
-		if (lives != heardAfter(other, since)) {
-			return lives ? node : other;
+	private String preferredRelay(String node, String other, Instant since) {
+		boolean live = receivedAfter(node, since);
+		if (live != receivedAfter(other, since)) {
+			return live ? node : other;
 		}
-		return goesBefore(node, other) ? node : other;
+		return takesPrecedence(node, other) ? node : other;
 	}
 
-	void tellAll(NodeMessage message, Effects effects) {
+	void sendToAll(NodeMessage message, Effects effects) {
 		effects.add(new EntryEffect.Tell(this.nodes.values().stream().map(NodeRecord::address).toList(), message));
 	}
 
@@ -352,7 +360,7 @@
 	 * @param message what to tell
 	 * @param effects collects what is wanted
 	 */
-	void tell(String node, NodeMessage message, Effects effects) {
+	void sendTo(String node, NodeMessage message, Effects effects) {
 		Optional.ofNullable(this.nodes.get(node))
 			.ifPresent((known) -> effects.add(new EntryEffect.Tell(List.of(known.address()), message)));
 	}
@@ -361,9 +369,9 @@
 	 * What another node told of the store.
 	 *
 	 * @param reached whether it reaches the store
-	 * @param at when it was heard
+	 * @param receivedAt when it was heard
 	 */
-	private record StoreWord(boolean reached, Instant at) {
+	private record StoreStatus(boolean reached, Instant receivedAt) {
 	}
 
 	/**
@@ -371,18 +379,18 @@
 	 * stands for is known to be gone.
 	 *
 	 * @param node its name
-	 * @param at when it was heard
+	 * @param receivedAt when it was heard
 	 */
-	private record Relay(String node, Instant at) {
+	private record Relay(String node, Instant receivedAt) {
 	}
 
 	/**
 	 * How many nodes of a data centre live, as one of them counts.
 	 *
 	 * @param nodes their number
-	 * @param at when it was heard
+	 * @param receivedAt when it was heard
 	 */
-	private record Count(int nodes, Instant at) {
+	private record NodeCount(int nodes, Instant receivedAt) {
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/entry/SilenceReports.java
+++ b/src/main/java/sycamorehill/logic/entry/SilenceReports.java
@@ -18,14 +18,14 @@
 final class SilenceReports {
 
 	/** Reports of two nodes within this time are of the same silence. */
-	private static final Duration TOGETHER = Duration.ofSeconds(1);
+	private static final Duration CONFIRMATION_WINDOW = Duration.ofSeconds(1);
 
 	/** A silence that was confirmed is not told again for so long. */
-	private static final Duration TOLD_ONCE_IN = Duration.ofSeconds(2);
+	private static final Duration REPEAT_SUPPRESSION_TIME = Duration.ofSeconds(2);
 
 	private final Map<TargetName, Report> reports = new HashMap<>();
 
-	private final Map<TargetName, Instant> confirmed = new HashMap<>();
+	private final Map<TargetName, Instant> confirmedAt = new HashMap<>();
 
 	/**
 	 * Takes a report.
@@ -34,10 +34,10 @@
 	 * @param now the present time
 	 * @return whether all nodes are to be told
 	 */
-	boolean confirms(String node, TargetName target, Instant now) {
-		this.confirmed.values().removeIf((at) -> now.isAfter(at.plus(TOLD_ONCE_IN)));
-		this.reports.values().removeIf((report) -> now.isAfter(report.at().plus(TOGETHER)));
-		if (this.confirmed.containsKey(target)) {
+	boolean recordReport(String node, TargetName target, Instant now) {
+		this.confirmedAt.values().removeIf((at) -> now.isAfter(at.plus(REPEAT_SUPPRESSION_TIME)));
+		this.reports.values().removeIf((report) -> now.isAfter(report.receivedAt().plus(CONFIRMATION_WINDOW)));
+		if (this.confirmedAt.containsKey(target)) {
 			return false;
 		}
 		Report first = this.reports.putIfAbsent(target, new Report(node, now));
@@ -45,7 +45,7 @@
 			return false;
 		}
 		this.reports.remove(target);
-		this.confirmed.put(target, now);
+		this.confirmedAt.put(target, now);
 		return true;
 	}
 
@@ -53,9 +53,9 @@
 	 * The first report of a silence.
 	 *
 	 * @param node who found it
-	 * @param at when it was heard
+	 * @param receivedAt when it was heard
 	 */
-	private record Report(String node, Instant at) {
+	private record Report(String node, Instant receivedAt) {
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/entry/EarlyRequests.java
+++ b/src/main/java/sycamorehill/logic/entry/StartupRequestQueue.java
@@ -14,15 +14,15 @@
  * there sooner than a caller that is refused comes back. When all nodes start at once,
  * callers reach nodes that are not ready.
  */
-final class EarlyRequests {
+final class StartupRequestQueue {
 
 	/** Longer than a start takes; a request that waited so long is refused. */
-	private static final Duration LONGEST = Duration.ofMillis(800);
+	private static final Duration MAXIMUM_WAIT = Duration.ofMillis(800);
 
 	/** Requests kept; their bodies lie in memory. */
-	private static final int MOST = 300;
+	private static final int MAXIMUM_REQUESTS = 300;
 
-	private final Map<Long, Early> waiting = new LinkedHashMap<>();
+	private final Map<Long, QueuedRequest> waiting = new LinkedHashMap<>();
 
 	/**
 	 * Keeps a request.
@@ -31,10 +31,10 @@
 	 * @return false if too many wait already
 	 */
 	boolean add(CallerRequest request, Instant now) {
-		if (this.waiting.size() >= MOST) {
+		if (this.waiting.size() >= MAXIMUM_REQUESTS) {
 			return false;
 		}
-		this.waiting.put(request.number(), new Early(request, now));
+		this.waiting.put(request.number(), new QueuedRequest(request, now));
 		return true;
 	}
 
@@ -44,14 +44,14 @@
 
 	/**
 	 * Takes the requests that need not or must not wait any longer.
-	 * @param known whether configuration and targets are there
+	 * @param initialized whether configuration and targets are there
 	 * @param now the present time
 	 * @return the requests in the order in which they came
 	 */
-	List<Early> take(boolean known, Instant now) {
-		List<Early> due = new ArrayList<>(this.waiting.values());
-		due.removeIf((early) -> !known && now.isBefore(early.since().plus(LONGEST)));
-		due.forEach((early) -> remove(early.request().number()));
+	List<QueuedRequest> takeDue(boolean initialized, Instant now) {
+		List<QueuedRequest> due = new ArrayList<>(this.waiting.values());
+		due.removeIf((queued) -> !initialized && now.isBefore(queued.arrivedAt().plus(MAXIMUM_WAIT)));
+		due.forEach((queued) -> remove(queued.request().number()));
 		return due;
 	}
 
@@ -59,9 +59,9 @@
 	 * A request that waits.
 	 *
 	 * @param request the request
-	 * @param since when it came
+	 * @param arrivedAt when it came
 	 */
-	record Early(CallerRequest request, Instant since) {
+	record QueuedRequest(CallerRequest request, Instant arrivedAt) {
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/entry/StoreRelay.java
+++ b/src/main/java/sycamorehill/logic/entry/StoreRelay.java
@@ -25,39 +25,39 @@
 final class StoreRelay {
 
 	/** Pause between two messages while nothing changes; two of them may be lost. */
-	static final Duration NEWS_EVERY = Duration.ofMillis(250);
+	static final Duration UPDATE_INTERVAL = Duration.ofMillis(250);
 
 	/**
 	 * What the store answered is good for so long, whoever tells it. A change must be
 	 * followed within 2 s of the store's knowing it: the rest is for a call of one's own,
 	 * and for a connection to a target that was chosen just before.
 	 */
-	static final Duration NEAR_NEWS_VALID = Duration.ofMillis(1400);
+	static final Duration LOCAL_UPDATE_VALIDITY = Duration.ofMillis(1400);
 
 	/**
 	 * The same for what a node of another data centre tells: a node that passes it on
 	 * reads for itself before those that it tells would.
 	 */
-	static final Duration FAR_NEWS_VALID = Duration.ofMillis(1250);
+	static final Duration REMOTE_UPDATE_VALIDITY = Duration.ofMillis(1250);
 
 	/** Longest time that a call of the node that reads waits for a change. */
-	static final Duration READER_WAIT = Duration.ofMillis(500);
+	static final Duration LONG_POLL_WAIT = Duration.ofMillis(500);
 
 	/**
 	 * A node tells how far it has come only for so long after the store answered it: if
 	 * the store stops answering it alone, others read instead.
 	 */
-	static final Duration OWN_READ_VALID = Duration.ofMillis(900);
+	static final Duration OWN_READ_VALIDITY = Duration.ofMillis(900);
 
 	private final String self;
 
 	private final DataCentreName dataCentre;
 
-	private final BiPredicate<String, String> goesBefore;
+	private final BiPredicate<String, String> takesPrecedence;
 
 	private long revision = -1;
 
-	private long changedAt = -1;
+	private long changeRevision = -1;
 
 	private long configurationVersion;
 
@@ -65,18 +65,18 @@
 
 	private Instant configurationReadAt = Instant.MIN;
 
-	private Instant toldAt = Instant.MIN;
+	private Instant updateSentAt = Instant.MIN;
 
 	private Source source = new Source("", true, Instant.MIN);
 
-	private StoreRelay(String self, DataCentreName dataCentre, BiPredicate<String, String> goesBefore) {
+	private StoreRelay(String self, DataCentreName dataCentre, BiPredicate<String, String> takesPrecedence) {
 		this.self = self;
 		this.dataCentre = dataCentre;
-		this.goesBefore = goesBefore;
+		this.takesPrecedence = takesPrecedence;
 	}
 
-	static StoreRelay of(String self, DataCentreName dataCentre, BiPredicate<String, String> goesBefore) {
-		return new StoreRelay(self, dataCentre, goesBefore);
+	static StoreRelay of(String self, DataCentreName dataCentre, BiPredicate<String, String> takesPrecedence) {
+		return new StoreRelay(self, dataCentre, takesPrecedence);
 	}
 
 	/**
@@ -84,7 +84,7 @@
 	 * @param now the present time
 	 * @return true if this node need not read
 	 */
-	boolean fed(Instant now) {
+	boolean followsReader(Instant now) {
 		return this.source.answeredAt != Instant.MIN && now.isBefore(this.source.validUntil());
 	}
 
@@ -93,8 +93,8 @@
 	 * @param now the present time
 	 * @return true if it does
 	 */
-	boolean passesOn(Instant now) {
-		return fed(now) && !this.source.near;
+	boolean isRelay(Instant now) {
+		return followsReader(now) && !this.source.local;
 	}
 
 	/**
@@ -102,11 +102,11 @@
 	 * @param now the present time
 	 * @return its name, maybe this node's; none while each node reads for itself
 	 */
-	Optional<String> teller(Instant now) {
-		if (fed(now) && this.source.near) {
+	Optional<String> distributor(Instant now) {
+		if (followsReader(now) && this.source.local) {
 			return Optional.of(this.source.node);
 		}
-		return (passesOn(now) || reads(now)) ? Optional.of(this.self) : Optional.empty();
+		return (isRelay(now) || isReader(now)) ? Optional.of(this.self) : Optional.empty();
 	}
 
 	/**
@@ -115,14 +115,14 @@
 	 * @return its name; this node's own name while it reads for itself
 	 */
 	String source(Instant now) {
-		return fed(now) ? this.source.node : this.self;
+		return followsReader(now) ? this.source.node : this.self;
 	}
 
 	/**
 	 * Notes the configuration in force.
 	 * @param version its version
 	 */
-	void inForce(long version) {
+	void recordAppliedConfiguration(long version) {
 		this.configurationVersion = version;
 	}
 
@@ -130,40 +130,41 @@
 	 * Notes that the store answered a call for the configuration.
 	 * @param now the present time
 	 */
-	void configurationAnswered(Instant now) {
+	void recordConfigurationRead(Instant now) {
 		this.configurationReadAt = now;
 	}
 
 	/**
 	 * Notes that all targets were read. What changed since the last read is not known.
-	 * @param at the revision of the list
+	 * @param listRevision the revision of the list
 	 * @param now the present time
 	 */
-	void listed(long at, Instant now) {
-		this.revision = at;
-		this.changedAt = at;
+	void recordTargetList(long listRevision, Instant now) {
+		this.revision = listRevision;
+		this.changeRevision = listRevision;
 		this.targetsReadAt = now;
 	}
 
 	/**
 	 * Notes changes that this node has read.
-	 * @param page what was read
+	 * @param batch what was read
 	 * @param now the present time
 	 * @return what to tell the others; without changes it says only how far this node has
 	 * come
 	 */
-	NodeMessage.StoreNews read(Page page, Instant now) {
-		this.revision = page.revision();
+	NodeMessage.StoreNews recordTargetChanges(ChangeBatch batch, Instant now) {
+		this.revision = batch.revision();
 		this.targetsReadAt = now;
-		if (page.changes().isEmpty()) {
-			return progress(now);
+		if (batch.changes().isEmpty()) {
+			return createProgressUpdate(now);
 		}
-		long before = this.changedAt;
-		this.changedAt = page.revision();
-		return news(before, page.since(), page.changes(), now);
+		long previousChange = this.changeRevision;
+		this.changeRevision = batch.revision();
+		return createUpdate(previousChange, batch.since(), batch.changes(), now);
 	}
 
-	private NodeMessage.StoreNews news(long changedBefore, long since, List<TargetChange> changes, Instant now) {
+	private NodeMessage.StoreNews createUpdate(long changedBefore, long since, List<TargetChange> changes,
+			Instant now) {
 		return new NodeMessage.StoreNews(this.self, this.dataCentre, this.configurationVersion, changedBefore, since,
 				this.revision, changes, Optional.empty(), age(now));
 	}
@@ -171,11 +172,11 @@
 	private Duration age(Instant now) {
 		Instant older = this.targetsReadAt.isBefore(this.configurationReadAt) ? this.targetsReadAt
 				: this.configurationReadAt;
-		return (older != Instant.MIN) ? Duration.between(older, now) : OWN_READ_VALID;
+		return (older != Instant.MIN) ? Duration.between(older, now) : OWN_READ_VALIDITY;
 	}
 
 	/** Notes that the store did not answer this node: it has nothing to tell. */
-	void failed() {
+	void recordReadFailure() {
 		this.targetsReadAt = Instant.MIN;
 	}
 
@@ -185,16 +186,16 @@
 	 * @param now the present time
 	 * @return true if nobody reads for this node and the store answers both its calls
 	 */
-	boolean reads(Instant now) {
-		return !fed(now) && valid(this.targetsReadAt, now) && valid(this.configurationReadAt, now);
+	boolean isReader(Instant now) {
+		return !followsReader(now) && isRecent(this.targetsReadAt, now) && isRecent(this.configurationReadAt, now);
 	}
 
-	private static boolean valid(Instant readAt, Instant now) {
-		return readAt != Instant.MIN && now.isBefore(readAt.plus(OWN_READ_VALID));
+	private static boolean isRecent(Instant readAt, Instant now) {
+		return readAt != Instant.MIN && now.isBefore(readAt.plus(OWN_READ_VALIDITY));
 	}
 
-	boolean newsDue(Instant now) {
-		return reads(now) && !now.isBefore(this.toldAt.plus(NEWS_EVERY));
+	boolean isUpdateDue(Instant now) {
+		return isReader(now) && !now.isBefore(this.updateSentAt.plus(UPDATE_INTERVAL));
 	}
 
 	/**
@@ -202,64 +203,64 @@
 	 * @param now the present time
 	 * @return how far this node has come
 	 */
-	NodeMessage.StoreNews progress(Instant now) {
-		return news(this.changedAt, this.revision, List.of(), now);
+	NodeMessage.StoreNews createProgressUpdate(Instant now) {
+		return createUpdate(this.changeRevision, this.revision, List.of(), now);
 	}
 
-	void told(Instant now) {
-		this.toldAt = now;
+	void recordUpdateSent(Instant now) {
+		this.updateSentAt = now;
 	}
 
 	/**
 	 * Takes what another node has read.
-	 * @param news what it told
+	 * @param update what it told
 	 * @param now the present time
 	 * @return what follows from it
 	 */
-	Consequence heard(NodeMessage.StoreNews news, Instant now) {
-		boolean near = news.dataCentre().equals(this.dataCentre);
-		if (!goesBy(news.sender(), near, now)) {
-			return Consequence.NOTHING;
+	UpdateResult handleUpdate(NodeMessage.StoreNews update, Instant now) {
+		boolean local = update.dataCentre().equals(this.dataCentre);
+		if (!acceptsUpdateFrom(update.sender(), local, now)) {
+			return UpdateResult.IGNORED;
 		}
-		this.source = new Source(news.sender(), near, now.minus(news.age()));
-		boolean configuration = news.configurationVersion() > this.configurationVersion;
+		this.source = new Source(update.sender(), local, now.minus(update.age()));
+		boolean configuration = update.configurationVersion() > this.configurationVersion;
 		if (this.revision < 0) {
-			return new Consequence(true, configuration, false, false, Optional.empty());
+			return new UpdateResult(true, configuration, false, false, Optional.empty());
 		}
-		boolean nothingMissed = this.revision >= news.changedBefore();
-		boolean partlyRead = this.revision > news.since() && this.revision < news.revision();
-		if (!nothingMissed || partlyRead) {
-			return new Consequence(true, configuration, true, false, Optional.empty());
+		boolean noChangeMissed = this.revision >= update.changedBefore();
+		boolean partlyRead = this.revision > update.since() && this.revision < update.revision();
+		if (!noChangeMissed || partlyRead) {
+			return new UpdateResult(true, configuration, true, false, Optional.empty());
 		}
-		boolean apply = this.revision < news.revision() && !news.changes().isEmpty();
-		follow(news);
-		Optional<NodeMessage.StoreNews> passedOn = near ? Optional.empty()
-				: Optional.of(news.from(this.self, this.dataCentre));
-		return new Consequence(true, configuration, false, apply, passedOn);
+		boolean apply = this.revision < update.revision() && !update.changes().isEmpty();
+		advanceRevisions(update);
+		Optional<NodeMessage.StoreNews> relayed = local ? Optional.empty()
+				: Optional.of(update.from(this.self, this.dataCentre));
+		return new UpdateResult(true, configuration, false, apply, relayed);
 	}
 
 	// A node that takes over reading tells what changed last before it did. If it told
 	// too low a revision, a node that missed that change would take it as known, and go
 	// on giving work to a target that has left.
-	private void follow(NodeMessage.StoreNews news) {
-		if (this.revision < news.revision()) {
-			this.revision = news.revision();
+	private void advanceRevisions(NodeMessage.StoreNews update) {
+		if (this.revision < update.revision()) {
+			this.revision = update.revision();
 		}
-		long changed = news.changes().isEmpty() ? news.changedBefore() : news.revision();
-		this.changedAt = Math.max(this.changedAt, changed);
+		long changed = update.changes().isEmpty() ? update.changedBefore() : update.revision();
+		this.changeRevision = Math.max(this.changeRevision, changed);
 	}
 
 	// Of several nodes that read, the one that goes before the others reads on. The own
 	// data centre goes before others, so that one node of each hears them. A node that
 	// the store does not answer takes news from anybody.
-	private boolean goesBy(String sender, boolean near, Instant now) {
-		if (!fed(now)) {
-			return !reads(now) || this.goesBefore.test(sender, this.self);
+	private boolean acceptsUpdateFrom(String sender, boolean local, Instant now) {
+		if (!followsReader(now)) {
+			return !isReader(now) || this.takesPrecedence.test(sender, this.self);
 		}
-		if (near != this.source.near) {
-			return near && this.goesBefore.test(sender, this.self);
+		if (local != this.source.local) {
+			return local && this.takesPrecedence.test(sender, this.self);
 		}
-		return sender.equals(this.source.node) || this.goesBefore.test(sender, this.source.node);
+		return sender.equals(this.source.node) || this.takesPrecedence.test(sender, this.source.node);
 	}
 
 	long revision() {
@@ -270,13 +271,13 @@
 	 * The node that reads for this one.
 	 *
 	 * @param node its name
-	 * @param near whether it is of the same data centre
+	 * @param local whether it is of the same data centre
 	 * @param answeredAt when the store answered what it told last
 	 */
-	private record Source(String node, boolean near, Instant answeredAt) {
+	private record Source(String node, boolean local, Instant answeredAt) {
 
 		private Instant validUntil() {
-			return this.answeredAt.plus(this.near ? NEAR_NEWS_VALID : FAR_NEWS_VALID);
+			return this.answeredAt.plus(this.local ? LOCAL_UPDATE_VALIDITY : REMOTE_UPDATE_VALIDITY);
 		}
 
 	}
@@ -288,22 +289,22 @@
 	 * @param revision the revision that they lead to
 	 * @param changes the changes in their order
 	 */
-	record Page(long since, long revision, List<TargetChange> changes) {
+	record ChangeBatch(long since, long revision, List<TargetChange> changes) {
 	}
 
 	/**
 	 * What follows from another node's news.
 	 *
-	 * @param fed whether this node goes by it
+	 * @param accepted whether this node goes by it
 	 * @param readConfiguration whether there is a newer configuration to be read
 	 * @param readTargets whether changes were missed and must be read
-	 * @param apply whether the changes told are the next ones
-	 * @param passOn what the other nodes of the data centre are told
+	 * @param applyChanges whether the changes told are the next ones
+	 * @param relayedUpdate what the other nodes of the data centre are told
 	 */
-	record Consequence(boolean fed, boolean readConfiguration, boolean readTargets, boolean apply,
-			Optional<NodeMessage.StoreNews> passOn) {
+	record UpdateResult(boolean accepted, boolean readConfiguration, boolean readTargets, boolean applyChanges,
+			Optional<NodeMessage.StoreNews> relayedUpdate) {
 
-		private static final Consequence NOTHING = new Consequence(false, false, false, false, Optional.empty());
+		private static final UpdateResult IGNORED = new UpdateResult(false, false, false, false, Optional.empty());
 
 	}
 
--- a/src/main/java/sycamorehill/logic/entry/NewsLog.java
+++ b/src/main/java/sycamorehill/logic/entry/StoreUpdateLog.java
@@ -12,7 +12,7 @@
 /**
  * Logs when a node learns what the store shows, and from whom.
  */
-final class NewsLog {
+final class StoreUpdateLog {
 
 	private final StoreRelay relay;
 
@@ -20,14 +20,14 @@
 
 	private String reader;
 
-	private NewsLog(String self, StoreRelay relay, TargetDirectory directory) {
+	private StoreUpdateLog(String self, StoreRelay relay, TargetDirectory directory) {
 		this.reader = self;
 		this.relay = relay;
 		this.directory = directory;
 	}
 
-	static NewsLog of(String self, StoreRelay relay, TargetDirectory directory) {
-		return new NewsLog(self, relay, directory);
+	static StoreUpdateLog of(String self, StoreRelay relay, TargetDirectory directory) {
+		return new StoreUpdateLog(self, relay, directory);
 	}
 
 	/**
@@ -36,10 +36,10 @@
 	 * @param now the present time
 	 * @param effects collects the lines
 	 */
-	void leaving(List<TargetChange> changes, Instant now, Effects effects) {
+	void logLeavingTargets(List<TargetChange> changes, Instant now, Effects effects) {
 		for (TargetChange change : changes) {
-			boolean leaves = change.entry().map(TargetEntry::leaving).orElse(false);
-			if (leaves && this.directory.find(change.name()).map((known) -> !known.leaving()).orElse(false)) {
+			boolean leaving = change.entry().map(TargetEntry::leaving).orElse(false);
+			if (leaving && this.directory.find(change.name()).map((known) -> !known.leaving()).orElse(false)) {
 				effects.log(LogEvent.TARGET_NOTICE, "target=" + change.name() + " revision=" + this.relay.revision()
 						+ " told-by=" + this.relay.source(now));
 			}
@@ -51,7 +51,7 @@
 	 * @param now the present time
 	 * @param effects collects the lines
 	 */
-	void reader(Instant now, Effects effects) {
+	void logReaderChange(Instant now, Effects effects) {
 		String source = this.relay.source(now);
 		if (!source.equals(this.reader)) {
 			effects.log(LogEvent.STORE_READER, "node=" + source + " before=" + this.reader);
--- a/src/main/java/sycamorehill/logic/layout/Dissolution.java
+++ b/src/main/java/sycamorehill/logic/layout/Dissolution.java
@@ -92,7 +92,7 @@
 		if (this.left.contains(group.key())) {
 			return true;
 		}
-		if (this.presumedGone.contains(group.key()) && group.headSeen()) {
+		if (this.presumedGone.contains(group.key()) && group.headReported()) {
 			this.presumedGone.remove(group.key());
 		}
 		return this.presumedGone.contains(group.key());
@@ -137,7 +137,7 @@
 	 */
 	void proceed(GroupView group, Sight sight, Instant now, Effects effects) {
 		Ending state = this.ending.computeIfAbsent(group.key(), (key) -> begin(group, now, effects));
-		if (group.headSeen()) {
+		if (group.headReported()) {
 			state.head = group.head();
 		}
 		if (headBeganAnew(group, state)) {
@@ -168,12 +168,12 @@
 
 	private static Ending begin(GroupView group, Instant now, Effects effects) {
 		effects.log(LogEvent.GROUP_CHANGED, "group=" + group.name() + " epoch=" + group.epoch() + " taken apart seen="
-				+ group.members().size() + " of=" + group.model().size() + " head-seen=" + group.headSeen());
+				+ group.members().size() + " of=" + group.model().size() + " head-seen=" + group.headReported());
 		return new Ending(now);
 	}
 
 	private static boolean serves(GroupView group) {
-		MemberState head = GroupView.state(group.head());
+		MemberState head = GroupView.memberState(group.head());
 		return head == MemberState.OPEN || head == MemberState.CLOSING;
 	}
 
--- a/src/main/java/sycamorehill/logic/layout/GroupBuilder.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupBuilder.java
@@ -129,7 +129,7 @@
 	 * @return true if it has to be taken apart
 	 */
 	boolean hopeless(GroupView group, Instant now) {
-		MemberState head = GroupView.state(group.head());
+		MemberState head = GroupView.memberState(group.head());
 		if (head == MemberState.JOINING && !builds(group)) {
 			Instant since = this.joiningSince.computeIfAbsent(group.key(), (key) -> now);
 			return now.isAfter(since.plus(group.model().coldLoad().multipliedBy(LOAD_TIMES)));
@@ -145,12 +145,12 @@
 	 * @param effects collects what is wanted
 	 */
 	void tend(GroupView group, Instant now, Effects effects) {
-		MemberState head = GroupView.state(group.head());
+		MemberState head = GroupView.memberState(group.head());
 		if (head == MemberState.OPEN) {
 			this.forming.remove(group.key());
 			this.opened.remove(group.key());
 		}
-		else if (head == MemberState.READY && group.whole()) {
+		else if (head == MemberState.READY && group.allMembersReady()) {
 			this.forming.remove(group.key());
 			Instant ordered = this.opened.get(group.key());
 			if (ordered == null || now.isAfter(ordered.plus(SHOWS_WITHIN))) {
--- a/src/main/java/sycamorehill/logic/layout/GroupControl.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupControl.java
@@ -173,7 +173,7 @@
 	 * @param effects collects what is wanted
 	 */
 	public void reportRead(TargetName engine, EngineReport report, Instant now, Effects effects) {
-		this.directory.reported(engine, report)
+		this.directory.applyReport(engine, report)
 			.ifPresent((change) -> effects
 				.add(new EntryEffect.TellAll(new NodeMessage.TargetsSeen(this.settings.nodeName(), List.of(change)))));
 		long born = this.directory.find(engine).map(TargetEntry::bornMillis).orElse(0L);
@@ -251,7 +251,7 @@
 	 * @param effects collects what is wanted
 	 */
 	public void tick(Sight sight, Instant now, Effects effects) {
-		this.severed.look(this.directory.all(), this.directory.changes(), now);
+		this.severed.look(this.directory.all(), this.directory.changeCount(), now);
 		this.lease.tick(new LeaseKeeper.StoreSight(sight.fed(), sight.storeAway()), now, effects);
 		if (!this.lease.held(now) || sight.configuration().isEmpty()) {
 			return;
--- a/src/main/java/sycamorehill/logic/layout/GroupRosters.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupRosters.java
@@ -45,7 +45,7 @@
 	 * @return true if it is partial, was never whole and is new
 	 */
 	boolean comesIntoSight(GroupView group, Instant now) {
-		if (group.allSeen()) {
+		if (group.allRanksReported()) {
 			this.whole.add(group.key());
 			return false;
 		}
--- a/src/main/java/sycamorehill/logic/layout/ServiceGroups.java
+++ b/src/main/java/sycamorehill/logic/layout/ServiceGroups.java
@@ -109,7 +109,7 @@
 		List<TargetEntry> vanished = directory.vanished().stream().filter(this::own).toList();
 		List<GroupView> groups = GroupViews.of(engines, vanished, figures);
 		askLost(engines, now, effects);
-		if (!directory.reached()) {
+		if (!directory.isStoreReachable()) {
 			this.transitions.ask(engines, this.builder.forming(), now, effects);
 		}
 		this.surroundings.vanished().look(groups, activity, now, effects);
@@ -149,7 +149,8 @@
 		}
 		claim(group, claimed);
 		boolean inSight = !this.rosters.comesIntoSight(group, now);
-		boolean intact = group.allSeen() && group.members().stream().noneMatch(this.surroundings.lost()::unusable);
+		boolean intact = group.allRanksReported()
+				&& group.members().stream().noneMatch(this.surroundings.lost()::unusable);
 		boolean sound = intact && !this.builder.hopeless(group, now);
 		if (sound && this.dissolution.withoutEffect(group)) {
 			this.dissolution.giveUp(group, effects);
@@ -178,8 +179,8 @@
 			.filter(lost::contains)
 			.map(TargetEntry::name)
 			.collect(Collectors.toSet());
-		boolean standing = group.allSeen() && unreachable.isEmpty();
-		boolean headAnswers = group.headSeen() && !unreachable.contains(group.head().name());
+		boolean standing = group.allRanksReported() && unreachable.isEmpty();
+		boolean headAnswers = group.headReported() && !unreachable.contains(group.head().name());
 		return new Dissolution.Sight(standing, headAnswers, unreachable);
 	}
 
@@ -189,7 +190,7 @@
 
 	private boolean free(TargetEntry engine, Set<TargetName> claimed) {
 		return !claimed.contains(engine.name()) && !this.surroundings.lost().unusable(engine)
-				&& !this.surroundings.directory().lapsed(engine.name());
+				&& !this.surroundings.directory().isMissing(engine.name());
 	}
 
 	private boolean ending(GroupView group) {
--- a/src/main/java/sycamorehill/logic/layout/Transitions.java
+++ b/src/main/java/sycamorehill/logic/layout/Transitions.java
@@ -62,7 +62,7 @@
 
 	private static boolean opening(TargetEntry engine) {
 		return engine.membership()
-			.filter((seat) -> seat.rank() == 0 && GroupView.state(engine) != MemberState.OPEN)
+			.filter((seat) -> seat.rank() == 0 && GroupView.memberState(engine) != MemberState.OPEN)
 			.isPresent();
 	}
 
--- a/src/test/java/sycamorehill/logic/directory/TargetDirectoryTests.java
+++ b/src/test/java/sycamorehill/logic/directory/TargetDirectoryTests.java
@@ -30,11 +30,11 @@
 	// shows none: live targets enter themselves again within 2 s, and callers must
 	// not notice.
 	@Test
-	void anOutageNeverEmptiesTheDirectory() {
-		this.directory.contact(true, this.start);
+	void aStoreOutageNeverEmptiesTheDirectory() {
+		this.directory.recordStoreContact(true, this.start);
 		this.directory.replaceAll(List.of(this.one, this.two), this.start);
-		this.directory.contact(false, this.start.plusSeconds(1));
-		this.directory.contact(true, this.start.plusSeconds(9));
+		this.directory.recordStoreContact(false, this.start.plusSeconds(1));
+		this.directory.recordStoreContact(true, this.start.plusSeconds(9));
 		this.directory.replaceAll(List.of(), this.start.plusSeconds(9));
 		assertThat(this.directory.all()).hasSize(2);
 		this.directory.apply(List.of(change(this.one)), this.start.plusSeconds(10));
@@ -46,14 +46,14 @@
 	@Test
 	void aLeavingTargetIsNotKept() {
 		this.directory.replaceAll(List.of(ServingSamples.leaving(this.one)), this.start);
-		this.directory.contact(false, this.start);
+		this.directory.recordStoreContact(false, this.start);
 		this.directory.apply(List.of(new TargetChange(this.one.name(), Optional.empty())), this.start);
 		assertThat(this.directory.all()).isEmpty();
 	}
 
 	@Test
-	void anEntryThatGoesInQuietTimesIsGoneAtOnce() {
-		this.directory.contact(true, this.start);
+	void anEntryDeletedWhileTheStoreIsReachableIsRemovedAtOnce() {
+		this.directory.recordStoreContact(true, this.start);
 		this.directory.replaceAll(List.of(this.one), this.start);
 		assertThat(this.directory.apply(List.of(new TargetChange(this.one.name(), Optional.empty())), this.start))
 			.containsExactly(this.one);
@@ -63,8 +63,8 @@
 	// An entry goes without notice: the target is none to use, and its last word is kept
 	// for those that know more of it. One that said it was leaving is no riddle.
 	@Test
-	void theLastWordOfATargetThatVanishedIsKeptForTenSeconds() {
-		this.directory.contact(true, this.start);
+	void theLastEntryOfAVanishedTargetIsKeptForTenSeconds() {
+		this.directory.recordStoreContact(true, this.start);
 		this.directory.replaceAll(List.of(this.one, ServingSamples.leaving(this.two)), this.start);
 		this.directory.replaceAll(List.of(), this.start);
 		assertThat(this.directory.all()).isEmpty();
@@ -74,8 +74,8 @@
 	}
 
 	@Test
-	void aTargetThatComesBackHasNotVanished() {
-		this.directory.contact(true, this.start);
+	void aTargetThatRegistersAgainHasNotVanished() {
+		this.directory.recordStoreContact(true, this.start);
 		this.directory.replaceAll(List.of(this.one), this.start);
 		this.directory.replaceAll(List.of(), this.start);
 		this.directory.apply(List.of(change(this.one)), this.start);
--- a/src/test/java/sycamorehill/logic/entry/EntryReducerTests.java
+++ b/src/test/java/sycamorehill/logic/entry/EntryReducerTests.java
@@ -25,7 +25,7 @@
 	private EntryReducer node;
 
 	@BeforeEach
-	void begin() {
+	void setUp() {
 		this.node = EntryReducer.of(ServingSamples.settings("one"), "one#1", new Random(1), this.start);
 		accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(5)), 0);
 		accept(new EntryEvent.TargetsListed(List.of(ServingSamples.plain("p1"), ServingSamples.plain("p2")), 10), 0);
@@ -35,7 +35,7 @@
 		return this.node.accept(event, this.start.plus(Duration.ofMillis(millis)));
 	}
 
-	private static boolean starts(List<EntryEffect> effects) {
+	private static boolean startsAttempt(List<EntryEffect> effects) {
 		return effects.stream().anyMatch(EntryEffect.StartAttempt.class::isInstance);
 	}
 
@@ -43,19 +43,20 @@
 	// stream that comes seconds later would be cut off when the process ends: it is
 	// refused as not run.
 	@Test
-	void aStoppingNodeTakesRequestsOnlyAsLongAsItCanFinishThem() {
+	void aStoppingNodeAcceptsRequestsOnlyAsLongAsItCanFinishThem() {
 		List<EntryEffect> stopping = accept(new EntryEvent.StopOrdered(), 100);
 		assertThat(stopping).contains(new EntryEffect.Ready(false));
-		assertThat(starts(accept(new EntryEvent.RequestArrived(ServingSamples.request(1, "/again/x")), 2000))).isTrue();
+		assertThat(startsAttempt(accept(new EntryEvent.RequestArrived(ServingSamples.request(1, "/again/x")), 2000)))
+			.isTrue();
 		List<EntryEffect> late = accept(new EntryEvent.RequestArrived(ServingSamples.request(2, "/again/x")), 5700);
-		assertThat(starts(late)).isFalse();
+		assertThat(startsAttempt(late)).isFalse();
 		assertThat(late).anyMatch((effect) -> effect instanceof EntryEffect.Answer answer && answer.status() == 503
 				&& answer.retryAfter().isPresent());
 	}
 
 	// The store forgets and shows an older version for a moment: routes don't go back.
 	@Test
-	void aConfigurationNeverGoesBack() {
+	void theConfigurationVersionNeverDecreases() {
 		assertThat(accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(4)), 10))
 			.noneMatch(EntryEffect.LimitCallers.class::isInstance);
 		assertThat(accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(6)), 20))
@@ -72,7 +73,7 @@
 	}
 
 	@Test
-	void tellsItsLoadToTheOtherNodes() {
+	void sendsItsLoadsToTheOtherNodes() {
 		accept(new EntryEvent.NodesListed(List.of(ServingSamples.node("two", 7100))), 100);
 		assertThat(accept(new EntryEvent.Ticked(), 400)).anyMatch(
 				(effect) -> effect instanceof EntryEffect.Tell tell && tell.message() instanceof NodeMessage.Loads);
@@ -82,43 +83,43 @@
 	// before it has read its configuration. Refused, they came back 0.3 to 0.8 s
 	// later, if at all, and were late in any case.
 	@Test
-	void aRequestThatComesBeforeTheConfigurationIsServedWhenItIsThere() {
+	void aRequestThatArrivesBeforeTheConfigurationIsServedOnceItIsRead() {
 		EntryReducer fresh = EntryReducer.of(ServingSamples.settings("one"), "one#2", new Random(1), this.start);
 		assertThat(fresh.accept(new EntryEvent.RequestArrived(ServingSamples.request(1, "/again/x")), this.start))
 			.isEmpty();
 		fresh.accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(1)), this.start.plusMillis(200));
 		List<EntryEffect> listed = fresh.accept(new EntryEvent.TargetsListed(List.of(ServingSamples.plain("p1")), 10),
 				this.start.plusMillis(250));
-		assertThat(starts(listed)).isTrue();
+		assertThat(startsAttempt(listed)).isTrue();
 		assertThat(listed).contains(new EntryEffect.BoundRequest(1, Duration.ofMillis(5750)));
 	}
 
 	// The store is away when the node starts: nobody knows for how long, so the caller is
 	// told at once. One that waited is not kept longer than a start takes.
 	@Test
-	void aRequestDoesNotWaitForAStoreThatIsAway() {
+	void aRequestDoesNotWaitForAnUnreachableStore() {
 		EntryReducer fresh = EntryReducer.of(ServingSamples.settings("one"), "one#2", new Random(1), this.start);
 		fresh.accept(new EntryEvent.RequestArrived(ServingSamples.request(1, "/again/x")), this.start);
-		assertThat(refused(fresh.accept(new EntryEvent.Ticked(), this.start.plusMillis(900)))).isTrue();
+		assertThat(isRefused(fresh.accept(new EntryEvent.Ticked(), this.start.plusMillis(900)))).isTrue();
 		fresh.accept(new EntryEvent.RequestArrived(ServingSamples.request(2, "/again/x")), this.start.plusMillis(1000));
-		assertThat(refused(fresh.accept(new EntryEvent.DirectoryNotReached(), this.start.plusMillis(1050)))).isTrue();
-		assertThat(refused(fresh.accept(new EntryEvent.RequestArrived(ServingSamples.request(3, "/again/x")),
+		assertThat(isRefused(fresh.accept(new EntryEvent.DirectoryNotReached(), this.start.plusMillis(1050)))).isTrue();
+		assertThat(isRefused(fresh.accept(new EntryEvent.RequestArrived(ServingSamples.request(3, "/again/x")),
 				this.start.plusMillis(1100))))
 			.isTrue();
 	}
 
 	@Test
-	void aCallerThatLeavesBeforeTheConfigurationIsThereIsForgotten() {
+	void aQueuedRequestIsDroppedWhenItsCallerDisconnects() {
 		EntryReducer fresh = EntryReducer.of(ServingSamples.settings("one"), "one#2", new Random(1), this.start);
 		fresh.accept(new EntryEvent.RequestArrived(ServingSamples.request(1, "/again/x")), this.start);
 		fresh.accept(new EntryEvent.CallerGone(1), this.start.plusMillis(100));
 		fresh.accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(1)), this.start.plusMillis(200));
-		assertThat(starts(fresh.accept(new EntryEvent.TargetsListed(List.of(ServingSamples.plain("p1")), 10),
+		assertThat(startsAttempt(fresh.accept(new EntryEvent.TargetsListed(List.of(ServingSamples.plain("p1")), 10),
 				this.start.plusMillis(250))))
 			.isFalse();
 	}
 
-	private static boolean refused(List<EntryEffect> effects) {
+	private static boolean isRefused(List<EntryEffect> effects) {
 		return effects.stream()
 			.anyMatch((effect) -> effect instanceof EntryEffect.Answer answer && answer.status() == 503
 					&& answer.retryAfter().isPresent());
--- a/src/test/java/sycamorehill/logic/entry/ManyNodesTests.java
+++ b/src/test/java/sycamorehill/logic/entry/ManyNodesTests.java
@@ -44,15 +44,15 @@
 	private static final Duration STEP = Duration.ofMillis(10);
 
 	/** A call waits half a second in the store. */
-	private static final Duration READ_EVERY = Duration.ofMillis(510);
+	private static final Duration READ_INTERVAL = Duration.ofMillis(510);
 
 	private static final long FIRST_REVISION = 100;
 
 	/** Time in which a leaving target, or a change of the configuration, is followed. */
-	private static final Duration FOLLOWED_WITHIN = Duration.ofSeconds(2);
+	private static final Duration MAXIMUM_CHANGE_DELAY = Duration.ofSeconds(2);
 
 	/** A request that was given a target reaches it this much later at most. */
-	private static final Duration LONGEST_CONNECT = Duration.ofMillis(300);
+	private static final Duration MAXIMUM_CONNECT_TIME = Duration.ofMillis(300);
 
 	private static final TargetName TARGET = TargetName.of("p1");
 
@@ -62,7 +62,7 @@
 
 	private final Set<String> down = new HashSet<>();
 
-	private final Map<String, List<NodeMessage>> taken = new HashMap<>();
+	private final Map<String, List<NodeMessage>> receivedMessages = new HashMap<>();
 
 	private Instant now = Instant.ofEpochSecond(1000);
 
@@ -77,7 +77,7 @@
 	private int configurationsRead;
 
 	/** When the calls to the store of nodes that read are answered. */
-	private final Map<String, Instant> reading = new HashMap<>();
+	private final Map<String, Instant> nextReads = new HashMap<>();
 
 	private final Map<String, Long> revisionsRead = new HashMap<>();
 
@@ -86,7 +86,7 @@
 	private long newestConfiguration = 1;
 
 	/** Nodes that know that a target leaves. */
-	private final Set<String> noticed = new HashSet<>();
+	private final Set<String> notifiedNodes = new HashSet<>();
 
 	private final Set<String> targetsUnanswered = new HashSet<>();
 
@@ -115,13 +115,13 @@
 		List<EntryEffect> effects = this.nodes.get(node).accept(event, this.now);
 		for (EntryEffect effect : effects) {
 			if (effect instanceof EntryEffect.Tell tell) {
-				tell.nodes().stream().map(this.names::get).filter(this::reached).forEach((to) -> {
-					this.taken.computeIfAbsent(to, (name) -> new ArrayList<>()).add(tell.message());
+				tell.nodes().stream().map(this.names::get).filter(this::isDelivered).forEach((to) -> {
+					this.receivedMessages.computeIfAbsent(to, (name) -> new ArrayList<>()).add(tell.message());
 					accept(to, new EntryEvent.MessageHeard(tell.message()));
 				});
 			}
 		}
-		configurations(node, effects);
+		handleConfigurationEffects(node, effects);
 		for (EntryEffect effect : effects) {
 			if (effect instanceof EntryEffect.TargetsKnown known) {
 				this.revisionsRead.merge(node, known.revision(), Math::max);
@@ -130,24 +130,24 @@
 				readTargets(node);
 			}
 			else if (effect instanceof EntryEffect.Log log && log.line().event() == LogEvent.TARGET_NOTICE) {
-				this.noticed.add(node);
+				this.notifiedNodes.add(node);
 			}
 		}
 		return effects;
 	}
 
-	private boolean reached(String node) {
+	private boolean isDelivered(String node) {
 		return !this.down.contains(node) && this.random.nextDouble() >= this.lossShare;
 	}
 
 	// A text is its version's number here.
-	private void configurations(String node, List<EntryEffect> effects) {
+	private void handleConfigurationEffects(String node, List<EntryEffect> effects) {
 		for (EntryEffect effect : effects) {
 			if (effect instanceof EntryEffect.TellConfiguration tell) {
 				tell.nodes()
 					.stream()
 					.map(this.names::get)
-					.filter(this::reached)
+					.filter(this::isDelivered)
 					.forEach((to) -> accept(to, new EntryEvent.MessageHeard(
 							new NodeMessage.ConfigurationTold(node, tell.version(), "" + tell.version()))));
 			}
@@ -175,31 +175,31 @@
 				}
 				if ((this.now.toEpochMilli() - phase) % TICK.toMillis() == 0) {
 					accept(node, new EntryEvent.Ticked());
-					look(node);
+					startOrStopReading(node);
 				}
-				if (this.reading.containsKey(node)) {
+				if (this.nextReads.containsKey(node)) {
 					read(node);
 				}
 			}
 		}
 	}
 
-	private void look(String node) {
-		if (this.nodes.get(node).fed(this.now)) {
-			this.reading.remove(node);
+	private void startOrStopReading(String node) {
+		if (this.nodes.get(node).followsReader(this.now)) {
+			this.nextReads.remove(node);
 		}
 		else {
-			this.reading.putIfAbsent(node, this.now);
+			this.nextReads.putIfAbsent(node, this.now);
 		}
 	}
 
 	private void read(String node) {
-		boolean due = !this.now.isBefore(this.reading.get(node));
+		boolean due = !this.now.isBefore(this.nextReads.get(node));
 		if (due) {
-			this.reading.put(node, this.now.plus(READ_EVERY));
+			this.nextReads.put(node, this.now.plus(READ_INTERVAL));
 		}
-		boolean newer = this.nodes.get(node).configurationVersion() < this.newestConfiguration;
-		if (this.storeAnswers && !this.configurationsUnanswered.contains(node) && (due || newer)) {
+		boolean configurationChanged = this.nodes.get(node).configurationVersion() < this.newestConfiguration;
+		if (this.storeAnswers && !this.configurationsUnanswered.contains(node) && (due || configurationChanged)) {
 			accept(node, new EntryEvent.ConfigurationRead(ServingSamples.configuration(this.newestConfiguration)));
 		}
 		boolean changed = this.revisionsRead.getOrDefault(node, FIRST_REVISION) < this.revision;
@@ -215,13 +215,13 @@
 		}
 		long since = this.revisionsRead.getOrDefault(node, FIRST_REVISION);
 		this.revisionsRead.put(node, this.revision);
-		List<TargetChange> missed = (since < this.revision) ? List.copyOf(this.newChanges) : List.of();
-		accept(node, new EntryEvent.TargetsChanged(missed, since, this.revision));
+		List<TargetChange> changes = (since < this.revision) ? List.copyOf(this.newChanges) : List.of();
+		accept(node, new EntryEvent.TargetsChanged(changes, since, this.revision));
 	}
 
-	private List<LoadSum> sumsTaken(String node) {
+	private List<LoadSum> receivedSums(String node) {
 		List<LoadSum> sums = new ArrayList<>();
-		for (NodeMessage message : this.taken.getOrDefault(node, List.of())) {
+		for (NodeMessage message : this.receivedMessages.getOrDefault(node, List.of())) {
 			if (message instanceof NodeMessage.LoadsAdded added) {
 				sums.addAll(added.sums());
 			}
@@ -233,12 +233,12 @@
 	// nodes and for the loads of one. With loads told by each to each, forty nodes take
 	// thirty messages a second and more.
 	@Test
-	void aNodeTakesFewMessagesAboutLoadsThoughThereAreMany() {
+	void aNodeReceivesFewLoadMessagesInALargeCluster() {
 		run(Duration.ofSeconds(15));
-		this.taken.clear();
+		this.receivedMessages.clear();
 		run(Duration.ofSeconds(10));
 		for (String node : List.of("north-105", "south-139")) {
-			assertThat(this.taken.get(node)).noneMatch(NodeMessage.Loads.class::isInstance)
+			assertThat(this.receivedMessages.get(node)).noneMatch(NodeMessage.Loads.class::isInstance)
 				.filteredOn(NodeMessage.LoadsAdded.class::isInstance)
 				.hasSizeBetween(15, 25);
 		}
@@ -247,18 +247,18 @@
 	// A node that were told its own requests as those of others would count them twice,
 	// and keep away from the targets that it uses.
 	@Test
-	void aNodeIsToldTheRequestsOfAllOthersAndNotItsOwn() {
+	void aNodeReceivesTheRequestsOfAllOthersButNotItsOwn() {
 		run(Duration.ofSeconds(5));
 		accept("north-107", new EntryEvent.RequestArrived(ServingSamples.request(1, "/again/x")));
 		accept("north-108", new EntryEvent.RequestArrived(ServingSamples.request(2, "/again/x")));
 		run(Duration.ofSeconds(2));
-		this.taken.clear();
+		this.receivedMessages.clear();
 		run(Duration.ofSeconds(2));
-		assertThat(sumsTaken("north-107")).anyMatch((sum) -> sum.dataCentre().value().equals("south"))
+		assertThat(receivedSums("north-107")).anyMatch((sum) -> sum.dataCentre().value().equals("south"))
 			.filteredOn((sum) -> sum.dataCentre().value().equals("north"))
 			.isNotEmpty()
 			.allMatch((sum) -> sum.requests().equals(Map.of(TARGET, 1)) && sum.nodes() == NODES / 2);
-		assertThat(sumsTaken("south-130")).filteredOn((sum) -> sum.dataCentre().value().equals("north"))
+		assertThat(receivedSums("south-130")).filteredOn((sum) -> sum.dataCentre().value().equals("north"))
 			.isNotEmpty()
 			.allMatch((sum) -> sum.requests().equals(Map.of(TARGET, 2)));
 	}
@@ -266,36 +266,36 @@
 	// The retry budget is shared out among the nodes that live. Nodes that no more hear
 	// each other must not take each other for gone.
 	@Test
-	void allNodesCountThoughFewAreHeard() {
+	void allNodesCountAsLiveThoughFewSendDirectly() {
 		run(Duration.ofSeconds(40));
-		assertThat(this.nodes.values()).allMatch((node) -> node.nodesLiving() == NODES);
+		assertThat(this.nodes.values()).allMatch((node) -> node.liveNodes() == NODES);
 	}
 
 	// The node that adds up loses power. Until another one passes on the news of the
 	// store, nodes would choose targets without knowing what others do there.
 	@Test
-	void anotherNodeAddsUpSoonAfterTheFirstIsGone() {
+	void anotherNodeAggregatesSoonAfterTheFirstFails() {
 		run(Duration.ofSeconds(5));
 		this.down.add("north-100");
 		run(Duration.ofSeconds(3));
-		this.taken.clear();
+		this.receivedMessages.clear();
 		run(Duration.ofSeconds(2));
 		for (String node : List.of("north-105", "south-139")) {
-			assertThat(sumsTaken(node)).extracting((sum) -> sum.dataCentre().value()).contains("north", "south");
-			assertThat(sumsTaken(node)).noneMatch((sum) -> sum.node().equals("north-100"));
+			assertThat(receivedSums(node)).extracting((sum) -> sum.dataCentre().value()).contains("north", "south");
+			assertThat(receivedSums(node)).noneMatch((sum) -> sum.node().equals("north-100"));
 		}
 	}
 
 	// The store answers nobody: there is no news and no node that is known to add up.
 	// Nodes tell each other directly then, and know that the store is away for all.
 	@Test
-	void nodesTellEachOtherWhileTheStoreIsAway() {
+	void nodesSendLoadsDirectlyWhileTheStoreIsUnreachable() {
 		run(Duration.ofSeconds(5));
 		this.storeAnswers = false;
 		run(Duration.ofSeconds(5));
-		this.taken.clear();
+		this.receivedMessages.clear();
 		run(Duration.ofSeconds(3));
-		assertThat(this.taken.get("south-139")).filteredOn(NodeMessage.Loads.class::isInstance)
+		assertThat(this.receivedMessages.get("south-139")).filteredOn(NodeMessage.Loads.class::isInstance)
 			.extracting(NodeMessage::sender)
 			.contains("north-101", "south-121")
 			.hasSizeGreaterThan(NODES);
@@ -305,7 +305,7 @@
 	// store come at once for each version. The node that reads tells it on, within its
 	// data centre and to the other one.
 	@Test
-	void aConfigurationComesIntoForceEverywhereWithOneRead() {
+	void aConfigurationTakesEffectEverywhereWithOneRead() {
 		run(Duration.ofSeconds(15));
 		accept("north-100", new EntryEvent.ConfigurationRead(ServingSamples.configuration(7)));
 		assertThat(this.nodes.values()).allMatch((node) -> node.configurationVersion() == 7);
@@ -317,39 +317,39 @@
 	@ParameterizedTest
 	@ValueSource(
 			ints = { 5010, 5410, 5510, 5910, 6010, 6410, 6510, 6910, 7010, 7410, 7510, 7910, 8010, 8410, 8510, 8910 })
-	void aLeavingTargetGetsNoWorkThoughTheReaderIsNoMoreAnswered(int silentAfterMillis) {
+	void aLeavingTargetReceivesNoRequestsWhenTheStoreStopsAnsweringTheReader(int silentAfterMillis) {
 		run(Duration.ofMillis(silentAfterMillis));
 		this.targetsUnanswered.add("north-100");
-		leave(ServingSamples.plain("p1"));
-		run(FOLLOWED_WITHIN.minus(LONGEST_CONNECT));
-		assertThat(this.noticed).containsAll(
+		announceLeaving(ServingSamples.plain("p1"));
+		run(MAXIMUM_CHANGE_DELAY.minus(MAXIMUM_CONNECT_TIME));
+		assertThat(this.notifiedNodes).containsAll(
 				this.nodes.keySet().stream().filter((node) -> !this.targetsUnanswered.contains(node)).toList());
 	}
 
 	@ParameterizedTest
 	@ValueSource(ints = { 5010, 5310, 5610, 5910, 6210, 6510 })
-	void aLeavingTargetGetsNoWorkThoughMessagesAreLostBesides(int silentAfterMillis) {
+	void aLeavingTargetReceivesNoRequestsWhenMessagesAreAlsoLost(int silentAfterMillis) {
 		run(Duration.ofMillis(silentAfterMillis));
 		this.targetsUnanswered.add("north-100");
 		this.lossShare = 0.2;
-		leave(ServingSamples.plain("p1"));
-		run(FOLLOWED_WITHIN.minus(LONGEST_CONNECT));
-		assertThat(this.noticed).containsAll(
+		announceLeaving(ServingSamples.plain("p1"));
+		run(MAXIMUM_CHANGE_DELAY.minus(MAXIMUM_CONNECT_TIME));
+		assertThat(this.notifiedNodes).containsAll(
 				this.nodes.keySet().stream().filter((node) -> !this.targetsUnanswered.contains(node)).toList());
 	}
 
 	// The reader's call for configurations hangs, while it goes on reading targets.
 	@Test
-	void aConfigurationIsInForceThoughTheReadersCallForItHangs() {
+	void aConfigurationTakesEffectThoughTheReadersCallForItHangs() {
 		run(Duration.ofSeconds(5));
 		this.configurationsUnanswered.add("north-100");
 		this.newestConfiguration = 7;
-		run(FOLLOWED_WITHIN.minus(TICK));
+		run(MAXIMUM_CHANGE_DELAY.minus(TICK));
 		this.nodes.forEach((name, node) -> assertThat(node.configurationVersion()).as(name).isEqualTo(7));
 		assertThat(this.configurationsRead).as("the next reader tells the text").isZero();
 	}
 
-	private void leave(TargetEntry target) {
+	private void announceLeaving(TargetEntry target) {
 		this.newChanges.add(new TargetChange(target.name(), Optional.of(ServingSamples.leaving(target))));
 		this.revision++;
 	}
--- a/src/test/java/sycamorehill/logic/entry/NeighboursTests.java
+++ b/src/test/java/sycamorehill/logic/entry/PeerNodesTests.java
@@ -19,9 +19,9 @@
 /**
  * Which nodes are told of loads, how often, and which of them count.
  */
-class NeighboursTests {
+class PeerNodesTests {
 
-	private static final Instant BEGIN = Instant.ofEpochSecond(1000);
+	private static final Instant START = Instant.ofEpochSecond(1000);
 
 	private static final Duration STEP = Duration.ofMillis(100);
 
@@ -38,21 +38,21 @@
 				DataCentreName.of("c" + node % dataCentres), 0.75);
 	}
 
-	private static Neighbours among(int nodes, int dataCentres) {
-		Neighbours neighbours = Neighbours.of(node(0, dataCentres));
-		neighbours.listed(IntStream.range(0, nodes).mapToObj((node) -> node(node, dataCentres)).toList(), BEGIN);
+	private static PeerNodes createPeers(int nodes, int dataCentres) {
+		PeerNodes peers = PeerNodes.of(node(0, dataCentres));
+		peers.updateNodes(IntStream.range(0, nodes).mapToObj((node) -> node(node, dataCentres)).toList(), START);
 		for (int node = 1; node < nodes; node++) {
-			neighbours.heard(loads(node, dataCentres), BEGIN);
+			peers.handleMessage(loads(node, dataCentres), START);
 		}
-		return neighbours;
+		return peers;
 	}
 
-	private static long messagesSent(Neighbours neighbours, Duration time) {
+	private static long countMessagesSent(PeerNodes peers, Duration time) {
 		long sent = 0;
-		for (Instant now = BEGIN; now.isBefore(BEGIN.plus(time)); now = now.plus(STEP)) {
-			if (neighbours.loadsDue(now)) {
+		for (Instant now = START; now.isBefore(START.plus(time)); now = now.plus(STEP)) {
+			if (peers.isLoadSendDue(now)) {
 				Effects effects = Effects.begin();
-				neighbours.tellLoads(loads(0, 1), now, effects);
+				peers.sendLoads(loads(0, 1), now, effects);
 				sent += effects.all().stream().mapToLong((effect) -> ((EntryEffect.Tell) effect).nodes().size()).sum();
 			}
 		}
@@ -60,16 +60,16 @@
 	}
 
 	@Test
-	void sixNodesTellAllOthersFiveTimesASecond() {
-		assertThat(messagesSent(among(6, 3), Duration.ofSeconds(10))).isEqualTo(5 * 5 * 10);
+	void sixNodesSendLoadsToAllOthersFiveTimesASecond() {
+		assertThat(countMessagesSent(createPeers(6, 3), Duration.ofSeconds(10))).isEqualTo(5 * 5 * 10);
 	}
 
 	// With each node telling each other five times a second, 91 nodes take 450 messages a
 	// second each, and small VMs spend a tenth of their processor on them.
 	@Test
-	void manyNodesTakeNoMoreMessagesThanFew() {
+	void manyNodesReceiveNoMoreMessagesThanFew() {
 		for (int nodes : new int[] { 30, 91, 410 }) {
-			assertThat(messagesSent(among(nodes, 4), Duration.ofSeconds(30))).as(nodes + " nodes")
+			assertThat(countMessagesSent(createPeers(nodes, 4), Duration.ofSeconds(30))).as(nodes + " nodes")
 				.isBetween(20L * 30, 60L * 30);
 		}
 	}
@@ -77,25 +77,25 @@
 	// All 410 nodes live and tell each other rarely. If a node took those that it has not
 	// heard for 5 s as gone, it would use their part of the retry budget as well.
 	@Test
-	void nodesThatTellRarelyStillCount() {
-		assertThat(among(410, 4).living(BEGIN.plusSeconds(20))).isEqualTo(410);
-		assertThat(among(6, 3).living(BEGIN.plusSeconds(6))).isEqualTo(1);
+	void nodesThatSendRarelyCountAsLive() {
+		assertThat(createPeers(410, 4).countLiveNodes(START.plusSeconds(20))).isEqualTo(410);
+		assertThat(createPeers(6, 3).countLiveNodes(START.plusSeconds(6))).isEqualTo(1);
 	}
 
 	// The store is away for all: the controller may go on. It may not if one node
 	// reaches the store, because that one can take the lease; nor if it hears so few
 	// nodes that it may be the one that is cut off.
 	@Test
-	void theStoreIsAwayForAllOnlyIfMostSaySoAndNobodyReachesIt() {
-		Neighbours neighbours = among(6, 3);
-		Instant now = BEGIN.plusSeconds(5);
+	void theStoreIsUnreachableForAllOnlyIfMostReportItAndNoneReachesIt() {
+		PeerNodes peers = createPeers(6, 3);
+		Instant now = START.plusSeconds(5);
 		for (int node = 1; node < 3; node++) {
-			neighbours.heard(loads(node, 3, false), now);
+			peers.handleMessage(loads(node, 3, false), now);
 		}
-		assertThat(neighbours.storeAwayForAll(now)).isTrue();
-		assertThat(neighbours.storeAwayForAll(now.plusSeconds(2))).isFalse();
-		neighbours.heard(loads(3, 3, true), now);
-		assertThat(neighbours.storeAwayForAll(now)).isFalse();
+		assertThat(peers.isStoreUnreachableForAll(now)).isTrue();
+		assertThat(peers.isStoreUnreachableForAll(now.plusSeconds(2))).isFalse();
+		peers.handleMessage(loads(3, 3, true), now);
+		assertThat(peers.isStoreUnreachableForAll(now)).isFalse();
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/entry/SharedLimitTests.java
+++ b/src/test/java/sycamorehill/logic/entry/SharedLimitTests.java
@@ -36,37 +36,38 @@
  */
 class SharedLimitTests {
 
-	private static final TargetName IN_NEED = TargetName.of("p1");
+	private static final TargetName LIMITED_TARGET = TargetName.of("p1");
 
 	private static final Duration STEP = Duration.ofMillis(10);
 
 	/** From here on a node that was told must keep to the limit. */
-	private static final Duration KEPT_FROM = Duration.ofMillis(500);
+	private static final Duration COMPLIANCE_DELAY = Duration.ofMillis(500);
 
 	private static final Duration WINDOW = Duration.ofSeconds(4);
 
 	/** A limit is judged from here on. */
-	private static final Duration JUDGED_FROM = Duration.ofSeconds(3);
+	private static final Duration MEASUREMENT_DELAY = Duration.ofSeconds(3);
 
-	private static final double EXCESS = 1.5;
+	private static final double ALLOWED_FACTOR = 1.5;
 
-	private static final int EXTRA = 5;
+	private static final int ALLOWED_EXTRA_REQUESTS = 5;
 
 	private final Map<String, EntryReducer> nodes = new LinkedHashMap<>();
 
 	private final Map<Address, String> names = new HashMap<>();
 
-	private final PriorityQueue<Due> due = new PriorityQueue<>((one, other) -> one.at().compareTo(other.at()));
+	private final PriorityQueue<ScheduledEvent> scheduledEvents = new PriorityQueue<>(
+			(one, other) -> one.at().compareTo(other.at()));
 
 	private final Random random = new Random(11);
 
-	private final Map<String, Instant> firstTold = new HashMap<>();
+	private final Map<String, Instant> firstLimitReceivedAt = new HashMap<>();
 
 	/** When the target in need got a request of a node that must keep to its limit. */
-	private final List<Instant> counted = new ArrayList<>();
+	private final List<Instant> countedRequests = new ArrayList<>();
 
 	/** Nodes that gave the target a request. */
-	private final Set<String> givingWork = new HashSet<>();
+	private final Set<String> nodesUsingLimitedTarget = new HashSet<>();
 
 	private final Set<String> down = new HashSet<>();
 
@@ -80,9 +81,9 @@
 
 	private long lastRequest;
 
-	private boolean callers = true;
+	private boolean callersActive = true;
 
-	private int refused;
+	private int refusals;
 
 	private void start(int number) {
 		IntStream.range(0, number).forEach((node) -> {
@@ -107,39 +108,40 @@
 	private void accept(String node, EntryEvent event) {
 		for (EntryEffect effect : this.nodes.get(node).accept(event, this.now)) {
 			if (effect instanceof EntryEffect.Tell tell) {
-				tell.nodes().forEach((to) -> later(this.names.get(to), tell.message()));
+				tell.nodes().forEach((to) -> deliverLater(this.names.get(to), tell.message()));
 			}
 			else if (effect instanceof EntryEffect.StartAttempt start) {
-				started(node, start);
+				handleStartedAttempt(node, start);
 			}
 			else if (effect instanceof EntryEffect.Answer) {
-				this.refused++;
+				this.refusals++;
 			}
 		}
 	}
 
-	private void later(String node, NodeMessage message) {
+	private void deliverLater(String node, NodeMessage message) {
 		if (this.random.nextDouble() >= this.lossShare) {
-			this.due.add(new Due(this.now.plusMillis(1 + this.random.nextInt(20)), node,
+			this.scheduledEvents.add(new ScheduledEvent(this.now.plusMillis(1 + this.random.nextInt(20)), node,
 					new EntryEvent.MessageHeard(message)));
 		}
 	}
 
-	private void started(String node, EntryEffect.StartAttempt start) {
+	private void handleStartedAttempt(String node, EntryEffect.StartAttempt start) {
 		TargetName target = start.target().name();
-		boolean inNeed = target.equals(IN_NEED);
-		if (inNeed) {
-			this.givingWork.add(node);
+		boolean limited = target.equals(LIMITED_TARGET);
+		if (limited) {
+			this.nodesUsingLimitedTarget.add(node);
 		}
-		Instant told = this.firstTold.get(node);
-		if (inNeed && told != null && !this.now.isBefore(told.plus(KEPT_FROM))) {
-			this.counted.add(this.now);
+		Instant receivedAt = this.firstLimitReceivedAt.get(node);
+		if (limited && receivedAt != null && !this.now.isBefore(receivedAt.plus(COMPLIANCE_DELAY))) {
+			this.countedRequests.add(this.now);
 		}
-		Instant answered = this.now.plus(this.answerTime);
-		this.due.add(new Due(answered, node, new EntryEvent.TargetTold(start.number(), target, Optional.empty(),
-				inNeed ? this.limit : Optional.empty())));
-		this.due.add(new Due(answered.plusNanos(1), node, new EntryEvent.AttemptEnded(start.number(), start.attempt(),
-				new AttemptEnd.Delivered(200, Duration.ZERO))));
+		Instant answeredAt = this.now.plus(this.answerTime);
+		this.scheduledEvents.add(new ScheduledEvent(answeredAt, node, new EntryEvent.TargetTold(start.number(), target,
+				Optional.empty(), limited ? this.limit : Optional.empty())));
+		this.scheduledEvents
+			.add(new ScheduledEvent(answeredAt.plusNanos(1), node, new EntryEvent.AttemptEnded(start.number(),
+					start.attempt(), new AttemptEnd.Delivered(200, Duration.ZERO))));
 	}
 
 	// Each node gets a request each 100 ms, and looks around as often.
@@ -150,7 +152,7 @@
 			for (String node : this.nodes.keySet()) {
 				if (!this.down.contains(node) && (this.now.toEpochMilli() / STEP.toMillis() + phase++) % 10 == 0) {
 					accept(node, new EntryEvent.Ticked());
-					if (this.callers) {
+					if (this.callersActive) {
 						accept(node, new EntryEvent.RequestArrived(
 								ServingSamples.request(++this.lastRequest, "/again/" + this.lastRequest)));
 					}
@@ -160,10 +162,10 @@
 	}
 
 	private void deliver() {
-		while (!this.due.isEmpty() && !this.due.peek().at().isAfter(this.now)) {
-			Due next = this.due.poll();
+		while (!this.scheduledEvents.isEmpty() && !this.scheduledEvents.peek().at().isAfter(this.now)) {
+			ScheduledEvent next = this.scheduledEvents.poll();
 			if (next.event() instanceof EntryEvent.TargetTold told && told.limit().isPresent()) {
-				this.firstTold.putIfAbsent(next.node(), this.now);
+				this.firstLimitReceivedAt.putIfAbsent(next.node(), this.now);
 			}
 			if (!this.down.contains(next.node())) {
 				accept(next.node(), next.event());
@@ -171,18 +173,18 @@
 		}
 	}
 
-	private int mostInAWindow(Instant from) {
-		List<Instant> sent = this.counted.stream().filter((at) -> !at.isBefore(from)).toList();
-		int most = 0;
+	private int maximumInWindow(Instant from) {
+		List<Instant> sent = this.countedRequests.stream().filter((at) -> !at.isBefore(from)).toList();
+		int maximum = 0;
 		for (int first = 0; first < sent.size(); first++) {
 			Instant end = sent.get(first).plus(WINDOW);
-			most = Math.max(most, (int) sent.stream().skip(first).filter((at) -> at.isBefore(end)).count());
+			maximum = Math.max(maximum, (int) sent.stream().skip(first).filter((at) -> at.isBefore(end)).count());
 		}
-		return most;
+		return maximum;
 	}
 
-	private static int allowed(double perSecond) {
-		return (int) (EXCESS * perSecond * WINDOW.toSeconds()) + EXTRA;
+	private static int allowedInWindow(double perSecond) {
+		return (int) (ALLOWED_FACTOR * perSecond * WINDOW.toSeconds()) + ALLOWED_EXTRA_REQUESTS;
 	}
 
 	// Each node keeps to the limit by itself, and all together send many times as much.
@@ -193,21 +195,24 @@
 		start(number);
 		run(Duration.ofSeconds(2));
 		this.limit = Optional.of(new RequestRate(perSecond));
-		Instant named = this.now;
+		Instant limitSetAt = this.now;
 		run(Duration.ofSeconds(30));
-		assertThat(mostInAWindow(named.plus(JUDGED_FROM).minus(WINDOW))).isLessThanOrEqualTo(allowed(perSecond));
-		assertThat(this.counted.size()).as("what the target takes is used").isGreaterThan((int) (perSecond * 30 / 2));
+		assertThat(maximumInWindow(limitSetAt.plus(MEASUREMENT_DELAY).minus(WINDOW)))
+			.isLessThanOrEqualTo(allowedInWindow(perSecond));
+		assertThat(this.countedRequests.size()).as("what the target takes is used")
+			.isGreaterThan((int) (perSecond * 30 / 2));
 	}
 
 	// The limit is forgotten by each node at the same moment, and all send at once.
 	@Test
-	void aTargetThatAsksForNothingIsAskedByFewNodes() {
+	void aTargetWithALimitOfZeroIsProbedByFewNodes() {
 		start(20);
 		run(Duration.ofSeconds(2));
 		this.limit = Optional.of(new RequestRate(0));
-		Instant named = this.now;
+		Instant limitSetAt = this.now;
 		run(Duration.ofSeconds(60));
-		assertThat(mostInAWindow(named.plus(JUDGED_FROM).minus(WINDOW))).isLessThanOrEqualTo(EXTRA);
+		assertThat(maximumInWindow(limitSetAt.plus(MEASUREMENT_DELAY).minus(WINDOW)))
+			.isLessThanOrEqualTo(ALLOWED_EXTRA_REQUESTS);
 	}
 
 	// The limit named next is lower, and nodes go on by the one before.
@@ -218,45 +223,45 @@
 		this.limit = Optional.of(new RequestRate(20));
 		run(Duration.ofSeconds(10));
 		this.limit = Optional.of(new RequestRate(2));
-		Instant lower = this.now;
+		Instant loweredAt = this.now;
 		run(Duration.ofSeconds(10));
-		assertThat(mostInAWindow(lower.plus(JUDGED_FROM))).isLessThanOrEqualTo(allowed(2));
+		assertThat(maximumInWindow(loweredAt.plus(MEASUREMENT_DELAY))).isLessThanOrEqualTo(allowedInWindow(2));
 	}
 
 	// A target that is in need no more stands idle, because few nodes ask it.
 	@Test
-	void allNodesUseATargetAgainThatNamesNoLimitAnyMore() {
+	void allNodesUseATargetAgainOnceItReportsNoLimit() {
 		start(20);
 		run(Duration.ofSeconds(2));
 		this.limit = Optional.of(new RequestRate(1));
 		run(Duration.ofSeconds(10));
 		this.limit = Optional.empty();
 		run(Duration.ofSeconds(8));
-		int before = this.counted.size();
+		int before = this.countedRequests.size();
 		run(Duration.ofSeconds(5));
-		assertThat(this.counted.size() - before).isGreaterThan(200);
+		assertThat(this.countedRequests.size() - before).isGreaterThan(200);
 	}
 
 	// Nobody asks the target for a while, all nodes forget its limit, and all ask at
 	// once.
 	@Test
-	void aLimitOutlastsATimeWithoutRequests() {
+	void aLimitStaysInEffectWhileThereAreNoRequests() {
 		this.answerTime = Duration.ofMillis(500);
 		start(20);
 		run(Duration.ofSeconds(2));
 		this.limit = Optional.of(new RequestRate(1));
 		run(Duration.ofSeconds(5));
-		this.callers = false;
+		this.callersActive = false;
 		run(Duration.ofSeconds(30));
-		this.callers = true;
-		Instant again = this.now;
+		this.callersActive = true;
+		Instant resumedAt = this.now;
 		run(Duration.ofSeconds(5));
-		assertThat(mostInAWindow(again)).isLessThanOrEqualTo(allowed(1));
+		assertThat(maximumInWindow(resumedAt)).isLessThanOrEqualTo(allowedInWindow(1));
 	}
 
 	// Some nodes are not told that a limit is over, and leave a sound target alone.
 	@Test
-	void allNodesHearThatALimitIsOverThoughMessagesAreLost() {
+	void allNodesLearnTheEndOfALimitDespiteLostMessages() {
 		this.lossShare = 0.3;
 		start(20);
 		run(Duration.ofSeconds(2));
@@ -264,34 +269,34 @@
 		run(Duration.ofSeconds(10));
 		this.limit = Optional.empty();
 		run(Duration.ofSeconds(16));
-		this.givingWork.clear();
+		this.nodesUsingLimitedTarget.clear();
 		run(Duration.ofSeconds(3));
-		assertThat(this.givingWork).containsAll(this.nodes.keySet());
+		assertThat(this.nodesUsingLimitedTarget).containsAll(this.nodes.keySet());
 	}
 
 	// Callers of nodes that don't share the target are served by the others.
 	@Test
-	void nobodyIsRefusedWhileAnotherTargetServes() {
+	void noRequestIsRefusedWhileAnotherTargetServes() {
 		start(6);
 		run(Duration.ofSeconds(2));
 		this.limit = Optional.of(new RequestRate(1));
-		this.refused = 0;
+		this.refusals = 0;
 		run(Duration.ofSeconds(10));
-		assertThat(this.refused).isZero();
+		assertThat(this.refusals).isZero();
 	}
 
 	// A node that shared the target ends, and its part is used by nobody for good.
 	@Test
-	void aPartOfANodeThatIsGoneGoesToOthers() {
+	void theShareOfAFailedNodeIsUsedByOthers() {
 		start(6);
 		run(Duration.ofSeconds(2));
 		this.limit = Optional.of(new RequestRate(1));
 		run(Duration.ofSeconds(5));
 		this.down.addAll(List.of("north-100", "south-101", "north-102"));
 		run(Duration.ofSeconds(8));
-		int before = this.counted.size();
+		int before = this.countedRequests.size();
 		run(Duration.ofSeconds(20));
-		assertThat(this.counted.size() - before).isBetween(14, 25);
+		assertThat(this.countedRequests.size() - before).isBetween(14, 25);
 	}
 
 	/**
@@ -301,7 +306,7 @@
 	 * @param node the node
 	 * @param event what
 	 */
-	private record Due(Instant at, String node, EntryEvent event) {
+	private record ScheduledEvent(Instant at, String node, EntryEvent event) {
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/entry/SilenceReportsTests.java
+++ b/src/test/java/sycamorehill/logic/entry/SilenceReportsTests.java
@@ -19,35 +19,35 @@
 
 	private final SilenceReports reports = new SilenceReports();
 
-	private boolean confirms(String node, long millis) {
-		return this.reports.confirms(node, HEAD, this.start.plusMillis(millis));
+	private boolean recordReport(String node, long millis) {
+		return this.reports.recordReport(node, HEAD, this.start.plusMillis(millis));
 	}
 
 	// The link between one node and a target is cut, and all other nodes are served.
 	@Test
-	void oneNodesWordIsNotEnough() {
-		assertThat(confirms("one", 0)).isFalse();
-		assertThat(confirms("one", 500)).isFalse();
-		assertThat(confirms("one", 3000)).isFalse();
-		assertThat(confirms("two", 4500)).isFalse();
+	void reportsOfASingleNodeConfirmNothing() {
+		assertThat(recordReport("one", 0)).isFalse();
+		assertThat(recordReport("one", 500)).isFalse();
+		assertThat(recordReport("one", 3000)).isFalse();
+		assertThat(recordReport("two", 4500)).isFalse();
 	}
 
 	// A group lost a member: seventy nodes report it within a moment, and all are told
 	// once.
 	@Test
 	void twoNodesConfirmASilenceOnce() {
-		assertThat(confirms("one", 0)).isFalse();
-		assertThat(confirms("two", 10)).isTrue();
-		assertThat(confirms("three", 20)).isFalse();
-		assertThat(confirms("four", 900)).isFalse();
+		assertThat(recordReport("one", 0)).isFalse();
+		assertThat(recordReport("two", 10)).isTrue();
+		assertThat(recordReport("three", 20)).isFalse();
+		assertThat(recordReport("four", 900)).isFalse();
 	}
 
 	@Test
 	void theNextSilenceIsConfirmedAgain() {
-		confirms("one", 0);
-		assertThat(confirms("two", 10)).isTrue();
-		assertThat(confirms("one", 5000)).isFalse();
-		assertThat(confirms("two", 5010)).isTrue();
+		recordReport("one", 0);
+		assertThat(recordReport("two", 10)).isTrue();
+		assertThat(recordReport("one", 5000)).isFalse();
+		assertThat(recordReport("two", 5010)).isTrue();
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/entry/StoreRelayTests.java
+++ b/src/test/java/sycamorehill/logic/entry/StoreRelayTests.java
@@ -39,7 +39,7 @@
 	private EntryReducer node;
 
 	@BeforeEach
-	void begin() {
+	void setUp() {
 		this.node = EntryReducer.of(ServingSamples.settings("b"), "b#1", new Random(1), this.start);
 		accept(new EntryEvent.NodesListed(List.of(ServingSamples.node("a", 7101), ServingSamples.node("c", 7103))), 0);
 		accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(5)), 0);
@@ -50,8 +50,8 @@
 		return this.node.accept(event, this.start.plusMillis(millis));
 	}
 
-	private List<EntryEffect> hear(NodeMessage.StoreNews news, long millis) {
-		return accept(new EntryEvent.MessageHeard(news), millis);
+	private List<EntryEffect> receive(NodeMessage.StoreNews update, long millis) {
+		return accept(new EntryEvent.MessageHeard(update), millis);
 	}
 
 	private static NodeMessage.StoreNews changes(String sender, long since, long revision, String target) {
@@ -65,13 +65,13 @@
 	}
 
 	// The store answers a node that reads each half second.
-	private static NodeMessage.StoreNews old(NodeMessage.StoreNews news) {
-		return aged(news, StoreRelay.READER_WAIT);
+	private static NodeMessage.StoreNews agedByLongPoll(NodeMessage.StoreNews update) {
+		return aged(update, StoreRelay.LONG_POLL_WAIT);
 	}
 
-	private static NodeMessage.StoreNews aged(NodeMessage.StoreNews news, Duration age) {
-		return new NodeMessage.StoreNews(news.sender(), news.dataCentre(), news.configurationVersion(),
-				news.changedBefore(), news.since(), news.revision(), news.changes(), news.lease(), age);
+	private static NodeMessage.StoreNews aged(NodeMessage.StoreNews update, Duration age) {
+		return new NodeMessage.StoreNews(update.sender(), update.dataCentre(), update.configurationVersion(),
+				update.changedBefore(), update.since(), update.revision(), update.changes(), update.lease(), age);
 	}
 
 	private static TargetChange change(String target) {
@@ -79,52 +79,52 @@
 		return new TargetChange(entry.name(), Optional.of(entry));
 	}
 
-	private boolean fed(long millis) {
-		return this.node.fed(this.start.plusMillis(millis));
+	private boolean followsReader(long millis) {
+		return this.node.followsReader(this.start.plusMillis(millis));
 	}
 
-	private static List<NodeMessage.StoreNews> told(List<EntryEffect> effects) {
-		List<NodeMessage.StoreNews> told = new ArrayList<>();
+	private static List<NodeMessage.StoreNews> sentUpdates(List<EntryEffect> effects) {
+		List<NodeMessage.StoreNews> updates = new ArrayList<>();
 		for (EntryEffect effect : effects) {
-			if (effect instanceof EntryEffect.Tell tell && tell.message() instanceof NodeMessage.StoreNews news) {
-				told.add(aged(news, Duration.ZERO));
+			if (effect instanceof EntryEffect.Tell tell && tell.message() instanceof NodeMessage.StoreNews update) {
+				updates.add(aged(update, Duration.ZERO));
 			}
 		}
-		return told;
+		return updates;
 	}
 
 	// 70 nodes each asked the store for changes twice a second, and read every change.
 	// Node "a" reads for all: "b" takes over each change in its order and asks nothing.
 	@Test
-	void takesChangesFromTheNodeThatReads() {
-		List<EntryEffect> effects = hear(changes("a", 100, 103, "p2"), 500);
+	void appliesChangesFromTheReader() {
+		List<EntryEffect> effects = receive(changes("a", 100, 103, "p2"), 500);
 		assertThat(effects).contains(new EntryEffect.TargetsKnown(103))
 			.noneMatch(EntryEffect.ReadTargets.class::isInstance);
 		assertThat(this.node.targetsKnown()).isEqualTo(2);
-		assertThat(fed(1300)).isTrue();
-		assertThat(hear(changes("a", 103, 107, "p3"), 1000)).contains(new EntryEffect.TargetsKnown(107));
+		assertThat(followsReader(1300)).isTrue();
+		assertThat(receive(changes("a", 103, 107, "p3"), 1000)).contains(new EntryEffect.TargetsKnown(107));
 		assertThat(this.node.targetsKnown()).isEqualTo(3);
 	}
 
 	// The reading node dies, or is cut off from the others: a leaving target must get no
 	// new work 2 s after the store knew of it, so each node reads for itself within 1 s.
 	@Test
-	void readsForItselfSoonAfterTheNodeThatReadsFellSilent() {
-		hear(old(progress("a", 100, 102)), 500);
-		assertThat(fed(1300)).isTrue();
-		assertThat(fed(1400)).isFalse();
+	void readsForItselfSoonAfterTheReaderFails() {
+		receive(agedByLongPoll(progress("a", 100, 102)), 500);
+		assertThat(followsReader(1300)).isTrue();
+		assertThat(followsReader(1400)).isFalse();
 	}
 
 	// A datagram with a change is lost. The next message says that there was one.
 	@Test
-	void readsWhatItMissed() {
-		hear(changes("a", 100, 103, "p2"), 500);
-		assertThat(hear(changes("a", 105, 108, "p4"), 600)).contains(new EntryEffect.ReadTargets(),
+	void readsMissedChanges() {
+		receive(changes("a", 100, 103, "p2"), 500);
+		assertThat(receive(changes("a", 105, 108, "p4"), 600)).contains(new EntryEffect.ReadTargets(),
 				new EntryEffect.TargetsKnown(103));
 		assertThat(this.node.targetsKnown()).isEqualTo(2);
-		assertThat(hear(progress("a", 108, 110), 950)).contains(new EntryEffect.ReadTargets());
+		assertThat(receive(progress("a", 108, 110), 950)).contains(new EntryEffect.ReadTargets());
 		accept(new EntryEvent.TargetsChanged(List.of(change("p3"), change("p4")), 103, 110), 960);
-		assertThat(hear(progress("a", 108, 112), 1300)).contains(new EntryEffect.TargetsKnown(112))
+		assertThat(receive(progress("a", 108, 112), 1300)).contains(new EntryEffect.TargetsKnown(112))
 			.noneMatch(EntryEffect.ReadTargets.class::isInstance);
 	}
 
@@ -133,10 +133,10 @@
 	// of: nothing is missing, and each of 70 nodes asked the store in vain at each
 	// change.
 	@Test
-	void takesAChangeThatIsToldAfterQuietRevisions() {
+	void appliesAChangeAfterRevisionsWithoutTargetChanges() {
 		NodeMessage.StoreNews later = new NodeMessage.StoreNews("a", NORTH, 5, 90, 140, 143, List.of(change("p2")),
 				Optional.empty(), Duration.ZERO);
-		assertThat(hear(later, 500)).contains(new EntryEffect.TargetsKnown(143))
+		assertThat(receive(later, 500)).contains(new EntryEffect.TargetsKnown(143))
 			.noneMatch(EntryEffect.ReadTargets.class::isInstance);
 		assertThat(this.node.targetsKnown()).isEqualTo(2);
 	}
@@ -144,50 +144,50 @@
 	// This node has read for itself up to the middle of what it is told: applied once
 	// more, an older entry would follow a newer one.
 	@Test
-	void doesNotApplyChangesThatItHasPartlyRead() {
+	void doesNotApplyPartlyReadChanges() {
 		accept(new EntryEvent.TargetsChanged(List.of(change("p2")), 100, 102), 400);
-		assertThat(hear(changes("a", 100, 103, "p3"), 500)).contains(new EntryEffect.ReadTargets());
+		assertThat(receive(changes("a", 100, 103, "p3"), 500)).contains(new EntryEffect.ReadTargets());
 		assertThat(this.node.targetsKnown()).isEqualTo(2);
 	}
 
 	@Test
-	void passesOverWhatItKnowsAlready() {
-		hear(changes("a", 100, 103, "p2"), 500);
-		assertThat(hear(changes("a", 100, 103, "p2"), 510)).noneMatch(EntryEffect.ReadTargets.class::isInstance);
+	void ignoresKnownChanges() {
+		receive(changes("a", 100, 103, "p2"), 500);
+		assertThat(receive(changes("a", 100, 103, "p2"), 510)).noneMatch(EntryEffect.ReadTargets.class::isInstance);
 		assertThat(this.node.targetsKnown()).isEqualTo(2);
 	}
 
 	// All nodes start at once and read. The first of them by name goes on; "b" goes on
 	// beside "c", tells it of each change, and rests when it hears "a".
 	@Test
-	void theFirstOfTheNodesReadsForTheOthers() {
-		hear(changes("c", 100, 103, "p2"), 100);
-		assertThat(fed(110)).isFalse();
+	void theNodeWithPrecedenceReadsForTheOthers() {
+		receive(changes("c", 100, 103, "p2"), 100);
+		assertThat(followsReader(110)).isFalse();
 		assertThat(this.node.targetsKnown()).isEqualTo(1);
-		assertThat(told(accept(new EntryEvent.TargetsChanged(List.of(change("p2")), 100, 103), 200)))
+		assertThat(sentUpdates(accept(new EntryEvent.TargetsChanged(List.of(change("p2")), 100, 103), 200)))
 			.containsExactly(changes("b", 100, 103, "p2"));
-		assertThat(told(accept(new EntryEvent.Ticked(), 600))).containsExactly(progress("b", 103, 103));
-		hear(progress("a", 103, 104), 650);
-		assertThat(told(accept(new EntryEvent.Ticked(), 1200))).isEmpty();
+		assertThat(sentUpdates(accept(new EntryEvent.Ticked(), 600))).containsExactly(progress("b", 103, 103));
+		receive(progress("a", 103, 104), 650);
+		assertThat(sentUpdates(accept(new EntryEvent.Ticked(), 1200))).isEmpty();
 	}
 
 	// The store turns this node away and serves the others: it takes what it can get, and
 	// tells nothing itself.
 	@Test
-	void aNodeThatTheStoreTurnsAwayTakesNewsFromAnybody() {
+	void aNodeThatCannotReachTheStoreAcceptsUpdatesFromAnyNode() {
 		accept(new EntryEvent.DirectoryNotReached(), 100);
-		assertThat(this.node.storeReached()).isFalse();
-		assertThat(told(accept(new EntryEvent.Ticked(), 700))).isEmpty();
-		hear(old(changes("c", 100, 103, "p2")), 800);
-		assertThat(this.node.storeReached()).isTrue();
+		assertThat(this.node.isStoreReachable()).isFalse();
+		assertThat(sentUpdates(accept(new EntryEvent.Ticked(), 700))).isEmpty();
+		receive(agedByLongPoll(changes("c", 100, 103, "p2")), 800);
+		assertThat(this.node.isStoreReachable()).isTrue();
 		assertThat(this.node.targetsKnown()).isEqualTo(2);
 		accept(new EntryEvent.DirectoryNotReached(), 900);
-		assertThat(this.node.storeReached()).isTrue();
+		assertThat(this.node.isStoreReachable()).isTrue();
 		accept(new EntryEvent.DirectoryNotReached(), 1800);
-		assertThat(this.node.storeReached()).isFalse();
+		assertThat(this.node.isStoreReachable()).isFalse();
 	}
 
-	private static NodeMessage.StoreNews fromSouth(String sender, long revision) {
+	private static NodeMessage.StoreNews updateFromSouth(String sender, long revision) {
 		return new NodeMessage.StoreNews(sender, SOUTH, 5, 100, 100, revision, List.of(change("p2")), Optional.empty(),
 				Duration.ZERO);
 	}
@@ -211,40 +211,41 @@
 	// Five data centres each read every change: five times the calls. One node reads for
 	// all; "b" hears it for its data centre and passes on what it hears.
 	@Test
-	void passesOnWhatANodeOfAnotherDataCentreReads() {
-		List<EntryEffect> effects = hear(fromSouth("a", 103), 100);
-		assertThat(fed(110)).isTrue();
+	void relaysUpdatesOfAnotherDataCentre() {
+		List<EntryEffect> effects = receive(updateFromSouth("a", 103), 100);
+		assertThat(followsReader(110)).isTrue();
 		assertThat(this.node.targetsKnown()).isEqualTo(2);
-		assertThat(told(effects)).containsExactly(changes("b", 100, 103, "p2"));
-		assertThat(told(accept(new EntryEvent.Ticked(), 600))).isEmpty();
+		assertThat(sentUpdates(effects)).containsExactly(changes("b", 100, 103, "p2"));
+		assertThat(sentUpdates(accept(new EntryEvent.Ticked(), 600))).isEmpty();
 	}
 
 	// "b" missed a message of the other data centre. What it passed on would have the
 	// same gap, and each node of its data centre would read: it reads, and tells them.
 	@Test
-	void passesOnWhatItReadAfterAGap() {
-		assertThat(told(hear(new NodeMessage.StoreNews("a", SOUTH, 5, 102, 102, 104, List.of(change("p3")),
+	void relaysWhatItReadAfterAGap() {
+		assertThat(sentUpdates(receive(new NodeMessage.StoreNews("a", SOUTH, 5, 102, 102, 104, List.of(change("p3")),
 				Optional.empty(), Duration.ZERO), 100)))
 			.isEmpty();
-		assertThat(told(accept(new EntryEvent.TargetsChanged(List.of(change("p2"), change("p3")), 100, 104), 120)))
+		assertThat(
+				sentUpdates(accept(new EntryEvent.TargetsChanged(List.of(change("p2"), change("p3")), 100, 104), 120)))
 			.hasSize(1);
 	}
 
 	// Two nodes of a data centre would both pass news on, and each change would come
 	// twice.
 	@Test
-	void aNodeOfTheOwnDataCentreGoesBeforeOneOfAnother() {
-		hear(progress("a", 100, 102), 50);
-		assertThat(told(hear(fromSouth("a", 103), 100))).isEmpty();
+	void aLocalReaderTakesPrecedenceOverARemoteOne() {
+		receive(progress("a", 100, 102), 50);
+		assertThat(sentUpdates(receive(updateFromSouth("a", 103), 100))).isEmpty();
 		assertThat(this.node.targetsKnown()).isEqualTo(1);
 	}
 
 	// Another data centre is cut off from the store and still believes an older state.
 	@Test
-	void takesNoOlderStateOfAnotherDataCentre() {
+	void ignoresAnOlderStateOfAnotherDataCentre() {
 		NodeMessage.StoreNews older = new NodeMessage.StoreNews("a", SOUTH, 4, 90, 90, 95, List.of(change("p9")),
 				Optional.empty(), Duration.ZERO);
-		assertThat(hear(older, 100)).noneMatch(EntryEffect.ReadTargets.class::isInstance);
+		assertThat(receive(older, 100)).noneMatch(EntryEffect.ReadTargets.class::isInstance);
 		assertThat(this.node.targetsKnown()).isEqualTo(1);
 		assertThat(this.node.configurationVersion()).isEqualTo(5);
 	}
@@ -252,19 +253,19 @@
 	// The other data centre is cut off from this one. "b" reads again before the nodes
 	// that it tells have missed it.
 	@Test
-	void readsForItsDataCentreSoonAfterAnotherFellSilent() {
-		hear(old(fromSouth("a", 103)), 500);
-		assertThat(fed(1200)).isTrue();
-		assertThat(fed(1300)).isFalse();
+	void readsForItsDataCentreSoonAfterTheRemoteReaderFails() {
+		receive(agedByLongPoll(updateFromSouth("a", 103)), 500);
+		assertThat(followsReader(1200)).isTrue();
+		assertThat(followsReader(1300)).isFalse();
 		accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(5)), 1305);
-		assertThat(told(accept(new EntryEvent.TargetsChanged(List.of(), 103, 104), 1310)))
+		assertThat(sentUpdates(accept(new EntryEvent.TargetsChanged(List.of(), 103, 104), 1310)))
 			.contains(progress("b", 103, 104));
 	}
 
 	// Small VMs have just enough processor time and bandwidth for their callers: of the
 	// other data centre the first of the strong ones is told.
 	@Test
-	void tellsTheFirstOfTheStrongNodesOfAnotherDataCentre() {
+	void sendsToTheRemoteNodeWithTheMostProcessors() {
 		listWithSouth();
 		assertThat(receivers(accept(new EntryEvent.TargetsChanged(List.of(change("p2")), 100, 103), 100)))
 			.containsExactlyInAnyOrder(Address.of("127.0.0.1", 7101), Address.of("127.0.0.1", 7103),
@@ -273,9 +274,9 @@
 
 	// "s2" has failed, and nobody told "b". "s3" reads for its data centre and says so.
 	@Test
-	void tellsTheNodeThatReadsInPlaceOfTheFirst() {
+	void sendsToTheRemoteNodeThatReplacesAFailedRelay() {
 		listWithSouth();
-		hear(fromSouth("s3", 100), 50);
+		receive(updateFromSouth("s3", 100), 50);
 		assertThat(receivers(accept(new EntryEvent.TargetsChanged(List.of(change("p2")), 100, 103), 100)))
 			.contains(Address.of("127.0.0.1", 7203));
 	}
@@ -284,59 +285,59 @@
 	// reads: it must not let "c" believe that nothing has changed since 100, or "c" goes
 	// on giving work to a target that has left.
 	@Test
-	void whoTakesOverReadingTellsOfChangesThatItWasTold() {
-		hear(changes("a", 100, 103, "p2"), 500);
-		hear(old(progress("a", 103, 104)), 800);
+	void aNewReaderReportsTheLastChangeItReceived() {
+		receive(changes("a", 100, 103, "p2"), 500);
+		receive(agedByLongPoll(progress("a", 103, 104)), 800);
 		accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(5)), 1795);
-		assertThat(told(accept(new EntryEvent.TargetsChanged(List.of(), 104, 105), 1800)))
+		assertThat(sentUpdates(accept(new EntryEvent.TargetsChanged(List.of(), 104, 105), 1800)))
 			.containsExactly(progress("b", 103, 105));
 	}
 
 	// The text of a configuration was lost on its way: the node would go by the version
 	// before for good. It reads the store when it is told of the version once more.
 	@Test
-	void readsANewerConfigurationWhoseTextDoesNotCome() {
+	void readsANewerConfigurationWhoseTextDoesNotArrive() {
 		NodeMessage.StoreNews newer = new NodeMessage.StoreNews("a", NORTH, 6, 100, 103, 103, List.of(),
 				Optional.empty(), Duration.ZERO);
-		assertThat(hear(newer, 100)).noneMatch(EntryEffect.ReadConfiguration.class::isInstance);
-		assertThat(hear(newer, 350)).contains(new EntryEffect.ReadConfiguration(6));
+		assertThat(receive(newer, 100)).noneMatch(EntryEffect.ReadConfiguration.class::isInstance);
+		assertThat(receive(newer, 350)).contains(new EntryEffect.ReadConfiguration(6));
 		accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(6)), 380);
-		assertThat(hear(newer, 600)).noneMatch(EntryEffect.ReadTargets.class::isInstance)
+		assertThat(receive(newer, 600)).noneMatch(EntryEffect.ReadTargets.class::isInstance)
 			.noneMatch(EntryEffect.ReadConfiguration.class::isInstance);
 	}
 
 	// A node that stops does not lead the others: they would notice its end only after
 	// it.
 	@Test
-	void aStoppingNodeTellsNoNews() {
+	void aStoppingNodeSendsNoUpdates() {
 		accept(new EntryEvent.StopOrdered(), 100);
-		assertThat(told(accept(new EntryEvent.Ticked(), 1000))).isEmpty();
-		assertThat(told(accept(new EntryEvent.TargetsChanged(List.of(change("p2")), 100, 103), 1100))).isEmpty();
+		assertThat(sentUpdates(accept(new EntryEvent.Ticked(), 1000))).isEmpty();
+		assertThat(sentUpdates(accept(new EntryEvent.TargetsChanged(List.of(change("p2")), 100, 103), 1100))).isEmpty();
 	}
 
 	@Test
-	void newsIsOutOfDateSoonerThanATargetMayGetNewWork() {
+	void updatesExpireBeforeALeavingTargetMustReceiveNoRequests() {
 		Duration connecting = Duration.ofMillis(300);
-		assertThat(StoreRelay.NEAR_NEWS_VALID.plus(connecting)).isLessThan(Duration.ofSeconds(2));
-		assertThat(StoreRelay.NEAR_NEWS_VALID.minus(StoreRelay.READER_WAIT)).isLessThan(Duration.ofSeconds(1));
-		assertThat(StoreRelay.FAR_NEWS_VALID).isLessThan(StoreRelay.NEAR_NEWS_VALID);
-		assertThat(StoreRelay.READER_WAIT.plus(StoreRelay.NEWS_EVERY.multipliedBy(2)))
-			.isLessThan(StoreRelay.FAR_NEWS_VALID);
-		assertThat(StoreRelay.READER_WAIT).isLessThan(StoreRelay.OWN_READ_VALID);
-		assertThat(StoreRelay.OWN_READ_VALID).isLessThan(StoreRelay.FAR_NEWS_VALID);
+		assertThat(StoreRelay.LOCAL_UPDATE_VALIDITY.plus(connecting)).isLessThan(Duration.ofSeconds(2));
+		assertThat(StoreRelay.LOCAL_UPDATE_VALIDITY.minus(StoreRelay.LONG_POLL_WAIT)).isLessThan(Duration.ofSeconds(1));
+		assertThat(StoreRelay.REMOTE_UPDATE_VALIDITY).isLessThan(StoreRelay.LOCAL_UPDATE_VALIDITY);
+		assertThat(StoreRelay.LONG_POLL_WAIT.plus(StoreRelay.UPDATE_INTERVAL.multipliedBy(2)))
+			.isLessThan(StoreRelay.REMOTE_UPDATE_VALIDITY);
+		assertThat(StoreRelay.LONG_POLL_WAIT).isLessThan(StoreRelay.OWN_READ_VALIDITY);
+		assertThat(StoreRelay.OWN_READ_VALIDITY).isLessThan(StoreRelay.REMOTE_UPDATE_VALIDITY);
 	}
 
 	// Each of 95 nodes read each of 18 versions in the store, most of them twice. A node
 	// takes the text that another one tells, once, and never an older one.
 	@Test
-	void takesTheTextOfANewerConfigurationThatIsTold() {
-		assertThat(configurationTold(6, 100)).contains(new EntryEffect.TakeConfiguration("text of 6"));
+	void appliesTheReceivedTextOfANewerConfiguration() {
+		assertThat(receiveConfiguration(6, 100)).contains(new EntryEffect.TakeConfiguration("text of 6"));
 		accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(6)), 110);
-		assertThat(configurationTold(6, 120)).isEmpty();
-		assertThat(configurationTold(5, 130)).isEmpty();
+		assertThat(receiveConfiguration(6, 120)).isEmpty();
+		assertThat(receiveConfiguration(5, 130)).isEmpty();
 	}
 
-	private List<EntryEffect> configurationTold(long version, long millis) {
+	private List<EntryEffect> receiveConfiguration(long version, long millis) {
 		return accept(
 				new EntryEvent.MessageHeard(new NodeMessage.ConfigurationTold("a", version, "text of " + version)),
 				millis);
@@ -345,45 +346,45 @@
 	// The node that reads for the others tells them each version; one that is told
 	// passes it on only if its data centre hears the news from it.
 	@Test
-	void tellsAConfigurationThatItHasReadForOthers() {
+	void sendsAConfigurationThatItReadsForOthers() {
 		accept(new EntryEvent.TargetsChanged(List.of(), 100, 100), 100);
 		assertThat(accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(6)), 200))
 			.anyMatch((effect) -> effect instanceof EntryEffect.TellConfiguration tell && tell.version() == 6
 					&& tell.nodes().contains(Address.of("127.0.0.1", 7103)));
-		hear(progress("a", 100, 100), 300);
+		receive(progress("a", 100, 100), 300);
 		assertThat(accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(7)), 400))
 			.noneMatch(EntryEffect.TellConfiguration.class::isInstance);
 	}
 
 	// The call for the configuration hangs, and the others would rest from it for ever.
 	@Test
-	void tellsNothingOnceTheStoreAnswersOnlyCallsForTargets() {
-		assertThat(told(accept(new EntryEvent.TargetsChanged(List.of(), 100, 101), 800))).isNotEmpty();
+	void sendsNoUpdatesOnceTheStoreAnswersOnlyCallsForTargets() {
+		assertThat(sentUpdates(accept(new EntryEvent.TargetsChanged(List.of(), 100, 101), 800))).isNotEmpty();
 		accept(new EntryEvent.TargetsChanged(List.of(), 101, 102), 1300);
-		assertThat(told(accept(new EntryEvent.Ticked(), 1350))).isEmpty();
+		assertThat(sentUpdates(accept(new EntryEvent.Ticked(), 1350))).isEmpty();
 		accept(new EntryEvent.ConfigurationHeard(ServingSamples.configuration(6)), 1400);
-		assertThat(told(accept(new EntryEvent.Ticked(), 1450))).isEmpty();
+		assertThat(sentUpdates(accept(new EntryEvent.Ticked(), 1450))).isEmpty();
 	}
 
 	// What the reader knew 0.8 s ago counts as new once more, at each node on the way.
 	@Test
-	void newsIsOutOfDateByTheStoresAnswerAndNotByItsHearing() {
-		hear(aged(fromSouth("a", 103), Duration.ofMillis(800)), 500);
-		assertThat(fed(940)).isTrue();
-		assertThat(fed(950)).isFalse();
+	void theValidityOfAnUpdateBeginsWithTheAnswerOfTheStore() {
+		receive(aged(updateFromSouth("a", 103), Duration.ofMillis(800)), 500);
+		assertThat(followsReader(940)).isTrue();
+		assertThat(followsReader(950)).isFalse();
 	}
 
 	// A relay that passed news on as its own would make it new again.
 	@Test
-	void newsKeepsItsAgeWhenItIsPassedOnAndTellsThatOfTheOlderAnswer() {
-		assertThat(ages(hear(aged(fromSouth("a", 103), Duration.ofMillis(800)), 500)))
+	void relayedUpdatesKeepTheirAgeAndOwnUpdatesHaveThatOfTheOlderAnswer() {
+		assertThat(sentAges(receive(aged(updateFromSouth("a", 103), Duration.ofMillis(800)), 500)))
 			.containsExactly(Duration.ofMillis(800));
 		accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(5)), 1500);
 		accept(new EntryEvent.TargetsChanged(List.of(), 103, 104), 1800);
-		assertThat(ages(accept(new EntryEvent.Ticked(), 2100))).containsExactly(Duration.ofMillis(600));
+		assertThat(sentAges(accept(new EntryEvent.Ticked(), 2100))).containsExactly(Duration.ofMillis(600));
 	}
 
-	private static List<Duration> ages(List<EntryEffect> effects) {
+	private static List<Duration> sentAges(List<EntryEffect> effects) {
 		return effects.stream()
 			.filter(EntryEffect.Tell.class::isInstance)
 			.map((effect) -> ((EntryEffect.Tell) effect).message())
@@ -395,9 +396,9 @@
 	// Work reaches a target that left, and nobody can tell which nodes knew, and from
 	// whom.
 	@Test
-	void logsWhenAndFromWhomItLearntThatATargetLeaves() {
+	void logsTheSourceOfALeavingNotice() {
 		TargetEntry leaving = ServingSamples.leaving(ServingSamples.plain("p1"));
-		List<EntryEffect> effects = hear(old(new NodeMessage.StoreNews("a", NORTH, 5, 100, 100, 103,
+		List<EntryEffect> effects = receive(agedByLongPoll(new NodeMessage.StoreNews("a", NORTH, 5, 100, 100, 103,
 				List.of(new TargetChange(leaving.name(), Optional.of(leaving))), Optional.empty(), Duration.ZERO)),
 				500);
 		assertThat(logged(effects, LogEvent.TARGET_NOTICE)).containsExactly("target=p1 revision=103 told-by=a");
--- a/src/test/java/sycamorehill/logic/layout/FakeFleet.java
+++ b/src/test/java/sycamorehill/logic/layout/FakeFleet.java
@@ -265,7 +265,7 @@
 		}
 
 		private void step() {
-			this.directory.contact(!this.storeCut, FakeFleet.this.now);
+			this.directory.recordStoreContact(!this.storeCut, FakeFleet.this.now);
 			if (!this.storeCut) {
 				this.directory.replaceAll(entries(), FakeFleet.this.now);
 			}
