--- a/src/main/java/sycamorehill/logic/dispatch/ServingTargets.java
+++ b/src/main/java/sycamorehill/logic/dispatch/ServingTargets.java
@@ -49,7 +49,7 @@
 	 * @return the targets
 	 */
 	List<Candidate> find(Configuration configuration, ServiceName service, Optional<String> model, Instant now) {
-		if (this.derivedChanges != this.directory.changes() || this.derivedConfiguration != configuration) {
+		if (this.derivedChanges != this.directory.changeCount() || this.derivedConfiguration != configuration) {
 			derive(configuration);
 		}
 		List<Candidate> all = this.candidatesByService.getOrDefault(service, List.of());
@@ -77,7 +77,7 @@
 			this.candidatesByService.put(service,
 					engines.map((figures) -> groupCandidates(targets, figures)).orElse(plainCandidates(targets)));
 		});
-		this.derivedChanges = this.directory.changes();
+		this.derivedChanges = this.directory.changeCount();
 		this.derivedConfiguration = configuration;
 	}
 
--- a/src/main/java/sycamorehill/logic/layout/GroupBuilder.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupBuilder.java
@@ -132,7 +132,7 @@
 	 * @return true if it has to be taken apart
 	 */
 	boolean hasFailed(GroupView group, Instant now) {
-		MemberState headState = GroupView.state(group.head());
+		MemberState headState = GroupView.memberState(group.head());
 		if (headState == MemberState.JOINING && !isForming(group)) {
 			Instant since = this.joiningSince.computeIfAbsent(group.key(), (key) -> now);
 			return now.isAfter(since.plus(group.model().coldLoad().multipliedBy(JOIN_TIMEOUT_FACTOR)));
@@ -148,12 +148,12 @@
 	 * @param effects collects what is wanted
 	 */
 	void openIfReady(GroupView group, Instant now, Effects effects) {
-		MemberState headState = GroupView.state(group.head());
+		MemberState headState = GroupView.memberState(group.head());
 		if (headState == MemberState.OPEN) {
 			this.formingGroups.remove(group.key());
 			this.openedAt.remove(group.key());
 		}
-		else if (headState == MemberState.READY && group.whole()) {
+		else if (headState == MemberState.READY && group.allMembersReady()) {
 			this.formingGroups.remove(group.key());
 			Instant answeredAt = this.openedAt.get(group.key());
 			if (answeredAt == null || now.isAfter(answeredAt.plus(OPEN_RETRY_DELAY))) {
--- a/src/main/java/sycamorehill/logic/layout/GroupCompletenessTracker.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupCompletenessTracker.java
@@ -45,7 +45,7 @@
 	 * @return true if it is partial, was never whole and is new
 	 */
 	boolean mayStillAppear(GroupView group, Instant now) {
-		if (group.allSeen()) {
+		if (group.allRanksReported()) {
 			this.seenComplete.add(group.key());
 			return false;
 		}
--- a/src/test/java/sycamorehill/logic/layout/FakeFleet.java
+++ b/src/test/java/sycamorehill/logic/layout/FakeFleet.java
@@ -267,7 +267,7 @@
 		}
 
 		private void step() {
-			this.directory.contact(!this.partitionedFromStore, FakeFleet.this.now);
+			this.directory.recordStoreContact(!this.partitionedFromStore, FakeFleet.this.now);
 			if (!this.partitionedFromStore) {
 				this.directory.replaceAll(entries(), FakeFleet.this.now);
 			}
