--- a/src/main/java/sycamorehill/logic/dispatch/Admission.java
+++ b/src/main/java/sycamorehill/logic/dispatch/Admission.java
@@ -3,37 +3,40 @@
 import java.time.Duration;
 
 /**
- * Decides whether a request is given to the best target that there is, and how urgently.
+ * Decides whether a request is admitted to the best available target, and whether as an
+ * on-time or as a late one.
  *
- * The load it answers: more requests than slots, for seconds. An answer in time is worth
- * several late ones, and a target whose slots are all taken answers nobody in time: a
- * request that waits there for a slot has used up its time. Requests that will be late in
- * any case therefore use only what is left: they are taken while a slot or two are free,
- * and refused at once otherwise. A caller that comes back after a refusal is let in
- * before new ones that would be late too. A stream that has begun goes on wherever it
- * can: breaking it off costs its caller more than the wait.
+ * In an overload of some seconds, a target whose slots are all taken answers no request
+ * on time: a request that queues for a slot uses up its time. One answer on time is worth
+ * several late ones. Requests that will be late therefore use spare capacity only: they
+ * are admitted while a slot or two are free, and refused at once otherwise. Retries after
+ * a refusal take precedence over new requests that would be late too. A stream that has
+ * started is admitted up to a higher load, because aborting it costs its caller more than
+ * the wait.
  */
 final class Admission {
 
 	/**
-	 * Requests with a target, against its slots, up to which one that will be late is
-	 * taken: one slot of ten is kept for those that can be in time.
+	 * Maximum number of requests per slot at which a late request is admitted. One slot
+	 * in ten stays free for requests that can be on time.
 	 */
 	private static final double MAXIMUM_LOAD_FOR_LATE = 0.9;
 
-	/** The same for callers that were refused before. */
+	/**
+	 * Maximum number of requests per slot at which a retry after a refusal is admitted.
+	 */
 	private static final double MAXIMUM_LOAD_FOR_RETRIES = 1.0;
 
-	/** The same for streams that have begun. */
+	/** Maximum number of requests per slot at which a started stream is admitted. */
 	private static final double MAXIMUM_LOAD_FOR_STARTED_STREAMS = 1.4;
 
 	/**
-	 * Part of the route's time that a caller has left when it comes for the first time;
-	 * one that comes back has waited for some of it.
+	 * Minimum share of the route's timeout that a new request still has when it arrives.
+	 * A request with less is a retry: its caller has already waited for some of the time.
 	 */
 	private static final double MINIMUM_TIMEOUT_SHARE_OF_NEW_REQUESTS = 0.97;
 
-	/** Part of the time left within which the answer must begin. */
+	/** Share of the time left within which the answer must start. */
 	private static final double MAXIMUM_FIRST_ANSWER_SHARE = 0.5;
 
 	private Admission() {
@@ -60,32 +63,35 @@
 	}
 
 	/**
-	 * How a request is taken.
+	 * The result of an admission decision.
 	 */
 	enum Decision {
 
-		/** It can be in time. */
+		/** The request is admitted and can be answered on time. */
 		ON_TIME,
 
-		/** It will be late, and gives way to those that can be in time. */
+		/**
+		 * The request is admitted but will be late, and yields to requests that can be on
+		 * time.
+		 */
 		LATE,
 
-		/** It is not taken. */
+		/** The request is not admitted. */
 		REFUSED
 
 	}
 
 	/**
-	 * What is known of a request and of the best target for it.
+	 * The state of a request and of the best target for it.
 	 *
 	 * @param timeToFirstAnswer expected time to the first answer
-	 * @param firstAnswerObjective time to the first answer that is in time
-	 * @param elapsed time since the request came
+	 * @param firstAnswerObjective longest time to the first answer that is on time
+	 * @param elapsed time since the request arrived
 	 * @param timeLeft time that the caller and the route still allow
-	 * @param timeout time that the route allows in all
+	 * @param timeout total time that the route allows
 	 * @param requests requests that the target has
-	 * @param slots requests that it runs at once
-	 * @param answerStarted whether the caller has part of the answer already
+	 * @param slots requests that the target runs concurrently
+	 * @param answerStarted whether the caller has received part of the answer
 	 */
 	record Estimate(Duration timeToFirstAnswer, Duration firstAnswerObjective, Duration elapsed, Duration timeLeft,
 			Duration timeout, int requests, int slots, boolean answerStarted) {
--- a/src/main/java/sycamorehill/logic/dispatch/CrashHistory.java
+++ b/src/main/java/sycamorehill/logic/dispatch/CrashHistory.java
@@ -8,16 +8,21 @@
 import sycamorehill.model.identity.TargetName;
 
 /**
- * Contents that were running when targets were lost. A request that crashes each target
- * that runs it comes again, at any node: after a few targets it is given no more.
- * Bystanders that ran beside it are cleared when they are answered.
+ * Records the contents that were running on targets when these were lost.
+ *
+ * A request that crashes every target that runs it is retried, possibly at other nodes.
+ * It is refused once its content was lost with several targets. The contents of other
+ * requests that ran on the same targets are cleared when these requests are answered.
  */
 final class CrashHistory {
 
-	/** Targets lost with a content before it is refused: one or two may be chance. */
+	/**
+	 * Number of targets lost with a content from which on it is refused; one or two
+	 * losses may be coincidence.
+	 */
 	private static final int CRASHED_TARGETS_BEFORE_REFUSAL = 3;
 
-	/** Contents kept; the eldest is forgotten first. */
+	/** Maximum number of contents kept; the oldest is evicted first. */
 	private static final int MAXIMUM_CONTENTS = 10_000;
 
 	private final Map<Long, Set<TargetName>> crashedTargetsByContent = new LinkedHashMap<>();
--- a/src/main/java/sycamorehill/logic/dispatch/DispatchedRequest.java
+++ b/src/main/java/sycamorehill/logic/dispatch/DispatchedRequest.java
@@ -13,7 +13,7 @@
 import sycamorehill.model.serving.Workspace;
 
 /**
- * A request between its arrival and its final answer.
+ * Tracks one caller's request over its attempts, from its arrival to its final answer.
  */
 final class DispatchedRequest {
 
@@ -39,6 +39,9 @@
 
 	private boolean mayHaveRun;
 
+	/**
+	 * Whether a target's failure is held back; the caller gets it if no target succeeds.
+	 */
 	private boolean failureHeld;
 
 	private Optional<Duration> timeToFirstAnswer = Optional.empty();
@@ -142,9 +145,9 @@
 	}
 
 	/**
-	 * How long the caller and the route still allow.
-	 * @param now the present time
-	 * @return the time left, negative once it is over
+	 * Returns how much of the time that the caller and the route allow is left.
+	 * @param now the current time
+	 * @return the time left, negative after the deadline
 	 */
 	Duration timeLeft(Instant now) {
 		return effectiveTimeout().minus(Duration.between(this.arrivedAt, now));
--- a/src/main/java/sycamorehill/logic/dispatch/EndedGroups.java
+++ b/src/main/java/sycamorehill/logic/dispatch/EndedGroups.java
@@ -10,13 +10,14 @@
 import sycamorehill.model.serving.Membership;
 
 /**
- * Groups that are known to serve no more, though the directory still shows them. An
- * engine that is cut off from the store goes on being shown as it was: each node would
- * send it requests, and a request has few targets to try.
+ * Records groups that no longer serve although the directory still lists them.
+ *
+ * An engine that is partitioned from the store stays listed with its old state. Each node
+ * would send requests to it, and a request can be sent to a few targets only.
  */
 final class EndedGroups {
 
-	/** The directory shows an engine's change within this time, or drops the engine. */
+	/** Time within which the directory lists an engine's change or removes the engine. */
 	private static final Duration MAXIMUM_DIRECTORY_DELAY = Duration.ofSeconds(10);
 
 	private final Map<GroupKey, Instant> endedAt = new HashMap<>();
@@ -27,10 +28,10 @@
 	}
 
 	/**
-	 * Whether a group serves no more.
-	 * @param head what its head says of itself
-	 * @param now the present time
-	 * @return true if the group that it reports has ended
+	 * Returns whether a group no longer serves.
+	 * @param head the membership that the group's head reports
+	 * @param now the current time
+	 * @return true if the reported group has ended
 	 */
 	boolean contains(Optional<Membership> head, Instant now) {
 		return !this.endedAt.isEmpty() && head.map(GroupKey::of)
--- a/src/main/java/sycamorehill/logic/dispatch/FinalAnswers.java
+++ b/src/main/java/sycamorehill/logic/dispatch/FinalAnswers.java
@@ -14,8 +14,8 @@
 import sycamorehill.model.serving.EntryEffect.Finished.Outcome;
 
 /**
- * The final answers of requests: what the caller gets, the line in the log, and the
- * numbers. Only a request that no target can have run is refused as not run.
+ * Creates the final answers to requests, with their log lines and metrics. Only a request
+ * that no target can have run is refused as not run.
  */
 final class FinalAnswers {
 
@@ -26,8 +26,9 @@
 	private static final int GATEWAY_TIMEOUT = 504;
 
 	/**
-	 * When to come back if all targets are full: slots come free within a fraction of an
-	 * answer's length. The spread keeps callers apart.
+	 * Shortest time after which a refused caller is asked to retry: slots come free
+	 * within a fraction of an answer's duration. A random part is added so that callers
+	 * don't retry together.
 	 */
 	private static final Duration MINIMUM_RETRY_AFTER = Duration.ofMillis(300);
 
@@ -44,7 +45,7 @@
 	}
 
 	/**
-	 * When a caller that was refused is asked to come back.
+	 * Returns the time after which a refused caller is asked to retry.
 	 * @return the time from now
 	 */
 	Duration retryAfter() {
@@ -52,11 +53,11 @@
 	}
 
 	/**
-	 * Answers a request that was given to no service.
+	 * Answers a request that was routed to no service.
 	 * @param request the request
-	 * @param answer what the caller gets
-	 * @param version the configuration that decided it
-	 * @param effects collects what is wanted
+	 * @param answer the answer to the caller
+	 * @param version the version of the configuration that decided it
+	 * @param effects receives the resulting effects
 	 */
 	void refuseUnrouted(CallerRequest request, EntryEffect.Answer answer, String version, Effects effects) {
 		effects.log(LogEvent.REQUEST_REFUSED,
@@ -75,11 +76,12 @@
 	}
 
 	/**
-	 * Answers a request that no target will answer.
+	 * Answers a request that is not sent to any further target. The answer depends on
+	 * whether the request may have run.
 	 * @param request the request
-	 * @param cause why
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param cause why no further target is tried
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void giveUp(DispatchedRequest request, String cause, Instant now, Effects effects) {
 		long number = request.request().number();
@@ -107,10 +109,10 @@
 	}
 
 	/**
-	 * Answers a request that a target may still be running when its time is over.
+	 * Answers a request whose time has expired while a target may still be running it.
 	 * @param request the request
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void answerTimeout(DispatchedRequest request, Instant now, Effects effects) {
 		addFinished(request, Outcome.FAILED, now, effects);
@@ -130,9 +132,9 @@
 	}
 
 	/**
-	 * Describes a request for a line of the log.
+	 * Formats the fields that identify a request in a log line.
 	 * @param request the request
-	 * @param now the present time
+	 * @param now the current time
 	 * @return the fields
 	 */
 	static String describe(DispatchedRequest request, Instant now) {
--- a/src/main/java/sycamorehill/logic/dispatch/Placement.java
+++ b/src/main/java/sycamorehill/logic/dispatch/Placement.java
@@ -16,51 +16,61 @@
 import sycamorehill.model.serving.PromptSize;
 
 /**
- * Chooses the target whose first answer is expected soonest.
+ * Chooses the target with the shortest expected time to the first answer.
  */
 final class Placement {
 
 	/**
-	 * What a target in another data centre must be ahead by: the way there and back
-	 * twice, for a new connection and for the request, and the cost of bytes between
-	 * them.
+	 * Penalty for a target in another data centre: two round trips, for a new connection
+	 * and for the request, and the cost of the traffic between data centres.
 	 */
 	private static final double REMOTE_DATA_CENTRE_PENALTY_MILLIS = 30;
 
-	/** What a target that fails every request would be behind by. */
+	/**
+	 * Penalty for a target that fails every request; a lower failure rate counts in
+	 * proportion.
+	 */
 	private static final double FAILURE_PENALTY_MILLIS = 2000;
 
-	/** Spread of the random part that keeps nodes from choosing alike. */
+	/**
+	 * Upper bound of the random part of a score, which keeps nodes from all choosing the
+	 * same target.
+	 */
 	private static final double JITTER_MILLIS = 8;
 
 	/**
-	 * How steeply the expected wait grows as a target fills: what is known of its load is
-	 * old, so that a target with one free slot often has none.
+	 * Exponent of the utilisation in the expected queueing time. Known loads are out of
+	 * date, so a target that seems to have one free slot often has none.
 	 */
 	private static final int LOAD_EXPONENT = 6;
 
 	/**
-	 * Time to a first event that the engines' figures don't explain. First events that
-	 * are seen take its place where they take longer.
+	 * Time to the first event that the engines' parameters do not cover. Observed times
+	 * take precedence over the prediction where they are longer.
 	 */
 	private static final double FIRST_EVENT_OVERHEAD_MILLIS = 110;
 
-	/** Time in the target when nothing is known of it yet. */
+	/** Answer time that is assumed for a target without observations. */
 	private static final double DEFAULT_ANSWER_MILLIS = 30;
 
 	/**
-	 * Nodes that may all compare all targets. More of them see the same target free in
-	 * reports some hundred milliseconds old, and all send there.
+	 * Maximum number of nodes at which each node compares all targets. More nodes would
+	 * see the same target free in load reports some hundred milliseconds old, and all
+	 * choose it.
 	 */
 	private static final int MAXIMUM_NODES_COMPARING_ALL = 12;
 
 	/**
-	 * Targets of the own data centre that one of many nodes compares, drawn anew for each
-	 * request: each node finds a target with a free slot, and few nodes the same one.
+	 * Number of targets in the local data centre that a node compares if there are many
+	 * nodes. The sample is drawn for each request: each node finds a target with a free
+	 * slot, and few nodes find the same one.
 	 */
 	private static final int LOCAL_SAMPLE_SIZE = 4;
 
-	/** The same of other data centres, so that a full data centre spills over. */
+	/**
+	 * Number of targets in other data centres that such a node compares as well, so that
+	 * requests spill over when the local data centre is full.
+	 */
 	private static final int REMOTE_SAMPLE_SIZE = 1;
 
 	private final DataCentreName localDataCentre;
@@ -79,8 +89,8 @@
 	}
 
 	/**
-	 * Notes how many nodes place requests.
-	 * @param liveNodes the nodes that live
+	 * Sets the number of nodes that place requests.
+	 * @param liveNodes number of live nodes
 	 */
 	void setNodeCount(int liveNodes) {
 		this.nodeCount = liveNodes;
@@ -89,7 +99,7 @@
 	/**
 	 * Draws the targets that are compared for one request.
 	 * @param candidates all targets
-	 * @return some of them, or all where few nodes place requests
+	 * @return a random sample, or all targets if few nodes place requests
 	 */
 	List<Candidate> sample(List<Candidate> candidates) {
 		if (hasFewNodes()) {
@@ -112,13 +122,13 @@
 	}
 
 	/**
-	 * Chooses among targets.
-	 * @param candidates the targets
-	 * @param excluded targets that have failed this request
-	 * @param statuses what is known of targets
-	 * @param size the request's size
-	 * @param now the present time
-	 * @return the target expected to answer first; empty if none may be given work
+	 * Chooses the target with the lowest score.
+	 * @param candidates the targets to compare
+	 * @param excluded targets that have been tried for this request
+	 * @param statuses the known statuses by target
+	 * @param size the sizes of prompt and answer
+	 * @param now the current time
+	 * @return the best target; empty if none may receive the request
 	 */
 	Optional<Choice> choose(List<Candidate> candidates, Set<TargetName> excluded,
 			Map<TargetName, TargetStatus> statuses, Optional<PromptSize> size, Instant now) {
@@ -163,7 +173,7 @@
 				* (queued + Math.pow(Math.min(1, (double) requests / candidate.slots()), LOAD_EXPONENT));
 	}
 
-	// Time that a request holds its slot.
+	// Returns the time that a request occupies a slot.
 	private static double slotHoldMillis(Candidate candidate, TargetStatus status) {
 		if (candidate.engines().isEmpty()) {
 			return (status.firstAnswerMillis() > 0) ? status.firstAnswerMillis() : DEFAULT_ANSWER_MILLIS;
@@ -185,18 +195,18 @@
 		double prefillLeft = (status != null) ? status.prefillLeft(now).toNanos() / 1e6 : 0;
 		double predicted = FIRST_EVENT_OVERHEAD_MILLIS * model.pace() + prefillLeft + prefill
 				+ engines.stride() * stepMillis(engines, model, runningRequests);
-		// An engine that is slower than its figures shows in the time of its first
-		// events.
+		// Observed times reveal an engine that is slower than its parameters.
 		double observed = (status != null) ? status.firstAnswerMillis() : 0;
 		return Math.max(predicted, observed + prefillLeft);
 	}
 
 	/**
-	 * Time that a target needs to read a prompt.
-	 * @param engines what the engines do
+	 * Returns the time that a target needs for the prefill of a prompt.
+	 * @param engines the parameters of the engines
 	 * @param model the model
-	 * @param size the request's size
-	 * @return the time
+	 * @param size the sizes of prompt and answer; if empty, a prompt of usual size is
+	 * assumed
+	 * @return the prefill time
 	 */
 	static Duration prefillTime(EngineFigures engines, ModelFigures model, Optional<PromptSize> size) {
 		double tokens = size.map(PromptSize::promptTokens).orElse(engines.usualPrompt());
@@ -204,7 +214,8 @@
 	}
 
 	/**
-	 * Whether so few nodes place requests that each tells the others of every request.
+	 * Returns whether there are few enough nodes for each to broadcast every request that
+	 * it places.
 	 * @return true for few nodes
 	 */
 	boolean hasFewNodes() {
@@ -220,11 +231,11 @@
 	}
 
 	/**
-	 * A target and when its first answer is expected.
+	 * A target with its expected times.
 	 *
 	 * @param candidate the target
 	 * @param queueingTime time in the target's queue before the request runs
-	 * @param timeToFirstAnswer time to the first answer
+	 * @param timeToFirstAnswer time to the first answer, including the queueing time
 	 */
 	record Choice(Candidate candidate, Duration queueingTime, Duration timeToFirstAnswer) {
 	}
--- a/src/main/java/sycamorehill/logic/dispatch/RequestDispatcher.java
+++ b/src/main/java/sycamorehill/logic/dispatch/RequestDispatcher.java
@@ -30,50 +30,50 @@
 import sycamorehill.model.serving.Workspace;
 
 /**
- * Leads each request from its arrival to its final answer: finds its route and workspace,
- * chooses targets, sends again where that is safe, and refuses what can't be served.
+ * Handles each request from its arrival to its final answer: finds its route and
+ * workspace, selects targets, retries where that is safe, and refuses requests that can't
+ * be served.
  */
 public final class RequestDispatcher {
 
 	private static final int UNAVAILABLE = 503;
 
 	/**
-	 * Attempts that reached no target, such as refused connections, before a request is
-	 * given up; they cost a connection each and run nothing.
+	 * Maximum number of attempts of a request that reach no target, for example because
+	 * the connection is refused. Each costs a connection and runs nothing.
 	 */
 	private static final int MAXIMUM_UNREACHED_ATTEMPTS = 4;
 
-	/** Ranks that targets know, 0 to 9; without one a request has rank 5. */
-	private static final int LOWEST_PRIORITY = 9;
-
 	/**
-	 * The last rank of requests that can be in time; those that will be late come after
-	 * it.
+	 * Lowest of the priorities 0 to 9 that targets distinguish; a request without a
+	 * priority has 5.
 	 */
+	private static final int LOWEST_PRIORITY = 9;
+
+	/** Lowest priority of requests that can be on time; late requests come after it. */
 	private static final int LOWEST_ON_TIME_PRIORITY = 8;
 
 	/**
-	 * A rank of the workspace goes before any rank of the route, of which 3 are told
-	 * apart.
+	 * Number of route priorities that are distinguished within each workspace priority. A
+	 * workspace's priority takes precedence over a route's.
 	 */
 	private static final int PRIORITIES_PER_WORKSPACE = 3;
 
 	/**
-	 * How long a target that said it is full gets no more work: about one step of its
+	 * How long a target is ejected that reports that it is full: about one step of its
 	 * batch.
 	 */
 	private static final Duration FULL_TARGET_EJECTION = Duration.ofMillis(60);
 
-	/** How long a target that is not what the directory says gets no work. */
+	/** How long a target is ejected that does not match its directory entry. */
 	private static final Duration WRONG_TARGET_EJECTION = Duration.ofMillis(500);
 
-	/**
-	 * How long a target whose answers have all paused gets no work, unless it answers.
-	 */
+	/** How long a target is ejected whose answers have all paused. */
 	private static final Duration SILENT_TARGET_EJECTION = Duration.ofSeconds(2);
 
 	/**
-	 * When a caller that another node serves may come back: at once, but not in a loop.
+	 * Retry-After for requests that another node can serve: almost at once, but not in a
+	 * tight loop.
 	 */
 	private static final Duration RETRY_ELSEWHERE_AFTER = Duration.ofMillis(50);
 
@@ -106,18 +106,18 @@
 	}
 
 	/**
-	 * Creates the desk.
+	 * Creates a dispatcher.
 	 * @param settings the node's settings
-	 * @param directory the targets seen
-	 * @param random feeds all random choices
-	 * @return the desk
+	 * @param directory the known targets
+	 * @param random the source of all random choices
+	 * @return the dispatcher
 	 */
 	public static RequestDispatcher of(EntrySettings settings, TargetDirectory directory, RandomGenerator random) {
 		return new RequestDispatcher(settings, directory, random);
 	}
 
 	/**
-	 * Routes by another configuration from now on.
+	 * Applies a configuration to all later requests.
 	 * @param configuration the configuration
 	 */
 	public void adopt(Configuration configuration) {
@@ -125,7 +125,7 @@
 	}
 
 	/**
-	 * Counts the requests without a final answer.
+	 * Returns the number of requests without a final answer.
 	 * @return the number of requests
 	 */
 	public int activeRequests() {
@@ -133,11 +133,11 @@
 	}
 
 	/**
-	 * Takes a request.
+	 * Handles the arrival of a request.
 	 * @param request the request
-	 * @param arrivedAt when it came
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param arrivedAt when it arrived
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void handleRequest(CallerRequest request, Instant arrivedAt, Instant now, Effects effects) {
 		RequestRouter.Decision decision = this.router.route(request);
@@ -161,9 +161,9 @@
 	}
 
 	/**
-	 * Refuses a request because this node stops; another one takes it at once.
+	 * Refuses a request because this node is stopping; another node can serve it at once.
 	 * @param request the request
-	 * @param effects collects what is wanted
+	 * @param effects receives the resulting effects
 	 */
 	public void refuseStopping(CallerRequest request, Effects effects) {
 		refuseUnrouted(request,
@@ -205,8 +205,9 @@
 				priority));
 	}
 
-	// Prompts that several nodes send to one target within some milliseconds are read
-	// together, and hold up its streams. A report of the load comes too late.
+	// The prefill of prompts that several nodes send to one target within some
+	// milliseconds runs together and delays the target's streams. Load reports arrive too
+	// late to prevent that.
 	private void recordPrefill(DispatchedRequest active, Candidate candidate, EngineFigures engines, Instant now,
 			Effects effects) {
 		TargetName name = candidate.entry().name();
@@ -224,9 +225,9 @@
 	}
 
 	/**
-	 * Notes the first event of an attempt's answer.
-	 * @param number the request
-	 * @param now the present time
+	 * Handles the first event of an attempt's answer.
+	 * @param number the request's number
+	 * @param now the current time
 	 */
 	public void handleFirstEvent(long number, Instant now) {
 		DispatchedRequest request = this.activeRequests.get(number);
@@ -242,12 +243,12 @@
 	}
 
 	/**
-	 * Takes the end of an attempt.
-	 * @param number the request
+	 * Handles the end of an attempt.
+	 * @param number the request's number
 	 * @param attempt the attempt's number
-	 * @param end how it ended
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param end how the attempt ended
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void handleAttemptEnd(long number, int attempt, AttemptEnd end, Instant now, Effects effects) {
 		DispatchedRequest request = this.activeRequests.get(number);
@@ -294,10 +295,10 @@
 	}
 
 	/**
-	 * Takes what another node told.
+	 * Handles a message from another node.
 	 * @param message the message
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void handleMessage(NodeMessage message, Instant now, Effects effects) {
 		if (message instanceof NodeMessage.Loads loads) {
@@ -321,9 +322,10 @@
 	}
 
 	/**
-	 * Counts the requests that a target has from all nodes, as far as it is known.
+	 * Returns the number of requests that a target has from all nodes, as far as this
+	 * node knows.
 	 * @param target the target
-	 * @param now the present time
+	 * @param now the current time
 	 * @return the number of requests
 	 */
 	public int countRequests(TargetName target, Instant now) {
@@ -331,19 +333,19 @@
 	}
 
 	/**
-	 * Tells how many requests this node has with each target.
-	 * @return the numbers
+	 * Returns how many requests this node has in flight with each target.
+	 * @return the numbers by target
 	 */
 	public Map<TargetName, Integer> inFlightByTarget() {
 		return this.targetSelector.statuses().inFlightByTarget();
 	}
 
 	/**
-	 * Shares out anew what all nodes may send together.
-	 * @param liveNodes number of nodes that live, this one with them
+	 * Divides the retry budgets and the rate limits among the current nodes.
+	 * @param liveNodes number of live nodes, including this one
 	 * @param peers the other nodes, as far as each is known
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void updateNodes(int liveNodes, List<NodeRecord> peers, Instant now, Effects effects) {
 		this.retryBudgets.setNodeCount(liveNodes);
@@ -351,7 +353,7 @@
 	}
 
 	/**
-	 * Goes by other settings from now on.
+	 * Applies changed settings.
 	 * @param settings the settings
 	 */
 	public void updateSettings(EntrySettings settings) {
@@ -394,8 +396,9 @@
 		place(request, cause, now, effects);
 	}
 
-	// A stream that goes on asks for the weights that it began with, and is also refused
-	// by a head that serves others.
+	// A resumed stream asks for the weights that it began with, and a head that serves
+	// other weights refuses it too. The refusal of such a stream doesn't show that the
+	// group has ended.
 	private void handleWrongTarget(DispatchedRequest request, TargetName target, Instant now) {
 		status(target).eject(now, WRONG_TARGET_EJECTION);
 		if (request.answerStarted()) {
@@ -407,12 +410,12 @@
 	}
 
 	/**
-	 * Notes that a group serves no more, before the directory shows it.
-	 * @param head the engine that took its requests
+	 * Handles the end of a group before the directory lists it.
+	 * @param head the engine that received the group's requests
 	 * @param group the group's name
 	 * @param epoch the group's epoch
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void handleGroupEnded(TargetName head, String group, long epoch, Instant now, Effects effects) {
 		this.targetSelector.markGroupEnded(group, epoch, now);
@@ -445,10 +448,10 @@
 	}
 
 	/**
-	 * Answers a request whose time is over.
-	 * @param number the request
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * Answers a request whose time has expired.
+	 * @param number the request's number
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void handleTimeout(long number, Instant now, Effects effects) {
 		DispatchedRequest request = this.activeRequests.get(number);
@@ -469,10 +472,10 @@
 	}
 
 	/**
-	 * Forgets a request whose caller left.
-	 * @param number the request
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * Drops a request whose caller has disconnected.
+	 * @param number the request's number
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void handleCallerDisconnected(long number, Instant now, Effects effects) {
 		DispatchedRequest request = this.activeRequests.remove(number);
@@ -483,12 +486,12 @@
 	}
 
 	/**
-	 * All answers of a target have paused: a member of its group was lost, or the target
-	 * itself. Streams that can go on elsewhere do; others wait, for silence alone is no
-	 * reason to end an answer.
+	 * Handles a target whose answers have all paused, because it or a member of its group
+	 * was lost. Streams that can be resumed elsewhere are moved. Other requests wait,
+	 * because silence alone is no reason to end an answer.
 	 * @param target the target
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void handleSilentTarget(TargetName target, Instant now, Effects effects) {
 		status(target).eject(now, SILENT_TARGET_EJECTION);
@@ -497,12 +500,12 @@
 	}
 
 	/**
-	 * Other nodes have found a target silent. A node that has streams there which have
-	 * begun sees for itself whether they go on: two nodes behind a link that loses
+	 * Handles a target that other nodes have found silent. A node that has started
+	 * streams there relies on its own observation: two nodes behind a link that loses
 	 * packets may be wrong for all others.
 	 * @param target the target
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void handleReportedSilence(TargetName target, Instant now, Effects effects) {
 		boolean hasStartedStream = this.activeRequests.values()
@@ -537,10 +540,10 @@
 	}
 
 	/**
-	 * Takes what a target told of itself with an answer.
-	 * @param report what it told
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * Handles what a target reports about itself with an answer.
+	 * @param report the report
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void handleTargetReport(EntryEvent.TargetTold report, Instant now, Effects effects) {
 		report.load().ifPresent((load) -> status(report.target()).recordReport(load, now));
@@ -552,7 +555,8 @@
 	}
 
 	/**
-	 * Forgets a target that ended.
+	 * Removes the rate limit of a target that has ended, and its status unless requests
+	 * are in flight there.
 	 * @param target the target
 	 */
 	public void forget(TargetName target) {
--- a/src/main/java/sycamorehill/logic/dispatch/RequestRouter.java
+++ b/src/main/java/sycamorehill/logic/dispatch/RequestRouter.java
@@ -11,8 +11,8 @@
 import sycamorehill.model.serving.Workspace;
 
 /**
- * Decides whether a request may be given to any target: by its route, its key, and
- * whether its content has crashed targets.
+ * Finds the route and the workspace of a request. Refuses requests without a route, with
+ * an unknown key, or with a content that has crashed several targets.
  */
 final class RequestRouter {
 
@@ -22,7 +22,10 @@
 
 	private static final int UNAVAILABLE = 503;
 
-	/** When a content that was lost with several targets may come back: rarely. */
+	/**
+	 * Retry-After for a content that was lost with several targets; long, so that it is
+	 * retried rarely.
+	 */
 	private static final Duration SUSPECT_RETRY_AFTER = Duration.ofSeconds(30);
 
 	private final CrashHistory crashHistory;
@@ -39,10 +42,11 @@
 	}
 
 	/**
-	 * Creates the gate, which refuses all before there is a configuration.
+	 * Creates a router, which refuses all requests until it has a configuration.
 	 * @param crashHistory contents that were lost with targets
-	 * @param retryAfter when a caller may come back that only came too early
-	 * @return the gate
+	 * @param retryAfter supplies the Retry-After for requests that arrive before the
+	 * configuration
+	 * @return the router
 	 */
 	static RequestRouter of(CrashHistory crashHistory, Supplier<Duration> retryAfter) {
 		return new RequestRouter(crashHistory, retryAfter);
@@ -54,8 +58,8 @@
 	}
 
 	/**
-	 * The configuration that requests are decided by.
-	 * @return the configuration; empty before there is one
+	 * Returns the configuration by which requests are routed.
+	 * @return the configuration; empty before the first one
 	 */
 	Optional<Configuration> configuration() {
 		return this.configuration;
@@ -81,27 +85,28 @@
 	}
 
 	/**
-	 * What becomes of a request.
+	 * The result of routing a request.
 	 */
 	sealed interface Decision {
 
 	}
 
 	/**
-	 * The request may be given to targets.
+	 * The request may be sent to targets.
 	 *
-	 * @param route its route
-	 * @param workspace the workspace that holds its key; empty on routes without keys
+	 * @param route the request's route
+	 * @param workspace the workspace that the key belongs to; empty on routes without
+	 * keys
 	 */
 	record Routed(Route route, Optional<Workspace> workspace) implements Decision {
 	}
 
 	/**
-	 * The request is refused and runs nowhere.
+	 * The request is refused without being sent to any target.
 	 *
-	 * @param status the status of the answer
-	 * @param detail what the caller is told
-	 * @param retryAfter when the caller may come back; empty if that is of no use
+	 * @param status the HTTP status of the answer
+	 * @param detail the explanation for the caller
+	 * @param retryAfter when the caller may retry; empty if a retry is of no use
 	 */
 	record Refused(int status, String detail, Optional<Duration> retryAfter) implements Decision {
 	}
--- a/src/main/java/sycamorehill/logic/dispatch/RetryBudgets.java
+++ b/src/main/java/sycamorehill/logic/dispatch/RetryBudgets.java
@@ -7,21 +7,21 @@
 import sycamorehill.model.serving.EntrySettings;
 
 /**
- * This node's part of the retry budget of each service. All nodes together must stay
- * below a bound; they don't ask each other for each repeat, but share the fixed number
- * out by how many nodes live.
+ * Holds this node's share of the retry budget of each service. All nodes together must
+ * stay within a bound. They do not coordinate each retry, but divide the fixed allowance
+ * by the number of live nodes.
  */
 final class RetryBudgets {
 
 	/**
-	 * Part of the fixed number that is used: nodes count each other late, and arrivals
-	 * that were cancelled on the way count too.
+	 * Share of the allowance that is used: nodes learn of each other with a delay, and
+	 * arrivals that were cancelled on the way count too.
 	 */
 	private static final double USED_ALLOWANCE_SHARE = 0.7;
 
 	/**
-	 * Nodes that are counted at least in each data centre: a node that has just started
-	 * knows no other yet, and all may start at once.
+	 * Minimum number of nodes that is assumed in each data centre: a node that has just
+	 * started knows no other node yet, and all may start at once.
 	 */
 	private static final int MINIMUM_NODES_PER_DATA_CENTRE = 2;
 
@@ -46,8 +46,8 @@
 	}
 
 	/**
-	 * Shares the fixed number out anew.
-	 * @param liveNodes number of nodes that live
+	 * Divides the allowance among the live nodes.
+	 * @param liveNodes number of live nodes
 	 */
 	void setNodeCount(int liveNodes) {
 		this.nodeCount = Math.max(liveNodes, MINIMUM_NODES_PER_DATA_CENTRE * this.entrySettings.dataCentres().size());
--- a/src/main/java/sycamorehill/logic/dispatch/RouteTable.java
+++ b/src/main/java/sycamorehill/logic/dispatch/RouteTable.java
@@ -8,9 +8,9 @@
 import sycamorehill.model.serving.Route;
 
 /**
- * Finds the route of a request: among those of its host, the one with the longest prefix
- * of its path. A lookup costs one hash probe per path segment, however many routes there
- * are.
+ * Finds the route of a request: among the routes of its host, the one with the longest
+ * matching path prefix. A lookup takes one hash probe per path segment, independent of
+ * the number of routes.
  */
 final class RouteTable {
 
--- a/src/main/java/sycamorehill/logic/dispatch/ServingTargets.java
+++ b/src/main/java/sycamorehill/logic/dispatch/ServingTargets.java
@@ -17,8 +17,8 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * The targets that may be given work, by service and model, derived again whenever the
- * directory or the configuration changes.
+ * Lists the targets that may receive requests, by service and model. The lists are
+ * derived again whenever the directory or the configuration changes.
  */
 final class ServingTargets {
 
@@ -41,11 +41,11 @@
 	}
 
 	/**
-	 * The targets of a service that serve a model.
-	 * @param configuration the configuration in force
+	 * Finds the targets of a service that serve a model.
+	 * @param configuration the configuration in effect
 	 * @param service the service
-	 * @param model the model asked for; plain services don't look at it
-	 * @param now the present time
+	 * @param model the requested model; plain services ignore it
+	 * @param now the current time
 	 * @return the targets
 	 */
 	List<Candidate> find(Configuration configuration, ServiceName service, Optional<String> model, Instant now) {
--- a/src/main/java/sycamorehill/logic/dispatch/SlidingWindowRetryBudget.java
+++ b/src/main/java/sycamorehill/logic/dispatch/SlidingWindowRetryBudget.java
@@ -6,12 +6,13 @@
 import java.util.Deque;
 
 /**
- * Bounds what a node sends beyond the first attempt of each request to one service, so
- * that all nodes together stay below the bound of the service: a part of the requests,
- * and a fixed number that the nodes share out.
+ * Limits the retries that this node sends to one service, so that all nodes together stay
+ * within the service's bound: a ratio of its requests, plus a fixed allowance that the
+ * nodes share.
  *
- * A window that slides holds at every moment what was counted within its length; counts
- * are kept by tenth of the window, which errs towards fewer repeats.
+ * The bound holds for a window that slides, so at every moment it covers what was counted
+ * within the window's length. Counts are kept per tenth of the window, which errs towards
+ * fewer retries.
  */
 final class SlidingWindowRetryBudget {
 
@@ -32,10 +33,10 @@
 	}
 
 	/**
-	 * Creates the budget.
+	 * Creates a budget.
 	 * @param window length of the window
-	 * @param ratio repeats allowed for each request
-	 * @param allowance repeats allowed besides, this node's part of them
+	 * @param ratio retries allowed per request
+	 * @param allowance further retries allowed in a window, this node's share of them
 	 * @return the budget
 	 */
 	static SlidingWindowRetryBudget of(Duration window, double ratio, double allowance) {
@@ -44,8 +45,8 @@
 
 	/**
 	 * Changes the bounds.
-	 * @param newRatio repeats allowed for each request
-	 * @param newAllowance repeats allowed besides, this node's part of them
+	 * @param newRatio retries allowed per request
+	 * @param newAllowance further retries allowed in a window, this node's share of them
 	 */
 	void setBounds(double newRatio, double newAllowance) {
 		this.ratio = newRatio;
@@ -57,9 +58,9 @@
 	}
 
 	/**
-	 * Takes one repeat out of the budget.
-	 * @param now the present time
-	 * @return whether the repeat may be sent
+	 * Takes one retry from the budget if there is one left.
+	 * @param now the current time
+	 * @return true if the retry may be sent
 	 */
 	boolean tryRetry(Instant now) {
 		Bucket currentBucket = currentBucket(now);
@@ -90,7 +91,7 @@
 	}
 
 	/**
-	 * What was counted within one part of the window.
+	 * The counts of one tenth of the window.
 	 */
 	private static final class Bucket {
 
--- a/src/main/java/sycamorehill/logic/dispatch/TargetRateLimit.java
+++ b/src/main/java/sycamorehill/logic/dispatch/TargetRateLimit.java
@@ -6,23 +6,31 @@
 import sycamorehill.model.serving.RequestRate;
 
 /**
- * What one target takes from all nodes together, and this node's part of it.
+ * Tracks the rate limit that one target sets for all nodes together, and this node's
+ * share of it as a token bucket.
  */
 final class TargetRateLimit {
 
-	/** Nodes that share a target which takes next to nothing. */
+	/** Number of nodes that share a target whose limit is close to zero. */
 	private static final int MINIMUM_SHARING_NODES = 3;
 
 	/**
-	 * Further nodes that share a target, for each request a second that it takes. Each
-	 * may send one request at once, so that few of them keep to a low limit together.
+	 * Additional nodes that share a target, for each request per second of its limit.
+	 * Each node may send one request at once, so only a few nodes can keep to a low limit
+	 * together.
 	 */
 	private static final int SHARING_NODES_PER_REQUEST = 2;
 
-	/** Without any request nobody would hear that a target is in need no more. */
+	/**
+	 * Rate that is used in place of a lower limit: without any request no node would
+	 * learn that the limit is lifted.
+	 */
 	private static final double MINIMUM_REQUESTS_PER_SECOND = 0.2;
 
-	/** A node that has sent nothing for long sends one request at once, not several. */
+	/**
+	 * Size of the token bucket: a node that has sent nothing for long sends one request
+	 * at once, not several.
+	 */
 	private static final double MAXIMUM_BURST = 1;
 
 	private final Instant firstReportedAt;
@@ -51,8 +59,8 @@
 	}
 
 	/**
-	 * Counts the nodes that share the target, if there are as many.
-	 * @return their number
+	 * Returns how many nodes share the target, if there are as many.
+	 * @return the number of nodes
 	 */
 	int sharingNodes() {
 		return MINIMUM_SHARING_NODES
@@ -60,10 +68,10 @@
 	}
 
 	/**
-	 * Shares the limit out anew.
-	 * @param nodeCount number of nodes that share it
+	 * Assigns this node's share of the limit.
+	 * @param nodeCount number of nodes that share the target
 	 * @param included whether this node is one of them
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	void assignShare(int nodeCount, boolean included, Instant now) {
 		refill(now);
@@ -105,7 +113,7 @@
 	}
 
 	/**
-	 * When the target was first heard to name a limit.
+	 * Returns when the target was first known to report a limit.
 	 * @return the time
 	 */
 	Instant firstReportedAt() {
--- a/src/main/java/sycamorehill/logic/dispatch/TargetRateLimits.java
+++ b/src/main/java/sycamorehill/logic/dispatch/TargetRateLimits.java
@@ -23,31 +23,34 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Keeps to what targets in need take from all nodes together. A limit that each node kept
- * to by itself would be passed as many times as there are nodes, so a few nodes share the
- * target, of its own data centre first, each with an equal part; the others send nothing.
- * All nodes that know the same nodes pick the same ones.
+ * Applies the rate limits that targets set for all nodes together.
+ *
+ * If each node applied a limit by itself, the total would be a multiple of the limit, by
+ * the number of nodes. Instead a few nodes share the target, each with an equal part, and
+ * the others send it nothing. Nodes in the target's own data centre come first. All nodes
+ * that know the same nodes select the same ones.
  */
 final class TargetRateLimits {
 
-	/**
-	 * What a target said is told again so often, for nodes that a message did not reach.
-	 */
+	/** Time between two broadcasts of the same limit, for nodes that missed a message. */
 	private static final Duration BROADCAST_INTERVAL = Duration.ofSeconds(3);
 
 	/**
-	 * Times that a limit is told to be over: with one message in ten lost, none misses
-	 * it.
+	 * Number of times that a lifted limit is broadcast: with one message in ten lost, no
+	 * node misses all of them.
 	 */
 	private static final int LIFT_BROADCASTS = 4;
 
 	/**
-	 * A limit of which nothing is heard for so long is over. A target that nobody asks
-	 * says nothing, and may be in need all the while.
+	 * How long a limit is valid without a new report. A target that receives no requests
+	 * reports nothing, and may still need its limit.
 	 */
 	private static final Duration LIMIT_VALIDITY = Duration.ofMinutes(2);
 
-	/** Answers on several connections overtake each other by less. */
+	/**
+	 * Minimum time from the last report of a limit until an answer without one lifts it.
+	 * Answers on several connections overtake each other by less.
+	 */
 	private static final Duration MINIMUM_LIFT_DELAY = Duration.ofSeconds(1);
 
 	private static final String HASH_KEY_PREFIX = "limit/";
@@ -72,11 +75,11 @@
 	}
 
 	/**
-	 * Shares all limits out anew, forgets those that are out of date, and tells again of
-	 * those that are over.
+	 * Divides all limits among the current nodes, drops the expired ones, and broadcasts
+	 * lifted ones again.
 	 * @param newPeers the other nodes that send requests
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void updateNodes(List<NodeRecord> newPeers, Instant now, Effects effects) {
 		this.peers = newPeers;
@@ -95,12 +98,12 @@
 	}
 
 	/**
-	 * Takes what a target said with an answer.
+	 * Handles the limit that a target reports with an answer.
 	 * @param target the target
-	 * @param limit what it takes from all nodes; empty if it names no limit
-	 * @param sentAt when the request was sent that it answers
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param limit the limit for all nodes together; empty if the target sets none
+	 * @param sentAt when the answered request was sent
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void handleTargetReport(TargetName target, Optional<RequestRate> limit, Instant sentAt, Instant now,
 			Effects effects) {
@@ -122,10 +125,10 @@
 	}
 
 	/**
-	 * Takes what another node was told by a target.
-	 * @param message what it was told
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * Handles a limit that a target reported to another node.
+	 * @param message the other node's message
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void handleMessage(NodeMessage.TargetLimited message, Instant now, Effects effects) {
 		if (message.limit().isPresent()) {
@@ -173,10 +176,10 @@
 	}
 
 	/**
-	 * Leaves out the targets that get no request from this node now.
-	 * @param candidates the targets that serve
-	 * @param now the present time
-	 * @return those that may be given one
+	 * Removes the targets that may receive no request from this node now.
+	 * @param candidates the serving targets
+	 * @param now the current time
+	 * @return the targets that may receive a request
 	 */
 	List<Candidate> withinLimits(List<Candidate> candidates, Instant now) {
 		if (this.limits.isEmpty()) {
@@ -200,10 +203,10 @@
 	}
 
 	/**
-	 * A limit that is over.
+	 * A limit that was lifted.
 	 *
-	 * @param broadcastsLeft how often that is told yet
-	 * @param nextBroadcastAt when it is told next
+	 * @param broadcastsLeft how many times it is still broadcast
+	 * @param nextBroadcastAt when it is broadcast next
 	 */
 	private record LiftedLimit(int broadcastsLeft, Instant nextBroadcastAt) {
 	}
--- a/src/main/java/sycamorehill/logic/dispatch/TargetSelector.java
+++ b/src/main/java/sycamorehill/logic/dispatch/TargetSelector.java
@@ -14,8 +14,8 @@
 import sycamorehill.model.serving.NodeRecord;
 
 /**
- * Chooses the target of a request among those that serve, by what is known of their loads
- * and limits, and decides whether it may be given there.
+ * Selects the target of a request among the serving ones, by their known loads and rate
+ * limits, and decides whether the request is admitted there.
  */
 final class TargetSelector {
 
@@ -38,11 +38,12 @@
 	}
 
 	/**
-	 * Chooses a target; many nodes compare a few of them first.
+	 * Selects a target. If there are many nodes, a sample of the targets is compared
+	 * first, and all targets only if the sample refuses the request.
 	 * @param request the request
-	 * @param configuration the configuration in force
-	 * @param now the present time
-	 * @return the target, and whether the request may be given to it
+	 * @param configuration the configuration in effect
+	 * @param now the current time
+	 * @return the target, and whether the request is admitted there
 	 */
 	Selection select(DispatchedRequest request, Configuration configuration, Instant now) {
 		List<Candidate> all = candidates(request, configuration, now);
@@ -53,11 +54,11 @@
 	}
 
 	/**
-	 * Whether any target may be given a request.
+	 * Returns whether the best of all targets admits a request.
 	 * @param request the request
-	 * @param configuration the configuration in force
-	 * @param now the present time
-	 * @return true if there is one
+	 * @param configuration the configuration in effect
+	 * @param now the current time
+	 * @return true if it does
 	 */
 	boolean hasTarget(DispatchedRequest request, Configuration configuration, Instant now) {
 		return selectBest(request, candidates(request, configuration, now), now)
@@ -84,9 +85,9 @@
 	}
 
 	/**
-	 * Notes that a request is given to a target.
+	 * Records that a request is sent to a target.
 	 * @param candidate the target
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	void recordSent(Candidate candidate, Instant now) {
 		TargetName name = candidate.entry().name();
@@ -95,10 +96,10 @@
 	}
 
 	/**
-	 * Notes that a group serves no more, before the directory shows it.
+	 * Marks a group as ended before the directory lists it.
 	 * @param group the group's name
 	 * @param epoch the group's epoch
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	void markGroupEnded(String group, long epoch, Instant now) {
 		this.servingTargets.markGroupEnded(group, epoch, now);
@@ -110,7 +111,8 @@
 	}
 
 	/**
-	 * Whether so few nodes place requests that each tells the others of every request.
+	 * Returns whether there are few enough nodes for each to broadcast every request that
+	 * it places.
 	 * @return true for few nodes
 	 */
 	boolean hasFewNodes() {
@@ -135,10 +137,10 @@
 	}
 
 	/**
-	 * Where a request goes.
+	 * The result of a selection.
 	 *
-	 * @param choice the best target; empty if none may be given work
-	 * @param admission whether it is given there
+	 * @param choice the best target; empty if none may receive the request
+	 * @param admission whether the request is admitted there
 	 */
 	record Selection(Optional<Placement.Choice> choice, Admission.Decision admission) {
 	}
--- a/src/main/java/sycamorehill/logic/dispatch/TargetStatus.java
+++ b/src/main/java/sycamorehill/logic/dispatch/TargetStatus.java
@@ -8,25 +8,23 @@
 import sycamorehill.model.serving.EngineLoad;
 
 /**
- * What this node knows of the load and the soundness of one target.
+ * Tracks the load and the health of one target, as far as this node knows them.
  */
 final class TargetStatus {
 
-	/**
-	 * After this time a told load says nothing any more: about the length of an answer.
-	 */
+	/** How long a reported load is valid: about the duration of an answer. */
 	private static final Duration REPORTED_LOAD_VALIDITY = Duration.ofMillis(1500);
 
-	/** Weight of a new sample in a moving average. */
+	/** Weight of a new sample in an exponential moving average. */
 	private static final double SMOOTHING_FACTOR = 0.2;
 
 	/**
-	 * Part of the slots up to which nothing waits, though other nodes' requests are known
-	 * late.
+	 * Share of the slots up to which no request queues, even though the requests of other
+	 * nodes become known late.
 	 */
 	private static final double MAXIMUM_LOAD_WITHOUT_QUEUE = 0.75;
 
-	/** First time that a target is put aside after a failure; it doubles with each. */
+	/** Ejection time after a first failure. It doubles with each consecutive failure. */
 	private static final Duration BASE_EJECTION_TIME = Duration.ofMillis(250);
 
 	private static final int MAXIMUM_EJECTION_DOUBLINGS = 4;
@@ -70,9 +68,10 @@
 	}
 
 	/**
-	 * Requests that the target runs or keeps waiting: this node's own, or what it told
-	 * last and what was sent since, whichever is more.
-	 * @param now the present time
+	 * Returns the number of requests that the target runs or queues. This is the larger
+	 * of two counts: the known requests of all nodes, and the last reported load plus the
+	 * requests that this node has sent since.
+	 * @param now the current time
 	 * @return the number of requests
 	 */
 	int requests(Instant now) {
@@ -87,10 +86,10 @@
 	}
 
 	/**
-	 * Notes the requests that another node has with the target.
-	 * @param node the node
+	 * Sets the number of requests that another node has with the target.
+	 * @param node the other node
 	 * @param requests number of its requests
-	 * @param validUntil when that is out of date
+	 * @param validUntil when the number expires
 	 */
 	void setPeerRequests(String node, int requests, Instant validUntil) {
 		if (requests == 0) {
@@ -102,10 +101,10 @@
 	}
 
 	/**
-	 * Notes a request that another node has just given to the target; its next message
-	 * about all its requests counts it too.
-	 * @param node the node
-	 * @param validUntil when that is out of date
+	 * Adds a request that another node has just sent to the target. That node's next load
+	 * report includes it.
+	 * @param node the other node
+	 * @param validUntil when the number expires
 	 */
 	void addPeerRequest(String node, Instant validUntil) {
 		this.peerRequests.merge(node, new PeerRequests(1, validUntil),
@@ -113,9 +112,9 @@
 	}
 
 	/**
-	 * Notes a prompt that the target has to read, whoever sent it.
-	 * @param time time that it takes
-	 * @param now the present time
+	 * Adds a prompt that the target has to prefill, whichever node sent it.
+	 * @param time expected prefill time of the prompt
+	 * @param now the current time
 	 */
 	void addPrefill(Duration time, Instant now) {
 		Instant begin = this.prefillUntil.isAfter(now) ? this.prefillUntil : now;
@@ -123,8 +122,8 @@
 	}
 
 	/**
-	 * Time that the target needs to read the prompts that it has.
-	 * @param now the present time
+	 * Returns the time that the target needs to finish the prefill of its prompts.
+	 * @param now the current time
 	 * @return the time
 	 */
 	Duration prefillLeft(Instant now) {
@@ -132,10 +131,11 @@
 	}
 
 	/**
-	 * Notes the time to a first answer. Only answers of a target with free slots tell how
-	 * fast it is: those of a full one tell of its queue, which is counted apart.
-	 * @param time the time
-	 * @param now the present time
+	 * Records the time to a first answer. Only the answers of a target with free slots
+	 * show how fast it is: those of a full target include the time in its queue, which is
+	 * predicted separately.
+	 * @param time the time to the first answer
+	 * @param now the current time
 	 */
 	void recordFirstAnswer(Duration time, Instant now) {
 		this.consecutiveFailures = 0;
@@ -179,10 +179,10 @@
 	}
 
 	/**
-	 * What another node told of its requests.
+	 * The number of requests that another node has with the target.
 	 *
-	 * @param requests their number
-	 * @param validUntil when that is out of date
+	 * @param requests the number of requests
+	 * @param validUntil when the number expires
 	 */
 	private record PeerRequests(int requests, Instant validUntil) {
 	}
--- a/src/main/java/sycamorehill/logic/dispatch/TargetStatusRegistry.java
+++ b/src/main/java/sycamorehill/logic/dispatch/TargetStatusRegistry.java
@@ -13,29 +13,32 @@
 import sycamorehill.model.serving.NodeMessage;
 
 /**
- * What this node knows of the loads of all targets.
+ * Holds the known status of all targets.
  */
 final class TargetStatusRegistry {
 
 	private final Map<TargetName, TargetStatus> statuses = new HashMap<>();
 
-	/** What another node told is good for this long at least. */
+	/** Minimum time for which a load report of another node is valid. */
 	private static final Duration MINIMUM_VALIDITY = Duration.ofMillis(900);
 
 	/**
-	 * What another node told is good for so many times the pause between its messages:
-	 * two of them may be lost. Many nodes tell each other more rarely than few.
+	 * Number of report intervals for which a load report is valid: two reports may be
+	 * lost. Many nodes report less often than few.
 	 */
 	private static final int VALIDITY_INTERVALS = 3;
 
-	/** Longer than this nothing is good: an answer takes 1 to 2 s. */
+	/** Maximum time for which a load report is valid; an answer takes 1 to 2 s. */
 	private static final Duration MAXIMUM_VALIDITY = Duration.ofSeconds(4);
 
 	private final Map<String, LoadReport> reports = new HashMap<>();
 
 	private final Map<DataCentreName, Instant> sumsValidUntil = new HashMap<>();
 
-	/** Sums of data centres stand among what nodes told; no node is named so. */
+	/**
+	 * Prefix of the sender of data centres' sums, which are kept among the reports of
+	 * nodes. No node name starts with it.
+	 */
 	private static final String SUM_SENDER_PREFIX = "sum of ";
 
 	private TargetStatusRegistry() {
@@ -46,17 +49,17 @@
 	}
 
 	/**
-	 * The load of a target, which is begun if nothing was known of it.
+	 * Returns the status of a target, which is created if nothing is known of the target.
 	 * @param target the target
-	 * @return its load
+	 * @return its status
 	 */
 	TargetStatus getOrCreate(TargetName target) {
 		return this.statuses.computeIfAbsent(target, (name) -> new TargetStatus());
 	}
 
 	/**
-	 * The loads that are known.
-	 * @return the loads by target
+	 * Returns the known statuses.
+	 * @return the statuses by target
 	 */
 	Map<TargetName, TargetStatus> byTarget() {
 		return this.statuses;
@@ -78,10 +81,11 @@
 	}
 
 	/**
-	 * Takes what another node told; targets that it names no more have no requests of it.
-	 * While the sum of its data centre is known, that counts them already.
+	 * Handles the load report of another node. Targets that the report omits have no
+	 * requests of that node. The report is ignored while a valid sum of the node's data
+	 * centre is known, because the sum includes it.
 	 * @param loads the requests of the other node
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	void handleReport(NodeMessage.Loads loads, Instant now) {
 		Instant sumsEnd = this.sumsValidUntil.get(loads.dataCentre());
@@ -91,10 +95,10 @@
 	}
 
 	/**
-	 * Takes the requests of all other nodes of a data centre, in place of what each of
-	 * them told.
+	 * Handles the sum of the requests of all other nodes of a data centre, which replaces
+	 * their single reports.
 	 * @param sum the requests
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	void handleReport(LoadSum sum, Instant now) {
 		String sender = SUM_SENDER_PREFIX + sum.dataCentre();
@@ -123,9 +127,9 @@
 	}
 
 	/**
-	 * Takes what another node has just placed.
+	 * Handles the placement of a request by another node.
 	 * @param placed the request
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	void handleReport(NodeMessage.Placed placed, Instant now) {
 		TargetStatus status = getOrCreate(placed.target());
@@ -149,11 +153,11 @@
 	}
 
 	/**
-	 * What was told of a node's requests, or of those of a data centre.
+	 * The last report of a node, or the last sum of a data centre.
 	 *
 	 * @param dataCentre the data centre
-	 * @param targets the targets that have any
-	 * @param receivedAt when it was heard
+	 * @param targets the targets that have requests
+	 * @param receivedAt when the report was received
 	 */
 	private record LoadReport(DataCentreName dataCentre, Set<TargetName> targets, Instant receivedAt) {
 	}
--- a/src/main/java/sycamorehill/logic/dispatch/package-info.java
+++ b/src/main/java/sycamorehill/logic/dispatch/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions of an entry node about callers' requests: which route, which target, whether
- * to send again, when to refuse.
+ * Dispatches callers' requests on an entry node: routing, target selection, retries and
+ * refusals.
  */
 package sycamorehill.logic.dispatch;
--- a/src/test/java/sycamorehill/logic/dispatch/AdmissionTests.java
+++ b/src/test/java/sycamorehill/logic/dispatch/AdmissionTests.java
@@ -9,7 +9,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Who is let in when targets are full.
+ * Tests which requests are admitted when targets are full.
  */
 class AdmissionTests {
 
@@ -35,8 +35,8 @@
 		assertThat(Admission.decide(estimate(900, 12, 5200))).isEqualTo(Admission.Decision.REFUSED);
 	}
 
-	// A stream has begun and its group is lost. Refusing the rest because all groups are
-	// full would cut an answer that the caller is reading.
+	// A stream has started and its group is lost. Refusing the rest because all groups
+	// are full would cut off an answer that the caller is reading.
 	@Test
 	void aStartedStreamIsAdmittedWhereOthersAreRefused() {
 		Admission.Estimate full = estimate(900, 15, 5200);
@@ -51,10 +51,10 @@
 		assertThat(Admission.decide(estimate(400, 5, 700))).isEqualTo(Admission.Decision.REFUSED);
 	}
 
-	// A group with 12 slots of 1 s is asked for twice what it can answer for 20 s, and
-	// each caller that is refused comes back once, 0.3 to 0.8 s later. Taking a few late
-	// requests beyond the slots kept all of them busy with late answers: nobody was in
-	// time, as a slot that comes free each 83 ms is taken by one who is late already.
+	// A group with 12 slots of 1 s receives twice the load that it can answer for 20 s,
+	// and each refused caller retries once, 0.3 to 0.8 s later. Admitting a few late
+	// requests beyond the slots would leave no answer on time: a slot comes free every 83
+	// ms and would always go to a request that is late already.
 	@Test
 	void twiceTheCapacityKeepsAnswersOnTime() {
 		Simulation simulation = Simulation.run(42);
@@ -84,7 +84,8 @@
 	}
 
 	/**
-	 * One group, and callers who come at a steady pace and once more after a refusal.
+	 * One group, and callers that arrive at a fixed interval and retry once after a
+	 * refusal.
 	 */
 	private static final class Simulation {
 
@@ -98,11 +99,11 @@
 
 		private final long[] freeAt = new long[SLOTS];
 
-		/** Rank, first arrival, time of this arrival. */
+		/** Priority, time of the first arrival, time of this arrival. */
 		private final PriorityQueue<long[]> queue = new PriorityQueue<>(
 				(one, other) -> (one[0] != other[0]) ? Long.compare(one[0], other[0]) : Long.compare(one[2], other[2]));
 
-		/** Time of return, first arrival. */
+		/** Time of the retry, time of the first arrival. */
 		private final PriorityQueue<long[]> retries = new PriorityQueue<>(
 				(one, other) -> Long.compare(one[0], other[0]));
 
--- a/src/test/java/sycamorehill/logic/dispatch/PlacementSimulationTests.java
+++ b/src/test/java/sycamorehill/logic/dispatch/PlacementSimulationTests.java
@@ -23,14 +23,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Many nodes place requests on the same groups, each by what it was told some hundred
- * milliseconds ago.
+ * Simulates many nodes that place requests on the same groups, by load reports some
+ * hundred milliseconds old.
  */
 class PlacementSimulationTests {
 
-	// 67 nodes see the same group free in the same old report and all send there: it
-	// queues while others stand free, and one stream in nine begins late with a third of
-	// the slots unused.
+	// 67 nodes see the same group free in the same old report and all send there. The
+	// group queues while others have free slots: one stream in nine starts late with a
+	// third of the slots unused.
 	@Test
 	void manyNodesDoNotAllChooseTheSameGroup() {
 		assertThat(Simulation.lateShare(67, 24, 200)).isLessThan(0.05);
@@ -47,7 +47,7 @@
 	}
 
 	/**
-	 * Nodes, groups of 12 slots and a load, in steps of a millisecond.
+	 * Nodes, groups with 12 slots each and a request rate, in steps of one millisecond.
 	 */
 	private static final class Simulation {
 
@@ -94,11 +94,11 @@
 		}
 
 		/**
-		 * Plays five times.
+		 * Runs the simulation with five seeds.
 		 * @param nodeCount number of nodes
 		 * @param groupCount number of groups
-		 * @param requestsPerSecond requests a second, of 0.9 s each
-		 * @return part of the requests that waited for a slot too long
+		 * @param requestsPerSecond requests per second, of 0.9 s each
+		 * @return share of the requests that queued for a slot too long
 		 */
 		static double lateShare(int nodeCount, int groupCount, double requestsPerSecond) {
 			double sum = 0;
@@ -179,7 +179,7 @@
 		}
 
 		/**
-		 * A group with its queue.
+		 * A group and its queue.
 		 */
 		private final class Group {
 
@@ -221,7 +221,7 @@
 		}
 
 		/**
-		 * Something that happens later.
+		 * An action at a later time.
 		 */
 		private record ScheduledEvent(long at, Runnable action) {
 		}
--- a/src/test/java/sycamorehill/logic/dispatch/RequestDispatcherTests.java
+++ b/src/test/java/sycamorehill/logic/dispatch/RequestDispatcherTests.java
@@ -25,7 +25,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What callers get for each way in which attempts end.
+ * Tests what callers receive for each way in which an attempt ends.
  */
 class RequestDispatcherTests {
 
@@ -80,8 +80,8 @@
 			.orElseThrow();
 	}
 
-	// An order is sent and its connection breaks before an answer. A second attempt, or a
-	// refusal after which the caller tries again, would place the order twice.
+	// The connection of an order breaks before the answer. A second attempt, or a refusal
+	// after which the caller retries, would place the order twice.
 	@Test
 	void anOrderWithAnUnknownOutcomeIsNeitherRetriedNorRefused() {
 		arrive(1, "/once/x");
@@ -91,8 +91,8 @@
 		assertThat(answer(effects).retryAfter()).isEmpty();
 	}
 
-	// The target says that it did not run the order, which may go to one target only: the
-	// caller is told the truth, and when to come back.
+	// The target reports that it did not run the order, which may be sent to one target
+	// only. The caller is told so, with a Retry-After.
 	@Test
 	void anOrderThatWasNotRunIsRefusedWithRetryAfter() {
 		arrive(1, "/once/x");
@@ -101,8 +101,8 @@
 		assertThat(answer.retryAfter()).isPresent();
 	}
 
-	// A refused connection took no byte: the order goes to another target, which is the
-	// first that it reaches.
+	// No byte of the order was sent over a refused connection, so another target may run
+	// it. That target is the first one reached.
 	@Test
 	void anOrderThatReachedNoTargetIsSentToAnother() {
 		TargetName first = target(arrive(1, "/once/x"));
@@ -110,8 +110,8 @@
 		assertThat(second).isNotEqualTo(first);
 	}
 
-	// The first attempt has an unknown outcome and the second is refused: the request may
-	// have run, so the answer must not promise that it has not.
+	// The first attempt has an unknown outcome and the second is refused. The request may
+	// have run, so the answer must not claim that it has not.
 	@Test
 	void anUnknownOutcomeIsKeptWhenTheNextAttemptIsRefused() {
 		arrive(1, "/again/x");
@@ -129,8 +129,8 @@
 		assertThat(effects).contains(new EntryEffect.GiveHeldFailure(1));
 	}
 
-	// A group dies within a stream. The caller goes on getting events from another group
-	// within the same answer, and only once.
+	// A group crashes during a stream. Another group resumes the stream within the same
+	// answer, but only once.
 	@Test
 	void aBrokenStreamIsResumedOnAnotherGroupOnce() {
 		TargetName first = target(arrive(1, "/stream/x"));
@@ -141,7 +141,8 @@
 			.contains(new EntryEffect.BreakAnswer(1));
 	}
 
-	// A stream that may run only once breaks: it ends in a way that can't look whole.
+	// A stream that may run only once breaks. Its answer is aborted, so that it can't be
+	// taken for a complete one.
 	@Test
 	void aBrokenStreamThatMayNotBeResumedIsAborted() {
 		arrive(1, "/single/x");
@@ -150,9 +151,8 @@
 			.contains(new EntryEffect.BreakAnswer(1));
 	}
 
-	// A group lost a member: its head stands still. The stream moves on to the other
-	// group; with no other group it waits, because silence is no reason to end an
-	// answer.
+	// A group lost a member and its head stalls. The stream moves to another group.
+	// Without another group it waits, because silence is no reason to end an answer.
 	@Test
 	void streamsOfASilentGroupMoveOnlyToAnotherGroup() {
 		TargetName first = target(arrive(1, "/stream/x"));
@@ -169,9 +169,10 @@
 		this.dispatcher.handleReportedSilence(target, this.now, effects);
 	}
 
-	// A group lost a member. This node has one request there, which waits for its first
-	// event and says nothing yet; other nodes have streams there that stand still. Left
-	// alone, the request would wait for a second, and new ones would join it.
+	// A group lost a member. This node's only request there waits for its first event, so
+	// this node can't detect the silence; other nodes have streams there that have
+	// stalled. If the request did not move, it would wait for a second, and new requests
+	// would follow it.
 	@Test
 	void aWaitingRequestMovesWhenOtherNodesReportItsGroupSilent() {
 		TargetName first = target(arrive(1, "/stream/x"));
@@ -181,8 +182,8 @@
 		assertThat(target(arrive(2, "/stream/x"))).isNotEqualTo(first);
 	}
 
-	// Two nodes behind a link that loses packets took a group for silent. Its streams to
-	// this node go on.
+	// Two nodes behind a link that loses packets report a group as silent while its
+	// stream to this node continues.
 	@Test
 	void aStartedStreamStaysWhenOtherNodesReportItsGroupSilent() {
 		TargetName first = target(arrive(1, "/stream/x"));
@@ -192,9 +193,9 @@
 		assertThat(effects.all()).isEmpty();
 	}
 
-	// An engine is cut off from the store, so that the directory shows it as the head
-	// of a group that it has left. Each node sent it a request every half second, and
-	// each request has two targets to try.
+	// An engine is partitioned from the store, so that the directory lists it as the head
+	// of a group that it has left. If each node sent it a request every half second,
+	// requests would use up one of the two targets that they may try.
 	@Test
 	void aGroupThatItsHeadHasLeftReceivesNoRequestsWhileStillListed() {
 		TargetName first = target(arrive(1, "/stream/x"));
@@ -205,8 +206,8 @@
 		}
 	}
 
-	// The controller has taken a group apart and tells all nodes. The head takes part in
-	// another group soon after, under another epoch, and gets requests again.
+	// The controller disbands a group and notifies all nodes. Soon after, the head joins
+	// another group under another epoch and receives requests again.
 	@Test
 	void aHeadReceivesRequestsAgainInItsNextGroup() {
 		TargetName first = target(arrive(1, "/stream/x"));
@@ -227,8 +228,9 @@
 		}
 	}
 
-	// A member of a group is gone while its head still looks open: it left the group,
-	// began another life, said that it leaves and went, or was never seen at all.
+	// A member of a group is missing while its head is still listed as open: the member
+	// left the group or restarted, joined another group, is leaving, disappeared while it
+	// was leaving, or was never listed at all.
 	@Test
 	void aGroupWithAMissingMemberReceivesNoRequests() {
 		TargetEntry head = ServingSamples.member("a1", "small.1", 1, 0, MemberState.OPEN);
@@ -245,10 +247,10 @@
 		assertThat(answer(arrive(5, "/stream/x")).status()).isEqualTo(503);
 	}
 
-	// A member is cut off from the store, not from its head: its entry lapses after 3 s
-	// while the group answers all its streams. Taken for lost, seven engines cut off took
-	// four of twelve groups down. The group goes on until the controller takes it apart,
-	// or the entry has been gone for 10 s.
+	// A member is partitioned from the store but not from its head: its entry expires
+	// after 3 s while the group answers all its streams. If the group counted as lost,
+	// seven partitioned engines would take down four of twelve groups. The group serves
+	// until the controller disbands it, or until the entry has been missing for 10 s.
 	@Test
 	void aGroupServesUntilTheMissingEntryOfAMemberExpires() {
 		targets(ServingSamples.member("a1", "small.1", 1, 0, MemberState.OPEN));
@@ -258,8 +260,8 @@
 		assertThat(answer(arrive(2, "/stream/x")).status()).isEqualTo(503);
 	}
 
-	// The head's own entry goes without notice: it may be leaving, and a leaving target
-	// gets no new work.
+	// The entry of the head disappears without notice. The head may be leaving, and a
+	// leaving target receives no new requests.
 	@Test
 	void aGroupWithoutTheEntryOfItsHeadReceivesNoRequests() {
 		targets(ServingSamples.member("a2", "small.1", 1, 1, MemberState.READY));
@@ -275,9 +277,9 @@
 		assertThat(answer(effects.all()).status()).isEqualTo(504);
 	}
 
-	// A request crashes each target that runs it and comes again at other nodes.
-	// After three targets it is refused everywhere; a bystander that was answered
-	// since is not.
+	// A request crashes each target that runs it and is retried at other nodes. After
+	// three targets it is refused everywhere. The content of another request that ran
+	// beside it is cleared once that request is answered.
 	@Test
 	void aContentThatCrashedThreeTargetsIsRefusedUntilCleared() {
 		long content = ServingSamples.request(7, "/again/x").content();
@@ -300,7 +302,7 @@
 		assertThat(answer(effects.all()).status()).isEqualTo(401);
 	}
 
-	// Before any configuration is known a node can't tell a bad request from a good one.
+	// Without a configuration a node can't distinguish a bad request from a good one.
 	@Test
 	void aNodeWithoutAConfigurationAnswersUnavailable() {
 		RequestDispatcher fresh = RequestDispatcher.of(ServingSamples.settings("one"), this.directory, new Random(1));
--- a/src/test/java/sycamorehill/logic/dispatch/SlidingWindowRetryBudgetTests.java
+++ b/src/test/java/sycamorehill/logic/dispatch/SlidingWindowRetryBudgetTests.java
@@ -9,13 +9,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Bounds on repeats.
+ * Tests the bounds on retries.
  */
 class SlidingWindowRetryBudgetTests {
 
-	// All targets fail for a while and every request asks for a repeat. In each
-	// window that slides over the run, repeats stay below the part of the requests
-	// and the fixed number.
+	// All targets fail for a while and every request asks for a retry. In each window
+	// that slides over the run, the retries stay below the ratio of the requests plus the
+	// allowance.
 	@Test
 	void holdsInEveryWindowWhileAllTargetsFail() {
 		SlidingWindowRetryBudget budget = SlidingWindowRetryBudget.of(Duration.ofSeconds(10), 0.2, 5);
