--- a/src/main/java/sycamorehill/logic/layout/DetachedMembers.java
+++ b/src/main/java/sycamorehill/logic/layout/DetachedMembers.java
@@ -12,19 +12,19 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Remembers engines that left a group whose head may still be serving.
+ * Tracks engines that left a group whose head may still be serving.
  *
- * A head that lost a member stands still and breaks after the stall time. If its former
- * member joined another group before that, the two groups would share a VM. The engine
- * itself reports no group any more, so a node that becomes controller in between would
- * take it for free: every node therefore watches for members that leave, and a process
- * that has just started holds each engine with a model but without a group.
+ * A head that lost a member stalls, and breaks after the stall time. If the former member
+ * joined another group before that, the two groups would share a VM. The engine itself no
+ * longer reports a group, so a node that becomes controller in the meantime would
+ * consider it free. Therefore every node watches for members that leave, and a process
+ * that has just started blocks each engine that has loaded a model but is in no group.
  */
 final class DetachedMembers {
 
 	/**
-	 * Added to the stall time: the order to leave is answered before the head notices,
-	 * and its timers fire late.
+	 * Added to the stall time, because the command to leave is answered before the head
+	 * notices, and the timers of the head fire late.
 	 */
 	static final Duration BREAK_MARGIN = Duration.ofMillis(500);
 
@@ -44,21 +44,21 @@
 	}
 
 	/**
-	 * Creates the memory.
-	 * @param stallTime time after which a head that lost a member is broken
-	 * @param historyKnown whether all that ever happened was seen, as at the first start
-	 * of the whole system
-	 * @return the memory
+	 * Creates a tracker without detached members.
+	 * @param stallTime the time after which a head that lost a member is broken
+	 * @param historyKnown whether this process has seen all changes so far, as at the
+	 * first start of the whole system
+	 * @return the tracker
 	 */
 	static DetachedMembers of(Duration stallTime, boolean historyKnown) {
 		return new DetachedMembers(stallTime, historyKnown);
 	}
 
 	/**
-	 * Compares what engines report with what they reported before.
-	 * @param entries all targets
-	 * @param directoryChange number of the directory's last change
-	 * @param now the present time
+	 * Compares the reports of the engines with their previous reports.
+	 * @param entries the entries of all targets
+	 * @param directoryChange the number of the directory's last change
+	 * @param now the current time
 	 */
 	void update(Collection<TargetEntry> entries, long directoryChange, Instant now) {
 		if (directoryChange == this.lastChange) {
@@ -97,10 +97,10 @@
 	}
 
 	/**
-	 * Whether an engine may not join another group yet.
+	 * Returns whether an engine may not join another group yet.
 	 * @param engine the engine
-	 * @param now the present time
-	 * @return true while the head that it left may not have broken
+	 * @param now the current time
+	 * @return true while the head that it left may still be serving
 	 */
 	boolean isBlocked(TargetEntry engine, Instant now) {
 		Detachment detachment = this.detachments.get(engine.name());
@@ -108,19 +108,21 @@
 	}
 
 	/**
-	 * What an engine reported last.
+	 * The last report of an engine.
 	 *
-	 * @param startMillis its life
-	 * @param rank its rank, negative without a group
+	 * @param startMillis the start time of the engine's process in milliseconds, which
+	 * identifies its incarnation
+	 * @param rank its rank; negative if it is in no group
 	 */
 	private record LastReport(long startMillis, int rank) {
 	}
 
 	/**
-	 * An engine that left its head.
+	 * The departure of an engine from a group whose head may still be serving.
 	 *
-	 * @param startMillis its life
-	 * @param since when that was seen
+	 * @param startMillis the start time of the engine's process in milliseconds, which
+	 * identifies its incarnation
+	 * @param since when the departure was seen
 	 */
 	private record Detachment(long startMillis, Instant since) {
 	}
--- a/src/main/java/sycamorehill/logic/layout/DomainInventories.java
+++ b/src/main/java/sycamorehill/logic/layout/DomainInventories.java
@@ -8,7 +8,8 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * The stocks of all fabric domains. Engines without a domain are in no group.
+ * Holds the inventories of all fabric domains. Engines without a domain are left out,
+ * because they can be in no group.
  */
 final class DomainInventories {
 
--- a/src/main/java/sycamorehill/logic/layout/DomainInventory.java
+++ b/src/main/java/sycamorehill/logic/layout/DomainInventory.java
@@ -13,8 +13,8 @@
 import sycamorehill.model.serving.ModelFigures;
 
 /**
- * What one fabric domain has while a plan is made: its groups by model, and its spare
- * engines that the plan has given no purpose yet.
+ * Holds the groups of one fabric domain by model, and its spare engines that the plan has
+ * not assigned yet.
  */
 final class DomainInventory {
 
@@ -68,7 +68,8 @@
 	}
 
 	/**
-	 * Counts the changes of the spares, so that what was derived from them can be kept.
+	 * Returns the number of changes of the spares. Results that were derived from the
+	 * spares are valid as long as it is the same.
 	 * @return the number of changes
 	 */
 	int spareChanges() {
@@ -76,9 +77,9 @@
 	}
 
 	/**
-	 * The engines that can join a group of a model at once.
+	 * Returns the spare engines that can join a group of a model at once.
 	 * @param model the model
-	 * @return the engines, by name
+	 * @return the spare engines, sorted by name
 	 */
 	List<SpareEngine> readySpares(ModelFigures model) {
 		return this.spares.values()
--- a/src/main/java/sycamorehill/logic/layout/EngineCommandSender.java
+++ b/src/main/java/sycamorehill/logic/layout/EngineCommandSender.java
@@ -10,7 +10,7 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Sends orders to engines, one at a time to each.
+ * Sends commands to engines, one at a time to each engine.
  */
 final class EngineCommandSender {
 
@@ -29,13 +29,14 @@
 	}
 
 	/**
-	 * Sends an order that names the engine's count of orders: carried out late, after a
-	 * newer one, it is void. A count that is not known is asked for first.
+	 * Sends a command that names the engine's command count, so that it has no effect if
+	 * it arrives after a newer one. If the count is not known, requests the engine's
+	 * report instead.
 	 * @param engine the engine
-	 * @param command the order
-	 * @param now the present time
-	 * @param effects collects what is wanted
-	 * @return whether the order was sent
+	 * @param command the command
+	 * @param now the current time
+	 * @param effects receives the resulting effects
+	 * @return whether the command was sent
 	 */
 	boolean send(TargetEntry engine, EngineOrderCall command, Instant now, Effects effects) {
 		if (!isFree(engine, now)) {
@@ -52,12 +53,12 @@
 	}
 
 	/**
-	 * Sends an order that names a group and its epoch: carried out late it does no harm,
-	 * so it needs no count.
+	 * Sends a command that names a group and its epoch. It needs no command count,
+	 * because it does no harm if it arrives late.
 	 * @param engine the engine
-	 * @param command the order
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param command the command
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void sendWithoutCount(TargetEntry engine, EngineOrderCall command, Instant now, Effects effects) {
 		this.tracker.recordCall(engine.name(), now);
@@ -65,10 +66,10 @@
 	}
 
 	/**
-	 * Asks an engine for its report.
+	 * Requests an engine's report.
 	 * @param engine the engine
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void requestReport(TargetEntry engine, Instant now, Effects effects) {
 		this.tracker.recordCall(engine.name(), now);
--- a/src/main/java/sycamorehill/logic/layout/EngineCommandTracker.java
+++ b/src/main/java/sycamorehill/logic/layout/EngineCommandTracker.java
@@ -9,16 +9,16 @@
 import sycamorehill.model.identity.TargetName;
 
 /**
- * What the controller knows of the engines' counts of orders. Each order names the count
- * that it expects: an order whose answer was lost may be carried out seconds later, and
- * any newer order that was accepted makes it void.
+ * Tracks how many commands each engine has accepted. A command names the count that it
+ * expects: if its answer is lost and it arrives seconds later, it has no effect once the
+ * engine has accepted a newer command.
  */
 final class EngineCommandTracker {
 
-	/** Time after which an unanswered call is taken as lost. */
+	/** Time after which a call without an answer counts as lost. */
 	static final Duration ANSWER_TIMEOUT = Duration.ofMillis(1200);
 
-	/** Pause before an engine is asked again after a call to it failed. */
+	/** Delay before the next call to an engine after a failed one. */
 	private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
 	private final Map<TargetName, CommandState> states = new HashMap<>();
@@ -31,10 +31,10 @@
 	}
 
 	/**
-	 * Whether an engine may be called now.
+	 * Returns whether an engine may be called now.
 	 * @param name the engine
-	 * @param now the present time
-	 * @return false while an answer is awaited, or shortly after a failure
+	 * @param now the current time
+	 * @return false while a call is pending, or shortly after a failed one
 	 */
 	boolean isFree(TargetName name, Instant now) {
 		CommandState state = this.states.get(name);
@@ -59,10 +59,11 @@
 	}
 
 	/**
-	 * Notes that an order holds without having begun now. Whether it was counted is not
-	 * known: an order to leave takes effect at once, is counted and answered in this way.
-	 * Taken as not counted, the next order to join would be refused, and a repair delayed
-	 * by another round. The count is asked for instead.
+	 * Records an answer saying that the command is in effect already. The engine may have
+	 * counted it nevertheless: a command to leave takes effect at once, is counted, and
+	 * is answered this way. The count is therefore discarded and read again. With a wrong
+	 * count, the engine would refuse the next command to join, which would delay a repair
+	 * by another round.
 	 * @param name the engine
 	 */
 	void recordAlreadyInEffect(TargetName name) {
@@ -84,7 +85,7 @@
 		state.busyUntil = Instant.MIN;
 	}
 
-	/** Forgets all counts: another controller may have given orders meanwhile. */
+	/** Forgets all counts, because another controller may have sent commands. */
 	void clear() {
 		this.states.clear();
 	}
@@ -94,7 +95,7 @@
 	}
 
 	/**
-	 * What is known of one engine.
+	 * Holds the command count of one engine, and when it may be called again.
 	 */
 	private static final class CommandState {
 
--- a/src/main/java/sycamorehill/logic/layout/FormingGroup.java
+++ b/src/main/java/sycamorehill/logic/layout/FormingGroup.java
@@ -10,7 +10,7 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * A group that the controller is building.
+ * A group that the controller is forming.
  */
 final class FormingGroup {
 
--- a/src/main/java/sycamorehill/logic/layout/FreeEngines.java
+++ b/src/main/java/sycamorehill/logic/layout/FreeEngines.java
@@ -12,13 +12,14 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Remembers since when engines are free.
+ * Tracks since when engines have been free.
  */
 final class FreeEngines {
 
 	/**
-	 * An engine gives up the weights that it holds only after it was free for so long:
-	 * between two orders, or until a change shows, it is free for a moment.
+	 * Time that an engine must have been free before its weights may be replaced. Between
+	 * two commands, or until a change is visible in the directory, an engine seems free
+	 * for a moment.
 	 */
 	private static final Duration MINIMUM_IDLE_TIME = Duration.ofSeconds(1);
 
--- a/src/main/java/sycamorehill/logic/layout/GroupActivity.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupActivity.java
@@ -5,15 +5,15 @@
 import sycamorehill.model.identity.TargetName;
 
 /**
- * Tells the load of groups.
+ * Provides the number of requests of a group.
  */
 public interface GroupActivity {
 
 	/**
-	 * Counts requests.
-	 * @param head a group's head
-	 * @param now the present time
-	 * @return requests that the group has from all nodes, as far as it is known
+	 * Returns the number of requests that a group has.
+	 * @param head the head of the group
+	 * @param now the current time
+	 * @return the requests from all nodes, as far as this node knows
 	 */
 	int requests(TargetName head, Instant now);
 
--- a/src/main/java/sycamorehill/logic/layout/GroupBuilder.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupBuilder.java
@@ -19,22 +19,23 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Builds groups: has the members join, and opens a group once every member is ready.
+ * Forms groups: has the members join, and opens a group once every member is ready.
  */
 final class GroupBuilder {
 
 	/**
-	 * Time after which an accepted order must show in the directory, or is given again.
+	 * Time after which an accepted command to open is sent again if the directory does
+	 * not list the group as open.
 	 */
 	private static final Duration OPEN_RETRY_DELAY = Duration.ofSeconds(2);
 
 	/**
-	 * A group that another controller began and that is not ready after so many times its
-	 * longest load is taken apart.
+	 * Multiple of a model's cold load time after which a group that another controller
+	 * began to form is disbanded if it is not ready.
 	 */
 	private static final int JOIN_TIMEOUT_FACTOR = 6;
 
-	/** Distance between the epochs of two terms, more than any term uses up. */
+	/** Number of epochs reserved for each term, more than any term uses. */
 	private static final long EPOCHS_PER_TERM = 1_000_000;
 
 	private final TargetDirectory directory;
@@ -66,9 +67,9 @@
 	}
 
 	/**
-	 * Begins a term of the controller, which gives its groups higher epochs than any term
-	 * before.
-	 * @param term the term
+	 * Starts a term of the controller. Its groups get higher epochs than the groups of
+	 * all earlier terms.
+	 * @param term the number of the term
 	 */
 	void startTerm(long term) {
 		this.term = term;
@@ -90,8 +91,7 @@
 	}
 
 	/**
-	 * Gives up the groups being formed that one of their engines can't be part of any
-	 * more.
+	 * Stops forming the groups of which a member can no longer be used.
 	 */
 	void dropUnformable() {
 		this.formingGroups.values()
@@ -126,10 +126,10 @@
 	}
 
 	/**
-	 * Whether a group broke, closes, or doesn't become ready.
-	 * @param group the group as it is seen now
-	 * @param now the present time
-	 * @return true if it has to be taken apart
+	 * Returns whether a group is broken, is closing, or did not become ready in time.
+	 * @param group the group as currently seen
+	 * @param now the current time
+	 * @return true if the group must be disbanded
 	 */
 	boolean hasFailed(GroupView group, Instant now) {
 		MemberState headState = GroupView.state(group.head());
@@ -143,9 +143,9 @@
 
 	/**
 	 * Opens a group whose members are all ready.
-	 * @param group the group as it is seen now
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param group the group as currently seen
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void openIfReady(GroupView group, Instant now, Effects effects) {
 		MemberState headState = GroupView.state(group.head());
@@ -164,9 +164,9 @@
 	}
 
 	/**
-	 * Takes an engine's answer to the order to join.
+	 * Handles an engine's answer to the command to join.
 	 * @param engine the engine
-	 * @param join the order
+	 * @param join the command
 	 * @param answer the answer
 	 */
 	void handleJoinAnswer(TargetName engine, EngineOrderCall.Join join, EngineOrderAnswer answer) {
@@ -190,11 +190,11 @@
 	}
 
 	/**
-	 * Takes an engine's report: a group that it tells of shows that the order to join was
-	 * carried out.
+	 * Handles an engine's report. A group named in it confirms that the engine has
+	 * carried out the command to join.
 	 * @param engine the engine
-	 * @param group the group's name
-	 * @param epoch the group's epoch
+	 * @param group the name of the group
+	 * @param epoch the epoch of the group
 	 */
 	void handleReport(TargetName engine, String group, long epoch) {
 		FormingGroup formingGroup = this.formingGroups.get(new GroupKey(group, epoch));
--- a/src/main/java/sycamorehill/logic/layout/GroupCompletenessTracker.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupCompletenessTracker.java
@@ -11,16 +11,17 @@
 import sycamorehill.logic.directory.GroupView;
 
 /**
- * Remembers which groups were seen whole. A group that misses a member after that has
- * lost it. One that was never seen whole may only be coming into sight, member by member,
- * as after a partition: taken apart at the first sight of one member, whole data centres
- * of sound groups were lost the moment that a partition healed.
+ * Tracks which groups have been seen complete. If a member of such a group is missing
+ * later, the group has lost it. The missing members of a group that was never seen
+ * complete may only not have appeared yet, as after a partition. If such a group were
+ * disbanded when its first member appears, all healthy groups of a data centre would be
+ * lost at the moment a partition heals.
  */
 final class GroupCompletenessTracker {
 
 	/**
-	 * Time that members have to come into sight. Engines enter themselves again within 2
-	 * s of reaching the store; the rest is the time that a change needs to arrive here.
+	 * Time that members have to appear. Engines register again within 2 s of reaching the
+	 * store; the rest is the time that a change needs to arrive at this node.
 	 */
 	private static final Duration APPEARANCE_TIME = Duration.ofMillis(2500);
 
@@ -39,10 +40,10 @@
 	}
 
 	/**
-	 * Whether members of a group may still come into sight.
-	 * @param group the group as it is seen now
-	 * @param now the present time
-	 * @return true if it is partial, was never whole and is new
+	 * Returns whether members of a group may still appear.
+	 * @param group the group as currently seen
+	 * @param now the current time
+	 * @return true if the group is new, incomplete and was never complete
 	 */
 	boolean mayStillAppear(GroupView group, Instant now) {
 		if (group.allSeen()) {
--- a/src/main/java/sycamorehill/logic/layout/GroupController.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupController.java
@@ -26,19 +26,19 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Controls the groups of engines of all services, while this node holds the right to.
+ * Controls the groups of engines of all services while this node holds the lease.
  */
 public final class GroupController {
 
 	/**
-	 * Time that a new controller watches before it gives orders, so that what the one
-	 * before it began has shown in the directory.
+	 * Time that a new controller waits before it sends commands, so that the directory
+	 * lists what the previous controller began.
 	 */
 	private static final Duration INITIAL_OBSERVATION_TIME = Duration.ofMillis(400);
 
 	/**
-	 * Pause between two plans for each engine that there is: a plan takes longer the more
-	 * engines there are, and each answer to an order would make one.
+	 * Minimum interval between two plans, per engine. A plan takes longer the more
+	 * engines there are, and every answer of an engine would trigger one.
 	 */
 	private static final Duration PLAN_INTERVAL_PER_ENGINE = Duration.ofNanos(100_000);
 
@@ -77,12 +77,12 @@
 	}
 
 	/**
-	 * Creates the control, which awaits the lease.
-	 * @param settings the node's settings
-	 * @param directory the targets seen
-	 * @param ownIdentity names this process in the lease
-	 * @param started start of the process
-	 * @return the control
+	 * Creates a controller, which waits for the lease.
+	 * @param settings the settings of the node
+	 * @param directory the directory of targets
+	 * @param ownIdentity the name of this process in the lease
+	 * @param started the start time of the process
+	 * @return the controller
 	 */
 	public static GroupController of(EntrySettings settings, TargetDirectory directory, String ownIdentity,
 			Instant started) {
@@ -90,35 +90,36 @@
 	}
 
 	/**
-	 * Notes that callers send requests: loads are slow and bounded from now on.
-	 * @param now the present time
+	 * Records that callers send requests. From then on, loads are slow and their number
+	 * is limited.
+	 * @param now the current time
 	 */
 	public void recordTraffic(Instant now) {
 		this.phase.recordTraffic(now);
 	}
 
 	/**
-	 * Takes an answer about the lease.
+	 * Handles the store's answer to a call about the lease.
 	 * @param answer the answer
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void handleLeaseAnswer(LeaseAnswer answer, Instant now, Effects effects) {
 		this.lease.handleAnswer(answer, now, effects);
 	}
 
 	/**
-	 * Takes the lease as the node that reads the store has seen it.
+	 * Handles the lease as read by the node that reads the store.
 	 * @param lease the lease
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void handleLeaseUpdate(Lease lease, Instant now, Effects effects) {
 		this.lease.handleUpdate(lease, now, effects);
 	}
 
 	/**
-	 * The lease as it was seen last.
+	 * Returns the lease as last seen.
 	 * @return the lease; empty if none was seen
 	 */
 	public Optional<Lease> lease() {
@@ -126,30 +127,30 @@
 	}
 
 	/**
-	 * Gives the control to another node.
-	 * @param effects collects what is wanted
+	 * Releases the lease, so that another node takes over the control.
+	 * @param effects receives the resulting effects
 	 */
 	public void stop(Effects effects) {
 		this.lease.release(effects);
 	}
 
 	/**
-	 * Notes that another process gave up the right to control the groups.
-	 * @param holder names the process
+	 * Handles the release of the lease by another process.
+	 * @param holder the name of the process in the lease
 	 * @param receivesStoreUpdates whether another node reads the store for this one
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	public void handleLeaseReleased(String holder, boolean receivesStoreUpdates, Instant now) {
 		this.lease.handleReleased(holder, receivesStoreUpdates, now);
 	}
 
 	/**
-	 * Takes an engine's answer to an order.
+	 * Handles an engine's answer to a command.
 	 * @param engine the engine
-	 * @param command the order
+	 * @param command the command
 	 * @param answer the answer
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void handleCommandAnswer(TargetName engine, EngineOrderCall command, EngineOrderAnswer answer, Instant now,
 			Effects effects) {
@@ -167,11 +168,11 @@
 	}
 
 	/**
-	 * Takes an engine's report.
+	 * Handles an engine's report.
 	 * @param engine the engine
 	 * @param report the report
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void handleReport(TargetName engine, EngineReport report, Instant now, Effects effects) {
 		this.directory.reported(engine, report)
@@ -187,11 +188,11 @@
 	}
 
 	/**
-	 * Looks at the members of a group whose answers have all paused: each is asked for
-	 * its report, and one that can't be reached is lost.
-	 * @param head the group's head
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * Requests the reports of all members of a group whose answers have all stalled. A
+	 * member that cannot be reached counts as lost.
+	 * @param head the head of the group
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void checkMembers(TargetName head, Instant now, Effects effects) {
 		Optional<Membership> membership = this.directory.find(head).flatMap(TargetEntry::membership);
@@ -213,28 +214,28 @@
 	}
 
 	/**
-	 * Whether this node controls the groups.
-	 * @param now the present time
-	 * @return true while it surely does
+	 * Returns whether this node controls the groups.
+	 * @param now the current time
+	 * @return true while it certainly does
 	 */
 	public boolean controls(Instant now) {
 		return this.lease.isHeld(now);
 	}
 
 	/**
-	 * The node that controls the groups, as far as it is known.
-	 * @return the node's name
+	 * Returns the node that controls the groups.
+	 * @return the name of the node; empty if it is not known
 	 */
 	public Optional<String> controller() {
 		return this.lease.holder();
 	}
 
 	/**
-	 * Takes the failure to read an engine's report.
+	 * Handles a failure to read an engine's report.
 	 * @param engine the engine
-	 * @param answer what was seen instead
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param answer the outcome of the call
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void handleReportFailure(TargetName engine, EngineOrderAnswer answer, Instant now, Effects effects) {
 		this.commandTracker.recordFailure(engine, now);
@@ -246,10 +247,10 @@
 	}
 
 	/**
-	 * Looks at all groups and gives the orders that are due.
-	 * @param status what the node knows beside the targets
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * Checks all groups and sends the commands that are due.
+	 * @param status the state of the node besides its targets
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	public void tick(NodeStatus status, Instant now, Effects effects) {
 		this.detached.update(this.directory.all(), this.directory.changes(), now);
@@ -293,10 +294,10 @@
 	}
 
 	/**
-	 * What a node knows beside the targets.
+	 * The state of a node besides its targets.
 	 *
-	 * @param configuration the configuration in force
-	 * @param groupActivity the load of groups
+	 * @param configuration the configuration in effect
+	 * @param groupActivity provides the number of requests of each group
 	 * @param receivesStoreUpdates whether another node reads the store for this one
 	 * @param storeUnreachable whether no node reaches the store
 	 */
--- a/src/main/java/sycamorehill/logic/layout/GroupDisbander.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupDisbander.java
@@ -20,27 +20,31 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Takes groups apart, and knows which groups' members may be used again.
+ * Disbands groups, and decides when their members may be reused.
  *
- * Members may be used once the head has confirmed that it left, or has begun another
- * life. A head that nobody reaches may still serve behind a partition, and for any time;
- * a refused connection proves nothing either, because partitions refuse connections too.
- * One of its members is then told to leave: a head that lost a member stands still, and
- * is surely broken after the stall time, whether anybody reaches it or not. Only then are
- * the members used.
+ * Members may be reused once the head has confirmed that it left the group, or has been
+ * restarted. A head that no node reaches may continue to serve behind a partition for any
+ * length of time. A refused connection proves nothing either, because partitions refuse
+ * connections too. One of the members is then told to leave: a head that lost a member
+ * stalls, and is certainly broken after the stall time, whether it is reachable or not.
+ * Only then are the members reused.
  */
 final class GroupDisbander {
 
 	/**
-	 * Time after which an accepted order must show in the directory, or is given again.
+	 * Time after which an accepted command is sent again if the directory does not show
+	 * its effect.
 	 */
 	private static final Duration COMMAND_RETRY_DELAY = Duration.ofSeconds(2);
 
-	/** Time after which the next member is told to leave if one did not answer. */
+	/**
+	 * Time after which the next member is told to leave if the previous one did not
+	 * answer.
+	 */
 	private static final Duration DETACH_RETRY_DELAY = Duration.ofMillis(400);
 
 	/**
-	 * Time that a closing head is given for the longest answers that it runs.
+	 * Maximum time that a closing head has to finish the answers that it is generating.
 	 */
 	private static final Duration MAXIMUM_CLOSING_TIME = Duration.ofSeconds(8);
 
@@ -73,9 +77,9 @@
 	}
 
 	/**
-	 * Forgets groups that no engine reports any more: if they come back, what was
-	 * concluded from their absence doesn't hold.
-	 * @param seen keys of the groups that are seen
+	 * Forgets groups that no engine reports any more. If they appear again, what was
+	 * concluded from their absence no longer holds.
+	 * @param seen the keys of the groups as currently seen
 	 */
 	void keepOnly(Set<GroupKey> seen) {
 		this.disbanding.keySet().retainAll(seen);
@@ -84,9 +88,9 @@
 	}
 
 	/**
-	 * Whether a group's members may be used again.
-	 * @param group the group as it is seen now
-	 * @return true if its head surely serves no more
+	 * Returns whether the members of a group may be reused.
+	 * @param group the group as currently seen
+	 * @return true if its head certainly no longer serves
 	 */
 	boolean hasEnded(GroupView group) {
 		if (this.endedGroups.contains(group.key())) {
@@ -107,10 +111,10 @@
 	}
 
 	/**
-	 * Whether taking a group apart has changed nothing yet, as far as it is known: no
+	 * Returns whether disbanding a group has had no effect so far. As far as is known, no
 	 * member has left it.
-	 * @param group the group as it is seen now
-	 * @return true if the group may go on
+	 * @param group the group as currently seen
+	 * @return true if the group may continue to serve
 	 */
 	boolean canBeCancelled(GroupView group) {
 		Disbanding state = this.disbanding.get(group.key());
@@ -118,22 +122,22 @@
 	}
 
 	/**
-	 * Leaves a group as it is, because nothing is missing after all.
-	 * @param group the group as it is seen now
-	 * @param effects collects what is wanted
+	 * Cancels the disbanding of a group in which no member is missing after all.
+	 * @param group the group as currently seen
+	 * @param effects receives the resulting effects
 	 */
 	void cancel(GroupView group, Effects effects) {
 		this.disbanding.remove(group.key());
 		effects.log(LogEvent.GROUP_CHANGED,
-				"group=" + group.name() + " epoch=" + group.epoch() + " is whole again and goes on");
+				"group=" + group.name() + " epoch=" + group.epoch() + " is complete again, disbanding cancelled");
 	}
 
 	/**
-	 * Goes on taking a group apart.
-	 * @param group the group as it is seen now
-	 * @param reachability what else is known of it
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * Starts or continues to disband a group.
+	 * @param group the group as currently seen
+	 * @param reachability the reachability of its members
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void proceed(GroupView group, MemberReachability reachability, Instant now, Effects effects) {
 		Disbanding state = this.disbanding.computeIfAbsent(group.key(), (key) -> start(group, now, effects));
@@ -167,7 +171,7 @@
 	}
 
 	private static Disbanding start(GroupView group, Instant now, Effects effects) {
-		effects.log(LogEvent.GROUP_CHANGED, "group=" + group.name() + " epoch=" + group.epoch() + " taken apart seen="
+		effects.log(LogEvent.GROUP_CHANGED, "group=" + group.name() + " epoch=" + group.epoch() + " disbanding seen="
 				+ group.members().size() + " of=" + group.model().size() + " head-seen=" + group.headSeen());
 		return new Disbanding(now);
 	}
@@ -177,7 +181,7 @@
 		return head == MemberState.OPEN || head == MemberState.CLOSING;
 	}
 
-	// Tells one member after the other to leave, until one has.
+	// Tells one member after the other to leave, until one has left.
 	private void detachMember(GroupView group, Disbanding state, MemberReachability reachability, Instant now,
 			Effects effects) {
 		if (state.detachedAt != null || now.isBefore(state.detachRequestedAt.plus(DETACH_RETRY_DELAY))) {
@@ -216,13 +220,14 @@
 	}
 
 	/**
-	 * Takes an engine's answer to the order to leave. An engine that refuses is not in
-	 * that group; one that answers under another name is in no group of before.
+	 * Handles an engine's answer to the command to leave. An engine that refuses the
+	 * command is not in that group. If another target answers at its address, the engine
+	 * is in none of its former groups.
 	 * @param engine the engine
-	 * @param command the order
+	 * @param command the command
 	 * @param answer the answer
-	 * @param now the present time
-	 * @return the group, if it serves no more from now on
+	 * @param now the current time
+	 * @return the group, if it no longer serves from now on
 	 */
 	Optional<GroupEnd> handleLeaveAnswer(TargetName engine, EngineOrderCall.Leave command, EngineOrderAnswer answer,
 			Instant now) {
@@ -251,14 +256,16 @@
 	}
 
 	/**
-	 * What the controller knows of a group beside what its members report. Engines that
-	 * can't be reached are given no orders: behind a partition an order would arrive when
-	 * it heals, and end a group that has served all the while.
+	 * The reachability of the members of a group, besides what they report themselves. No
+	 * commands are sent to unreachable engines: behind a partition, a command would
+	 * arrive when the partition heals, and end a group that has been serving all the
+	 * time.
 	 *
-	 * @param complete whether all its members are there, so that it may finish what it
-	 * runs
-	 * @param headReachable whether its head is in the directory and not known to be lost
-	 * @param unreachable members that can't be reached
+	 * @param complete whether all members are present and reachable, so that the group
+	 * may finish its requests
+	 * @param headReachable whether the head is in the directory and not known to be
+	 * unreachable
+	 * @param unreachable the members that cannot be reached
 	 */
 	record MemberReachability(boolean complete, boolean headReachable, Set<TargetName> unreachable) {
 
@@ -269,17 +276,17 @@
 	}
 
 	/**
-	 * A group that serves no more.
+	 * A group that no longer serves.
 	 *
-	 * @param head the engine that took its requests
-	 * @param group the group's name
-	 * @param epoch the group's epoch
+	 * @param head the engine that received its requests
+	 * @param group the name of the group
+	 * @param epoch the epoch of the group
 	 */
 	record GroupEnd(TargetName head, String group, long epoch) {
 	}
 
 	/**
-	 * A group on its way out.
+	 * The progress of disbanding a group.
 	 */
 	private static final class Disbanding {
 
--- a/src/main/java/sycamorehill/logic/layout/GroupLeaseManager.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupLeaseManager.java
@@ -12,40 +12,41 @@
 import sycamorehill.model.serving.NodeMessage;
 
 /**
- * Holds or awaits the right to control the groups. The lease saves work: two controllers
- * would hinder each other. That they do no harm rests on the epochs and on the engines'
- * counts of orders, not on the lease, because a holder may be paused and wake up
- * believing that it still holds it.
+ * Acquires, renews and releases the lease on the control of the groups. The lease saves
+ * work, because two controllers would hinder each other. Correctness does not depend on
+ * it: a holder may be paused, and resume in the belief that it still holds the lease. The
+ * epochs and the command counts of the engines ensure that two controllers do no harm.
  */
 final class GroupLeaseManager {
 
-	/** Time between two renewals. */
+	/** Interval between two renewals. */
 	private static final Duration RENEWAL_INTERVAL = Duration.ofMillis(700);
 
 	/**
-	 * Time between two looks of those that wait; they read a copy, which costs the store
-	 * less.
+	 * Interval between two reads of a node that waits for the lease. These reads use a
+	 * copy, which costs the store less.
 	 */
 	private static final Duration READ_INTERVAL = Duration.ofMillis(800);
 
 	/**
-	 * A lease that did not change for this long may be taken: two renewals were missed.
+	 * Time without a change after which the lease may be taken over: two renewals were
+	 * missed.
 	 */
 	private static final Duration EXPIRY_TIME = Duration.ofMillis(2200);
 
 	/**
-	 * The holder stops this long after its last renewal was sent, before others may
-	 * begin.
+	 * Time after sending its last renewal at which a holder stops, which is before other
+	 * nodes may take over.
 	 */
 	private static final Duration HOLD_TIME = Duration.ofMillis(2050);
 
 	/**
-	 * Renewals that fail in a row before a holder that others see the store without gives
-	 * the lease up: one answer may be lost.
+	 * Number of failed renewals in a row after which the holder releases the lease if
+	 * other nodes reach the store. One answer may be lost.
 	 */
 	private static final int MAXIMUM_FAILED_RENEWALS = 2;
 
-	/** A call without an answer is given up after this time. */
+	/** Time after which a call without an answer is abandoned. */
 	private static final Duration CALL_TIMEOUT = Duration.ofMillis(1500);
 
 	private final String ownIdentity;
@@ -81,11 +82,11 @@
 	}
 
 	/**
-	 * Whether this node controls the groups. While no node reaches the store nobody can
-	 * take the lease: its holder goes on, because else no group was repaired for as long
-	 * as an outage lasts.
-	 * @param now the present time
-	 * @return true while the lease is surely held, or can be held by nobody else
+	 * Returns whether this node controls the groups. While no node reaches the store,
+	 * nobody can take the lease and its holder continues. Otherwise no group would be
+	 * repaired during an outage of the store.
+	 * @param now the current time
+	 * @return true while the lease is certainly held, or nobody else can hold it
 	 */
 	boolean isHeld(Instant now) {
 		return this.holding && (now.isBefore(this.lastRenewalAt.plus(HOLD_TIME)) || this.storeUnreachable);
@@ -100,8 +101,8 @@
 	}
 
 	/**
-	 * The node that holds the lease, as far as it is known.
-	 * @return the node's name
+	 * Returns the node that holds the lease.
+	 * @return the name of the node; empty if it is not known
 	 */
 	Optional<String> holder() {
 		return this.lastLease.map(Lease::holder).filter((holder) -> !holder.isEmpty()).map(GroupLeaseManager::nodeName);
@@ -113,10 +114,10 @@
 	}
 
 	/**
-	 * Renews the lease, or looks whether it may be taken.
-	 * @param storeStatus what is known of the store beside the lease
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * Renews the lease, or checks whether it can be taken over.
+	 * @param storeStatus the reachability of the store
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void tick(StoreStatus storeStatus, Instant now, Effects effects) {
 		this.storeUnreachable = storeStatus.unreachable();
@@ -149,8 +150,8 @@
 		}
 	}
 
-	// The store turns this node away and serves others: one of them is told that it need
-	// not await the expiry.
+	// The store rejects the calls of this node and serves other nodes. They are told that
+	// they need not wait until the lease expires.
 	private void handOver(Instant now, Effects effects) {
 		lose("the store answers other nodes", effects);
 		this.failedRenewals = 0;
@@ -160,11 +161,11 @@
 	}
 
 	/**
-	 * Notes that a process gave the lease up.
-	 * @param holder names the process in the lease
+	 * Handles the release of the lease by a process.
+	 * @param holder the name of the process in the lease
 	 * @param receivesStoreUpdates whether another node reads the store for this one, and
-	 * so looks sooner
-	 * @param now the present time
+	 * therefore reads the lease sooner
+	 * @param now the current time
 	 */
 	void handleReleased(String holder, boolean receivesStoreUpdates, Instant now) {
 		if (this.lastLease.filter((lease) -> lease.holder().equals(holder)).isPresent()) {
@@ -178,8 +179,9 @@
 				|| now.isAfter(this.lastChangeAt.plus(EXPIRY_TIME));
 	}
 
-	// A node runs one process: the one before it on this node has ended, and can't renew.
-	// Awaiting its expiry would leave all groups without control after a loss of power.
+	// A node runs only one process, so the previous process on this node has ended and
+	// cannot renew the lease. Waiting for the lease to expire would leave all groups
+	// without a controller after a power failure.
 	private boolean isHeldByThisNode() {
 		return holder().filter(nodeName(this.ownIdentity)::equals).isPresent();
 	}
@@ -223,7 +225,8 @@
 		}
 	}
 
-	// A write of ours whose answer was lost comes back as a conflict with ourselves.
+	// If the answer to a write of this process was lost, its next write fails with a
+	// conflict although the process holds the lease.
 	private void handleConflict(Lease lease, Instant now, Effects effects) {
 		boolean isOwn = lease.holder().equals(this.ownIdentity);
 		recordLease(lease, now);
@@ -236,11 +239,11 @@
 	}
 
 	/**
-	 * Takes the lease as another node has seen it. A node that another one reads for does
-	 * not look itself; it knows the holder's last renewal when it has to.
+	 * Handles the lease as read by another node. A node that receives store updates does
+	 * not read the lease itself; when it has to, it knows the last renewal of the holder.
 	 * @param lease the lease
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void handleUpdate(Lease lease, Instant now, Effects effects) {
 		if (this.lastLease.isEmpty() || lease.revision() > this.lastLease.get().revision()) {
@@ -268,8 +271,8 @@
 	}
 
 	/**
-	 * Gives the lease back, so that another node takes it at once.
-	 * @param effects collects what is wanted
+	 * Releases the lease, so that another node takes it over at once.
+	 * @param effects receives the resulting effects
 	 */
 	void release(Effects effects) {
 		if (this.holding) {
@@ -284,10 +287,10 @@
 	}
 
 	/**
-	 * What is known of the store beside the lease.
+	 * The reachability of the store as known to this node.
 	 *
 	 * @param receivesUpdates whether another node reads the store for this one
-	 * @param unreachable whether no node that is heard reaches the store
+	 * @param unreachable whether no live node known to this one reaches the store
 	 */
 	record StoreStatus(boolean receivesUpdates, boolean unreachable) {
 	}
--- a/src/main/java/sycamorehill/logic/layout/GroupSummary.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupSummary.java
@@ -13,8 +13,8 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Writes a line a second on how the capacity of a service goes, whatever the load: the
- * first thing to look at when requests were refused.
+ * Logs the capacity of a service once per second, whatever the load. Its lines are the
+ * first thing to check when requests were refused.
  */
 final class GroupSummary {
 
@@ -51,13 +51,13 @@
 	}
 
 	/**
-	 * What the controller sees of a service.
+	 * The groups and engines of a service as the controller sees them.
 	 *
-	 * @param activeGroups groups that are not being taken apart
+	 * @param activeGroups groups that are not being disbanded
 	 * @param freeEngines engines in no group
 	 * @param formingCount number of groups being formed
-	 * @param disbandingCount number of groups being taken apart
-	 * @param stagingCount number of spares being loaded
+	 * @param disbandingCount number of groups being disbanded
+	 * @param stagingCount number of spares whose hosts are loading weights
 	 */
 	record ServiceSnapshot(List<GroupView> activeGroups, List<TargetEntry> freeEngines, int formingCount,
 			int disbandingCount, int stagingCount) {
--- a/src/main/java/sycamorehill/logic/layout/LayoutPlan.java
+++ b/src/main/java/sycamorehill/logic/layout/LayoutPlan.java
@@ -17,23 +17,27 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Plans what the spare engines are for: which of them form groups now, and which load
- * which weights.
+ * Plans the use of the spare engines: which of them form groups now, and which load which
+ * weights.
  *
  * A group is formed only of engines whose hosts hold its weights, so that it serves
- * within 2 s; weights are loaded beforehand, while nothing else waits for the engine. The
- * plan is made anew from what is seen at each look. What engines hold and load counts in
- * it, so that it goes on with what it began.
+ * within 2 s. Weights are loaded in advance, while nothing else waits for the engine.
+ * Each plan is made from scratch from the current state. It takes into account the
+ * weights that engines hold or are loading, so that it continues what earlier plans
+ * began.
  */
 final class LayoutPlan {
 
 	/**
-	 * Part of a group's engines that must be there before a domain is kept for it: two of
-	 * four. Fewer would hold engines idle for too long.
+	 * Minimum share of a group's engines that must be present before a domain is reserved
+	 * for the group: two of four. With fewer, engines would be idle for too long.
 	 */
 	private static final double MINIMUM_PARTIAL_SHARE = 0.5;
 
-	/** Added to the members of a model in a domain, so that none counts as zero. */
+	/**
+	 * Added to the number of groups of a model in a domain, so that its number of members
+	 * is never zero.
+	 */
 	private static final double MEMBER_OFFSET = 0.1;
 
 	private final EngineFigures parameters;
@@ -64,10 +68,10 @@
 	}
 
 	/**
-	 * Makes a plan.
-	 * @param parameters what the engines do
-	 * @param desiredCounts how many groups of each model there should be
-	 * @param inventories what each fabric domain has; used up by the plan
+	 * Creates a plan.
+	 * @param parameters the parameters of the engines
+	 * @param desiredCounts the desired number of groups of each model
+	 * @param inventories the inventories of all fabric domains, which the plan uses up
 	 * @return the steps that are due, the most urgent first
 	 */
 	static Steps of(EngineFigures parameters, DesiredGroupCounts desiredCounts, List<DomainInventory> inventories) {
@@ -101,7 +105,7 @@
 		return groupCount(model) < this.desiredCounts.desired(model);
 	}
 
-	// Models of which there are fewer groups than some number, the scarcest first.
+	// Returns the models that have fewer groups than their limit, the scarcest first.
 	private List<ModelFigures> scarcestModels(Function<ModelFigures, Integer> limit) {
 		return this.parameters.models()
 			.stream()
@@ -112,8 +116,8 @@
 			.toList();
 	}
 
-	// A whole set of engines that hold the weights is worth more as a group than as
-	// spares: one that loses a member leaves the others as spares.
+	// A complete set of engines that hold the weights is worth more as a group than as
+	// spares: if the group loses a member, the others become spares.
 	private void formReadyGroups() {
 		boolean formed = true;
 		while (formed) {
@@ -165,8 +169,8 @@
 		return reservation.isPresent();
 	}
 
-	// The domain where a group costs least: first in groups of other models that could
-	// not be formed there any more, then in loads.
+	// Chooses the domain where a group costs least: first in groups of other models that
+	// could no longer be formed there, then in loads.
 	private Optional<Reservation> bestCompleteReservation(ModelFigures model) {
 		List<String> lackingModels = this.parameters.models()
 			.stream()
@@ -183,7 +187,8 @@
 				.thenComparing((reservation) -> reservation.inventory().domain()));
 	}
 
-	// Each group that is planned changes one domain; for the others the choice holds.
+	// Planning a group changes only one domain, so the reservations of the other domains
+	// stay valid.
 	private Reservation completeReservation(ModelFigures model, DomainInventory inventory, List<String> lackingModels) {
 		ReservationKey key = new ReservationKey(model.name(), inventory.domain(), lackingModels);
 		CachedReservation cached = this.reservationCache.get(key);
@@ -196,8 +201,9 @@
 		return reservation;
 	}
 
-	// Where pairs are formed of any two engines that come free, no domain ever has enough
-	// for a large group again. The domain that is nearest to one is kept for it.
+	// If pairs were formed of any two engines that become free, no domain would ever have
+	// enough engines for a large group again. The domain that has most of the engines is
+	// therefore reserved for the group.
 	private Optional<Reservation> bestPartialReservation(ModelFigures model) {
 		return this.inventories.stream()
 			.map((inventory) -> new Reservation(model, inventory, cheapestSpares(model, inventory, (spare) -> false)))
@@ -218,8 +224,8 @@
 			.toList();
 	}
 
-	// An engine keeps what it holds while groups of that model are missing: survivors of
-	// a group of four are worth most to the next one.
+	// An engine keeps its weights while groups of that model are missing: survivors of a
+	// group of four are most useful for the next one.
 	private boolean canChangeModel(SpareEngine spare) {
 		return spare.canLoad() && spare.reassignable()
 				&& this.parameters.models().stream().noneMatch((model) -> spare.holds(model) && lacksGroups(model));
@@ -245,8 +251,8 @@
 		return displaced;
 	}
 
-	// A spare that holds the weights of a lost member replaces it at once; one without
-	// them has to load first.
+	// A spare that holds the weights of a lost member replaces it at once; any other
+	// spare has to load them first.
 	private void planSpareLoads() {
 		for (DomainInventory inventory : this.inventories) {
 			boolean changed = true;
@@ -278,17 +284,18 @@
 		return worthwhile;
 	}
 
-	// Spares against members: the next loss hits a model as often as it has members.
+	// Returns the number of spares per member, because the next loss hits a model as
+	// often as it has members.
 	private static double spareCoverage(ModelFigures model, DomainInventory inventory, int holderChange) {
 		double members = (inventory.groups(model) + MEMBER_OFFSET) * model.size();
 		return (inventory.countHolders(model) + holderChange + 0.5) / members;
 	}
 
 	/**
-	 * What is due.
+	 * The steps that are due.
 	 *
 	 * @param formations groups to form now
-	 * @param loads loads to begin, the most urgent first
+	 * @param loads loads to start, the most urgent first
 	 */
 	record Steps(List<Formation> formations, List<Load> loads) {
 	}
@@ -303,19 +310,19 @@
 	}
 
 	/**
-	 * A load to begin.
+	 * A load to start.
 	 *
 	 * @param model the model
-	 * @param engine the engine whose host is to hold it
-	 * @param blocksGroup whether a group can't be formed before it has ended
+	 * @param engine the engine whose host loads the weights
+	 * @param blocksGroup whether a group cannot be formed before the load has ended
 	 */
 	record Load(ModelFigures model, TargetEntry engine, boolean blocksGroup) {
 	}
 
 	/**
-	 * Engines of one domain that are kept for a group.
+	 * Engines of one domain that are reserved for a group.
 	 *
-	 * @param model the group's model
+	 * @param model the model of the group
 	 * @param inventory the domain
 	 * @param engines the engines
 	 */
@@ -328,40 +335,41 @@
 	}
 
 	/**
-	 * What the choice of engines for a group depends on, beside the domain's spares.
+	 * The inputs of a reservation besides the domain's spares.
 	 *
-	 * @param model the group's model
+	 * @param model the model of the group
 	 * @param domain the domain
-	 * @param lackingModels models of which groups are missing
+	 * @param lackingModels the models that lack groups
 	 */
 	private record ReservationKey(String model, String domain, List<String> lackingModels) {
 	}
 
 	/**
-	 * Engines that were chosen.
+	 * A reservation that is reused until the spares of its domain change.
 	 *
-	 * @param reservation the engines
-	 * @param spareChanges the domain's count of changes at that time
+	 * @param reservation the reservation
+	 * @param spareChanges the number of changes of the domain's spares when it was made
 	 */
 	private record CachedReservation(Reservation reservation, int spareChanges) {
 	}
 
 	/**
-	 * Tells how many groups of a model there should be.
+	 * Provides the desired number of groups of each model.
 	 */
 	interface DesiredGroupCounts {
 
 		/**
-		 * The number of groups for which weights are loaded.
+		 * Returns the number of groups for which weights are loaded.
 		 * @param model the model
 		 * @return the number of groups
 		 */
 		int desired(ModelFigures model);
 
 		/**
-		 * The number of groups that are formed where the weights are there already.
+		 * Returns the number of groups that are formed where engines hold the weights
+		 * already.
 		 * @param model the model
-		 * @return the number of groups, at least as many as are loaded for
+		 * @return the number of groups, not less than the desired number
 		 */
 		int maximum(ModelFigures model);
 
--- a/src/main/java/sycamorehill/logic/layout/LoadBudget.java
+++ b/src/main/java/sycamorehill/logic/layout/LoadBudget.java
@@ -6,11 +6,15 @@
 import java.util.Deque;
 
 /**
- * Bounds the loads from the weight store that begin within a window, over all engines.
+ * Limits the loads from the weight store that start within a time window, over all
+ * engines.
  */
 final class LoadBudget {
 
-	/** Part of the bound that is used: loads may begin a little after their order. */
+	/**
+	 * Share of the limit that is used, because a load may start a little later than its
+	 * command is sent.
+	 */
 	private static final double USABLE_SHARE = 0.85;
 
 	private final Duration window;
--- a/src/main/java/sycamorehill/logic/layout/ServiceGroups.java
+++ b/src/main/java/sycamorehill/logic/layout/ServiceGroups.java
@@ -22,12 +22,12 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * The groups of one service: forms them, opens them when every member is ready, and takes
- * apart those that lost a member.
+ * Controls the groups of one service: forms them, opens them when every member is ready,
+ * and disbands those that lost a member.
  *
- * Members of a group are used again only after its head has left it, or is surely gone:
- * an engine that joined another group while its old head still serves would be in two
- * groups, and the old group would serve with a member missing.
+ * Members of a group are reused only after its head has left the group or has certainly
+ * stopped serving. Otherwise an engine could join another group while its old head still
+ * serves: it would be in two groups, and the old group would serve with a member missing.
  */
 final class ServiceGroups {
 
@@ -64,8 +64,9 @@
 	}
 
 	/**
-	 * Begins a term of the controller: another node may have changed anything.
-	 * @param term the term
+	 * Starts a term of the controller and discards what earlier terms recorded, because
+	 * another node may have changed anything.
+	 * @param term the number of the term
 	 */
 	void startTerm(long term) {
 		this.builder.startTerm(term);
@@ -97,11 +98,11 @@
 	}
 
 	/**
-	 * Looks at all groups and gives the orders that are due.
-	 * @param parameters what the engines do
-	 * @param groupActivity the load of groups
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * Checks all groups and sends the commands that are due.
+	 * @param parameters the parameters of the engines
+	 * @param groupActivity provides the number of requests of each group
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void control(EngineFigures parameters, GroupActivity groupActivity, Instant now, Effects effects) {
 		TargetDirectory directory = this.shared.directory();
@@ -166,7 +167,8 @@
 		}
 	}
 
-	// Behind a partition that has just healed, one engine is reached after the other.
+	// After a partition heals, the engines behind it become reachable one after the
+	// other.
 	private boolean isRecovering(GroupView group, Instant now) {
 		boolean justRecovered = group.members()
 			.stream()
@@ -233,14 +235,14 @@
 	}
 
 	/**
-	 * What all services share.
+	 * The state and the components that all services share.
 	 *
-	 * @param directory the targets seen
-	 * @param commandSender sends orders to engines
+	 * @param directory the directory of targets
+	 * @param commandSender sends commands to engines
 	 * @param unreachable engines that could not be reached
-	 * @param vanished members whose entries went
-	 * @param detached engines that left a head that may still serve
-	 * @param phase how far the start of the system has come
+	 * @param vanished members whose directory entries vanished
+	 * @param detached engines that left a group whose head may still serve
+	 * @param phase the startup phase of the system
 	 */
 	record SharedState(TargetDirectory directory, EngineCommandSender commandSender, UnreachableEngines unreachable,
 			VanishedMembers vanished, DetachedMembers detached, StartupPhase phase) {
--- a/src/main/java/sycamorehill/logic/layout/ShareBasedGroupCounts.java
+++ b/src/main/java/sycamorehill/logic/layout/ShareBasedGroupCounts.java
@@ -4,20 +4,20 @@
 import sycamorehill.model.serving.ModelFigures;
 
 /**
- * How many groups of each model there should be: by the shares of the engines that the
- * configuration expects. The other engines stay free as spares with weights ready: a
- * group that lost a member serves again as soon as a spare has joined, and without one
- * only after a load from the weight store.
+ * Derives the desired number of groups of each model from the share of the engines that
+ * the configuration expects the model to need. The other engines stay free as spares that
+ * hold weights. A group that lost a member serves again as soon as a spare has joined;
+ * without a spare, the weights have to be loaded from the weight store first.
  */
 final class ShareBasedGroupCounts implements LayoutPlan.DesiredGroupCounts {
 
 	/**
-	 * Part of the engines that serve. The rest leaves each fabric domain a spare for each
-	 * of two models.
+	 * Share of the engines that serve. The rest leaves each fabric domain one spare for
+	 * each of two models.
 	 */
 	private static final double SERVING_SHARE = 0.8;
 
-	/** Fewest groups of a model: one may be lost at any time. */
+	/** Minimum number of groups of a model, since any one of them may be lost. */
 	private static final int MINIMUM_GROUPS = 2;
 
 	private final EngineFigures parameters;
@@ -30,10 +30,10 @@
 	}
 
 	/**
-	 * Creates the targets.
-	 * @param parameters what the engines do
-	 * @param engineCount number of engines that there are
-	 * @return the targets
+	 * Creates the group counts for a number of engines.
+	 * @param parameters the parameters of the engines
+	 * @param engineCount the number of engines
+	 * @return the group counts
 	 */
 	static ShareBasedGroupCounts of(EngineFigures parameters, int engineCount) {
 		return new ShareBasedGroupCounts(parameters, engineCount);
--- a/src/main/java/sycamorehill/logic/layout/StartupPhase.java
+++ b/src/main/java/sycamorehill/logic/layout/StartupPhase.java
@@ -6,21 +6,26 @@
 import sycamorehill.model.serving.EntrySettings;
 
 /**
- * Tells how far the start of the system has come: whether engines are still entering
- * themselves, and whether callers send requests.
+ * Tracks the start of the whole system: whether engines are still registering, and
+ * whether callers send requests.
  */
 final class StartupPhase {
 
 	/**
-	 * Before traffic, loads are fast and unbounded; after this time it is taken to begin.
+	 * Time after the start at which traffic is assumed to have begun. Before traffic,
+	 * loads are fast and their number is not limited.
 	 */
 	private static final Duration TRAFFIC_ASSUMED_AFTER = Duration.ofMillis(13500);
 
-	/** All engines are there when none came for so long; they come within a second. */
+	/**
+	 * Time without a change in the number of engines after which all count as registered.
+	 * They register within a second.
+	 */
 	private static final Duration REGISTRATION_QUIET_TIME = Duration.ofMillis(450);
 
 	/**
-	 * Forming begins at last, whoever is missing: loads are fast only before traffic.
+	 * Time after the start at which groups are formed even if engines are missing,
+	 * because loads are fast only before traffic.
 	 */
 	private static final Duration MAXIMUM_REGISTRATION_WAIT = Duration.ofMillis(2200);
 
@@ -54,11 +59,11 @@
 	}
 
 	/**
-	 * Whether more engines are about to enter themselves. Groups formed of the first few
-	 * would mix models in all domains.
-	 * @param engineCount engines seen now
-	 * @param now the present time
-	 * @return true while it is worth waiting for the rest
+	 * Returns whether more engines are about to register. Groups formed of the first few
+	 * engines would mix models in all domains.
+	 * @param engineCount the number of registered engines
+	 * @param now the current time
+	 * @return true while it is worth waiting for the remaining engines
 	 */
 	boolean enginesStillRegistering(int engineCount, Instant now) {
 		if (engineCount != this.engineCount) {
--- a/src/main/java/sycamorehill/logic/layout/TransitionPoller.java
+++ b/src/main/java/sycamorehill/logic/layout/TransitionPoller.java
@@ -14,16 +14,19 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Asks the engines that are about to change how far they have come, while the store is
- * away. Their entries would tell it at other times; without them no group that lost a
- * member was replaced for as long as an outage lasted.
+ * Polls the engines that are about to change state while the store is unreachable. While
+ * the store is reachable, directory entries show these changes. Without polling, no group
+ * that lost a member would be replaced during an outage of the store.
  */
 final class TransitionPoller {
 
-	/** Pause between two questions: a group forms in 0.2 to 2 s. */
+	/** Interval between two polls; a group forms in 0.2 to 2 s. */
 	private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
 
-	/** The same for an engine whose host is loading, for 12 s and more. */
+	/**
+	 * Interval between two polls of an engine whose host is loading weights, which takes
+	 * 12 s or more.
+	 */
 	private static final Duration LOADING_POLL_INTERVAL = Duration.ofSeconds(2);
 
 	private final EngineCommandSender commandSender;
@@ -42,11 +45,11 @@
 	}
 
 	/**
-	 * Asks the engines whose turn it is.
+	 * Polls the engines that are due.
 	 * @param engines the engines of the service
-	 * @param forming groups that are being formed
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param forming the groups that are being formed
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void poll(List<TargetEntry> engines, Collection<FormingGroup> forming, Instant now, Effects effects) {
 		for (TargetEntry engine : engines) {
--- a/src/main/java/sycamorehill/logic/layout/UnreachableEngines.java
+++ b/src/main/java/sycamorehill/logic/layout/UnreachableEngines.java
@@ -11,23 +11,24 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Engines that could not be reached, each for the life in which that was seen. Their
- * entries stay in the directory for seconds.
+ * Tracks engines that could not be reached, each for the incarnation in which a call
+ * failed. Their entries stay in the directory for some seconds.
  */
 final class UnreachableEngines {
 
 	/**
-	 * Pause before a lost engine is asked again. One whose link was cut for a moment
-	 * keeps its entry and comes back without any sign; if nobody asked, it would be of no
-	 * use until the next controller. The pause bounds the calls to engines that are dead:
-	 * their entries lapse within four of them.
+	 * Interval between two polls of an unreachable engine. An engine whose network link
+	 * was interrupted for a moment keeps its directory entry, so nothing else shows that
+	 * it is reachable again; without polls, it would stay unused until the controller
+	 * changes. The interval limits the calls to crashed engines, whose entries expire
+	 * within four intervals.
 	 */
 	private static final Duration POLL_INTERVAL = Duration.ofSeconds(1);
 
 	/**
-	 * Time after a lost engine was reached in which others beside it may be reached too:
-	 * each is asked once within it. A partition heals for all engines behind it at the
-	 * same moment.
+	 * Time that other engines have to become reachable after an unreachable engine was
+	 * reached; each is polled once within it. A partition heals for all engines behind it
+	 * at the same moment.
 	 */
 	private static final Duration RECOVERY_TIME = Duration.ofMillis(1500);
 
@@ -61,17 +62,17 @@
 	}
 
 	/**
-	 * Whether an engine that was lost has just been reached.
+	 * Returns whether an unreachable engine has just been reached.
 	 * @param engine the engine
-	 * @param now the present time
-	 * @return true if others beside it may follow
+	 * @param now the current time
+	 * @return true while other engines may become reachable too
 	 */
 	boolean hasJustRecovered(TargetEntry engine, Instant now) {
 		Instant since = this.recoveredAt.get(engine.name());
 		return since != null && now.isBefore(since.plus(RECOVERY_TIME));
 	}
 
-	/** Forgets the engines that are gone. */
+	/** Forgets the engines that are no longer in the directory. */
 	void keepOnlyPresent() {
 		this.failures.keySet().removeIf((name) -> this.directory.find(name).isEmpty());
 	}
@@ -82,19 +83,19 @@
 	}
 
 	/**
-	 * Whether a lost engine is to be asked again.
+	 * Returns whether an unreachable engine is due to be polled.
 	 * @param engine the engine
-	 * @param now the present time
-	 * @return true if it was lost and the pause is over
+	 * @param now the current time
+	 * @return true if it is unreachable and the poll interval has passed
 	 */
 	boolean isPollDue(TargetEntry engine, Instant now) {
 		return contains(engine) && now.isAfter(this.failures.get(engine.name()).since().plus(POLL_INTERVAL));
 	}
 
 	/**
-	 * Whether an engine can be no member of a group any more.
-	 * @param member the engine as it was when the group was formed or seen
-	 * @return true if it is gone, began anew, is leaving or can't be reached
+	 * Returns whether an engine can no longer be a member of a group.
+	 * @param member the entry of the engine when the group was formed or seen
+	 * @return true if it is gone, was restarted, is leaving or cannot be reached
 	 */
 	boolean isUnusable(TargetEntry member) {
 		Optional<TargetEntry> present = this.directory.find(member.name());
@@ -106,9 +107,10 @@
 	}
 
 	/**
-	 * A call that failed.
+	 * A failed call.
 	 *
-	 * @param startMillis the engine's life
+	 * @param startMillis the start time of the engine's process in milliseconds, which
+	 * identifies its incarnation
 	 * @param since when it failed
 	 */
 	private record Failure(long startMillis, Instant since) {
--- a/src/main/java/sycamorehill/logic/layout/VanishedMembers.java
+++ b/src/main/java/sycamorehill/logic/layout/VanishedMembers.java
@@ -16,19 +16,23 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Finds out what became of members whose entries went without notice.
+ * Determines what happened to members whose directory entries vanished without a leaving
+ * notice.
  *
- * One that answers is leaving silently: its group is taken apart while its streams can
- * still end. One that does not answer is dead, or cut off from the store and from this
- * node, but perhaps not from its head. Its group is left alone as long as it has requests
- * and none of them stands still: a group that lost a member shows that within a second.
+ * A member that answers is leaving without notice: its group is disbanded while its
+ * streams can still finish. A member that does not answer has crashed, or is partitioned
+ * from the store and from this node, but perhaps not from its head. Its group is kept as
+ * long as it has requests and none of them stalls, because a group that lost a member
+ * stalls within a second.
  */
 final class VanishedMembers {
 
-	/** Pause before a member is asked again; a silent leave takes 2 s and more. */
+	/**
+	 * Interval between two polls of a member; a leave without notice takes 2 s or more.
+	 */
 	private static final Duration POLL_INTERVAL = Duration.ofSeconds(1);
 
-	/** A silence of the group's streams counts for the members for so long. */
+	/** Time for which a stall of all streams of a group makes its members suspect. */
 	private static final Duration SUSPICION_TIME = Duration.ofSeconds(3);
 
 	private final TargetDirectory directory;
@@ -53,11 +57,12 @@
 	}
 
 	/**
-	 * Asks vanished members, and gives those up that nothing speaks for.
-	 * @param groups the groups seen
-	 * @param groupActivity tells whether a group has requests
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * Polls vanished members, and gives up those that cannot be reached and whose groups
+	 * have no requests.
+	 * @param groups the groups as currently seen
+	 * @param groupActivity provides the number of requests of each group
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void update(List<GroupView> groups, GroupActivity groupActivity, Instant now, Effects effects) {
 		forgetResolved();
@@ -92,18 +97,18 @@
 	}
 
 	/**
-	 * Notes that all streams of a member's group stand still.
+	 * Marks a member as suspect because all streams of its group stall.
 	 * @param member the member
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	void suspect(TargetEntry member, Instant now) {
 		this.suspectedAt.put(member.name(), now);
 	}
 
 	/**
-	 * Whether a vanished member still answers, and so is leaving.
+	 * Returns whether a vanished member still answers, which means that it is leaving.
 	 * @param member the member
-	 * @return true if it answered after its entry had gone
+	 * @return true if it answered after its entry vanished
 	 */
 	boolean isLeaving(TargetEntry member) {
 		return this.answering.contains(member.name());
--- a/src/main/java/sycamorehill/logic/layout/WeightLoadTracker.java
+++ b/src/main/java/sycamorehill/logic/layout/WeightLoadTracker.java
@@ -12,26 +12,27 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * The loads from the weight store to the hosts of spare engines that are under way, and
- * how many more may begin.
+ * Tracks the running loads from the weight store to the hosts of spare engines, and
+ * decides whether more may start.
  */
 final class WeightLoadTracker {
 
 	/**
-	 * A load that did not show after so many times its length is taken as lost: few more
-	 * run than do at full speed.
+	 * Multiple of a model's cold load time after which a load that is not listed in the
+	 * directory counts as lost. Only a few more loads run than can run at full speed.
 	 */
 	private static final int LOAD_TIMEOUT_FACTOR = 2;
 
 	/**
-	 * Loads that groups wait for, against those that run at full speed. Beyond these all
-	 * are slower, but a group is worth more than the spares that load beside it.
+	 * Maximum number of loads while groups wait for them, relative to the number that
+	 * runs at full speed. Beyond that number all loads are slower, but a group is worth
+	 * more than the spares that load at the same time.
 	 */
 	private static final double GROUP_LOAD_FACTOR = 1.5;
 
 	/**
-	 * Loads begun side by side before traffic, against those that run at full speed: the
-	 * next one is then always there when one ends.
+	 * Number of concurrent loads before traffic, relative to the number that runs at full
+	 * speed, so that the next load is always ready when one ends.
 	 */
 	private static final int STARTUP_LOAD_FACTOR = 2;
 
@@ -53,16 +54,16 @@
 	}
 
 	/**
-	 * Forgets all loads: another node may have ordered some meanwhile.
-	 * @param hadPreviousController whether another node gave orders before
+	 * Forgets all loads, because another node may have started some in the meantime.
+	 * @param hadPreviousController whether another node sent commands before
 	 */
 	void clear(boolean hadPreviousController) {
 		this.loads.clear();
 		this.earlierLoadsUncounted |= hadPreviousController;
 	}
 
-	// What the controller before began is not known: it had at most as many loads under
-	// way as run at full speed.
+	// The loads that the previous controller started are not known. It had at most as
+	// many running as run at full speed.
 	private void countEarlierLoads(EngineFigures parameters, Instant now) {
 		if (this.earlierLoadsUncounted) {
 			this.earlierLoadsUncounted = false;
@@ -71,11 +72,11 @@
 	}
 
 	/**
-	 * Whether one more load may begin.
-	 * @param blocksGroup whether a group waits for it
-	 * @param parameters what the engines do
-	 * @param now the present time
-	 * @return true if it may
+	 * Returns whether one more load may start.
+	 * @param blocksGroup whether a group waits for the load
+	 * @param parameters the parameters of the engines
+	 * @param now the current time
+	 * @return true if the load may start
 	 */
 	boolean mayStart(boolean blocksGroup, EngineFigures parameters, Instant now) {
 		countEarlierLoads(parameters, now);
@@ -102,18 +103,18 @@
 	}
 
 	/**
-	 * The model that an engine's host is loading.
+	 * Returns the model that the host of an engine is loading.
 	 * @param engine the engine
-	 * @return the model's name
+	 * @return the name of the model; empty if none is being loaded
 	 */
 	Optional<String> loadingModel(TargetEntry engine) {
 		return Optional.ofNullable(this.loads.get(engine.name())).map((load) -> load.model().name());
 	}
 
 	/**
-	 * Forgets loads that show in the directory, and those that were lost.
+	 * Removes the loads that the directory lists as finished, and those that were lost.
 	 * @param engines all engines of the service
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	void removeFinished(List<TargetEntry> engines, Instant now) {
 		Map<TargetName, TargetEntry> present = new HashMap<>();
@@ -128,11 +129,12 @@
 	}
 
 	/**
-	 * A load under way.
+	 * A running load.
 	 *
 	 * @param model the model
-	 * @param startMillis the engine's life
-	 * @param since when it was ordered
+	 * @param startMillis the start time of the engine's process in milliseconds, which
+	 * identifies its incarnation
+	 * @param since when its command was sent
 	 */
 	private record Load(ModelFigures model, long startMillis, Instant since) {
 	}
--- a/src/main/java/sycamorehill/logic/layout/package-info.java
+++ b/src/main/java/sycamorehill/logic/layout/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Control of the groups of engines: who controls, which groups are formed of which
- * engines, and how a group that lost a member is replaced.
+ * Forms, opens and disbands the groups of engines: decides which node controls them,
+ * which engines form which groups, and how a group that lost a member is replaced.
  */
 package sycamorehill.logic.layout;
--- a/src/test/java/sycamorehill/logic/layout/FakeEngine.java
+++ b/src/test/java/sycamorehill/logic/layout/FakeEngine.java
@@ -18,7 +18,7 @@
 import sycamorehill.support.ServingSamples;
 
 /**
- * An engine that carries out orders as the users' engines do.
+ * Simulates an engine that carries out commands as the real engines do.
  */
 final class FakeEngine {
 
@@ -82,9 +82,10 @@
 	}
 
 	/**
-	 * Cuts the engine off, alone or with all others of its side.
-	 * @param partitioned whether it is cut off
-	 * @param partitionName engines that are cut off together reach each other
+	 * Partitions the engine, alone or together with others, or ends the partition.
+	 * @param partitioned whether the engine is partitioned
+	 * @param partitionName the name of the partition; engines in the same partition reach
+	 * each other
 	 */
 	void setPartition(boolean partitioned, String partitionName) {
 		this.partitioned = partitioned;
--- a/src/test/java/sycamorehill/logic/layout/FakeFleet.java
+++ b/src/test/java/sycamorehill/logic/layout/FakeFleet.java
@@ -23,15 +23,18 @@
 import sycamorehill.support.ServingSamples;
 
 /**
- * Engines, a store and controllers in virtual time, with the promises about groups
- * checked at each step: a serving group is whole, and no member is taken from a serving
- * head.
+ * Simulates engines, a store and controllers in virtual time, and checks the invariants
+ * of groups at each step: a group is opened only when all its members are ready, and no
+ * member is taken from a serving head.
  */
 final class FakeFleet {
 
 	private static final Duration STEP = Duration.ofMillis(100);
 
-	/** Entries of engines that the store does not hear lapse after three heartbeats. */
+	/**
+	 * Time after which the entry of an engine that the store receives no heartbeats from
+	 * expires: three heartbeats.
+	 */
 	private static final Duration ENTRY_EXPIRY = Duration.ofMillis(3600);
 
 	private final Map<TargetName, FakeEngine> engines = new LinkedHashMap<>();
@@ -80,8 +83,9 @@
 	}
 
 	/**
-	 * Counts the orders that an engine refused because they named another count.
-	 * @return the number of orders
+	 * Returns the number of commands that engines refused because of a conflict, for
+	 * example a wrong command count.
+	 * @return the number of commands
 	 */
 	int conflicts() {
 		return this.conflicts;
@@ -134,8 +138,7 @@
 		}
 	}
 
-	// A head that lost the path to a member stands still, and breaks after the stall
-	// time.
+	// A head that cannot reach a member stalls, and breaks after the stall time.
 	private void breakIfStalled(FakeEngine head) {
 		boolean joined = isComplete(head)
 				&& head.members().stream().map(this.engines::get).allMatch((member) -> member.isInSamePartition(head));
@@ -185,16 +188,16 @@
 		return answer;
 	}
 
-	// An engine that left is counted with its head until it joins another group: the head
-	// serves on for some time, knowing nothing of it.
+	// Returns the head of the last group that an engine joined. An engine that left still
+	// belongs to its head until it joins another group, because the head continues to
+	// serve for some time without noticing.
 	private Optional<FakeEngine> headOf(FakeEngine engine) {
 		return engine.members().isEmpty() ? Optional.empty()
 				: Optional.ofNullable(this.engines.get(engine.members().get(0)));
 	}
 
-	// A head serves its group until it leaves, dies, or has stood still for the stall
-	// time; a head that lost a member is counted as serving only while all its
-	// members are there.
+	// A head serves its group until it leaves, crashes, or has stalled for the stall
+	// time.
 	private boolean servesGroup(FakeEngine head, Optional<EngineOrderCall.Join> join) {
 		return head.isOpen() && join.isPresent()
 				&& head.membership().filter((membership) -> membership.group().equals(join.get().group())).isPresent();
@@ -220,18 +223,18 @@
 	}
 
 	/**
-	 * An order that was not answered and is carried out later.
+	 * A command that was not answered and is carried out later.
 	 *
 	 * @param engine the engine
-	 * @param command the order
-	 * @param expectedCount the count of orders that it names
+	 * @param command the command
+	 * @param expectedCount the command count that it names
 	 * @param executeAt when it is carried out
 	 */
 	private record DelayedCommand(TargetName engine, EngineOrderCall command, long expectedCount, Instant executeAt) {
 	}
 
 	/**
-	 * A node's control of groups, against this fleet.
+	 * The group controller of one node, connected to this fleet.
 	 */
 	final class Controller {
 
--- a/src/test/java/sycamorehill/logic/layout/GroupControllerTests.java
+++ b/src/test/java/sycamorehill/logic/layout/GroupControllerTests.java
@@ -14,16 +14,17 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Groups through losses, partitions, late orders and changes of the controller. The fleet
- * checks at each step that no serving group is incomplete and no member is in two.
+ * Tests groups during losses, partitions, late commands and changes of the controller.
+ * The fleet checks at each step that no serving group is incomplete and no engine is in
+ * two groups.
  */
 class GroupControllerTests {
 
 	private static final Duration FORMING_TIME = Duration.ofSeconds(150);
 
 	/**
-	 * Groups formed of 40 engines before any load is known: 32 of them serve, 4 groups of
-	 * four and 8 pairs.
+	 * Number of groups that 40 engines form before any load is known: 32 engines serve,
+	 * in 4 groups of four and 8 pairs.
 	 */
 	private static final int GROUPS = 12;
 
@@ -39,8 +40,8 @@
 	}
 
 	// 32 of 40 engines serve, and the others are spares with weights. Where spares of a
-	// domain make up a whole group they serve as well: if it loses a member, the other is
-	// a spare as before.
+	// domain make up a complete group, they serve as well: if the group loses a member,
+	// the others become spares again.
 	@Test
 	void formsGroupsOfBothModelsAndKeepsSpares() {
 		FakeFleet fleet = formedFleet(1);
@@ -58,8 +59,8 @@
 		return small && one.domain().equals(other.domain()) && one.staged().equals(other.staged());
 	}
 
-	// A member dies and starts anew, knowing nothing. The group stands still; it is taken
-	// apart and a new one serves, with the weights that lie on the hosts.
+	// A member is restarted and has lost its state. The group stalls. It must be
+	// disbanded and replaced by a group that uses the weights on the hosts.
 	@Test
 	void replacesAGroupThatLostAMember() {
 		FakeFleet fleet = formedFleet(2);
@@ -69,10 +70,10 @@
 		assertThat(fleet.countServing()).isGreaterThanOrEqualTo(GROUPS);
 	}
 
-	// A whole domain is cut off from all nodes and from the store, and refuses
-	// connections; its heads go on serving there. Its entries lapse. When the cut
-	// heals, members and heads come back in any order: no member may be taken from a
-	// head that still serves.
+	// A whole domain is partitioned from all nodes and from the store, and refuses
+	// connections, while its heads continue to serve. Its entries expire. When the
+	// partition heals, members and heads reappear in any order. No member may be taken
+	// from a head that still serves.
 	@Test
 	void takesNoMemberFromAHeadThatReturnsAfterAPartition() {
 		FakeFleet fleet = formedFleet(3);
@@ -90,9 +91,9 @@
 		assertThat(fleet.countServing()).isGreaterThanOrEqualTo(GROUPS);
 	}
 
-	// A head is cut off from the nodes and the store for 10 s, but not from its
-	// members: it serves on. Its members stay visible all the time, and must not be
-	// taken.
+	// A head is partitioned from the nodes and the store for 10 s, but not from its
+	// members, so it continues to serve. Its members stay visible all the time and must
+	// not be taken.
 	@Test
 	void takesNoMemberFromAHeadThatOnlyItsMembersReach() {
 		FakeFleet fleet = formedFleet(5);
@@ -104,11 +105,11 @@
 		assertThat(fleet.countServing()).isGreaterThanOrEqualTo(GROUPS);
 	}
 
-	// Both heads of the groups of four die for good at the same moment, and no spare is
-	// left. Callers of that model get nothing until the six survivors make a new group;
-	// a head that is only cut off might serve on, so one survivor of each leaves first,
-	// and the rest wait until the head would have broken: 5 s, not as long as a partition
-	// may last.
+	// Both heads of the groups of four crash for good at the same moment, and no spare is
+	// left. Requests for that model fail until the six survivors form a new group. An
+	// unreachable head might still serve, so one survivor of each group leaves first, and
+	// the others wait until the head would have broken: 5 s, however long a partition may
+	// last.
 	@Test
 	void survivorsOfCrashedHeadsServeAgainSoonAfterTheStallTime() {
 		FakeFleet fleet = new FakeFleet(6, 1, 12);
@@ -125,10 +126,11 @@
 			.anyMatch((engine) -> engine.isOpen() && engine.members().size() == 4);
 	}
 
-	// A member of a group of four can't be reached for a second, and its group is taken
-	// apart. The engine never went away: its entry stays in the store all the while. It
-	// was taken for lost as long as the controller held office, and the group of four
-	// served no more though all its engines were there.
+	// A member of a group of four cannot be reached for a second, and its group is
+	// disbanded. The engine was running all the time and its entry stayed in the store,
+	// so no change of the entry shows that it is reachable. If it counted as lost until
+	// the next term, the group of four would stay missing although all its engines are
+	// there.
 	@Test
 	void anEngineThatWasBrieflyUnreachableIsUsedAgain() {
 		FakeFleet fleet = new FakeFleet(8, 1, 12);
@@ -150,10 +152,10 @@
 		assertThat(fleet.countServing()).as(fleet.describe()).isEqualTo(before);
 	}
 
-	// A member dies while a spare holds the weights. The head leaves the old group and
-	// joins the next one at once: an order to leave takes effect immediately, is counted,
-	// and is answered as if it had held already. The order to join named the count before
-	// it, was refused, and callers waited 0.3 s longer.
+	// A member is restarted while a spare holds the weights. The head leaves the old
+	// group and joins the next one at once. The command to leave takes effect immediately
+	// and is counted, but answered as if it had been in effect already. A command to join
+	// with the old count is refused, and callers wait 0.3 s longer.
 	@Test
 	void aHeadThatLeftJoinsTheNextGroupWithoutAConflict() {
 		FakeFleet fleet = formedFleet(11);
@@ -165,9 +167,9 @@
 		assertThat(fleet.conflicts()).isZero();
 	}
 
-	// The store is away for all nodes for 10 s. A member dies; its group stands still
-	// and all nodes know it, but nobody can renew the lease, and no entry shows a
-	// group that is formed. Callers waited until the store was back.
+	// No node reaches the store for 10 s, and a member crashes. All nodes know that its
+	// group stalls, but nobody can renew the lease, and no entry lists a group that is
+	// being formed. Callers must not wait until the store is back.
 	@Test
 	void aGroupIsReplacedWhileNoNodeReachesTheStore() {
 		FakeFleet fleet = formedFleet(12);
@@ -185,11 +187,11 @@
 		assertThat(fleet.countServing()).as(fleet.describe()).isGreaterThanOrEqualTo(GROUPS);
 	}
 
-	// A data centre is cut off for 6 s: its engines can't be reached and their
-	// entries lapse, while its groups go on serving callers on their side. When the
-	// cut heals, the entries come back one after the other. Its groups must go on:
-	// they were taken apart at the first sight of a single member, and half of a data
-	// centre loaded anew.
+	// A data centre is partitioned for 6 s: its engines cannot be reached and their
+	// entries expire, while its groups continue to serve callers on their side. When the
+	// partition heals, the entries reappear one after the other. A group that is
+	// disbanded when its first member reappears is lost without need, and half of a data
+	// centre loads its weights again.
 	@Test
 	void completeGroupsKeepServingAfterAPartitionHeals() {
 		for (int seed = 0; seed < 20; seed++) {
@@ -217,9 +219,9 @@
 		}
 	}
 
-	// One member of each group of four is cut off from the store and from the nodes for 5
-	// s, but not from its head, which has requests and answers them. No group is taken
-	// apart.
+	// One member of each group of four is partitioned from the store and from the nodes
+	// for 5 s, but not from its head, which has requests and answers them. No group may
+	// be disbanded.
 	@Test
 	void aServingGroupIsKeptWhenAMembersEntryExpires() {
 		FakeFleet fleet = formedFleet(9);
@@ -237,9 +239,9 @@
 		assertThat(heads).allMatch(FakeEngine::isOpen);
 	}
 
-	// A member dies while its group has no requests, so that no stream stands still and
-	// nobody notices. When its entry has lapsed, the group is taken apart and replaced
-	// before the next request comes.
+	// A member crashes while its group has no requests, so no stream stalls and nobody
+	// notices. When its entry has expired, the group must be disbanded and replaced
+	// before the next request arrives.
 	@Test
 	void aGroupWithoutRequestsIsReplacedWhenAMembersEntryExpires() {
 		FakeFleet fleet = formedFleet(10);
@@ -251,9 +253,10 @@
 		assertThat(fleet.countServing()).as(fleet.describe()).isGreaterThanOrEqualTo(GROUPS);
 	}
 
-	// The head of each pair is cut off from the nodes and serves on. Its member is told
-	// to leave, and then the controller is gone: the next one sees an engine without a
-	// group. It must not use it before the head that it left has broken.
+	// The head of each pair is partitioned from the nodes and continues to serve. Its
+	// member is told to leave, and then the controller is paused. The next controller
+	// sees an engine without a group, and must not use it before the head that it left
+	// has broken.
 	@Test
 	void aNewControllerBlocksMembersDetachedFromALiveHead() {
 		FakeFleet fleet = new FakeFleet(7, 4, 10);
@@ -276,8 +279,9 @@
 		assertThat(fleet.countServing()).isGreaterThanOrEqualTo(GROUPS);
 	}
 
-	// The controller is paused past its lease, another takes over, and the first wakes up
-	// still believing that it holds the lease. Orders of both meet at the engines.
+	// The controller is paused until after its lease has expired, and another one takes
+	// over. The first one resumes in the belief that it still holds the lease. Engines
+	// receive commands of both.
 	@Test
 	void toleratesAResumedControllerWithAnExpiredLease() {
 		FakeFleet fleet = new FakeFleet(4, 4, 10);
@@ -294,9 +298,8 @@
 		assertThat(fleet.countServing()).isGreaterThanOrEqualTo(GROUPS);
 	}
 
-	// Three orders in ten get no answer and are carried out 2 to 12 s later, while
-	// engines die, start anew, are cut off and leave, and two nodes lose the store by
-	// turns.
+	// Three in ten commands get no answer and are carried out 2 to 12 s later, while
+	// engines are restarted, partitioned and leave, and two nodes lose the store in turn.
 	@Test
 	void keepsGroupInvariantsThroughRandomFailures() {
 		for (int seed = 0; seed < 30; seed++) {
--- a/src/test/java/sycamorehill/logic/layout/GroupLeaseManagerTests.java
+++ b/src/test/java/sycamorehill/logic/layout/GroupLeaseManagerTests.java
@@ -14,7 +14,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Who may take the right to control the groups, and when.
+ * Tests which node may take over the lease on the control of the groups, and when.
  */
 class GroupLeaseManagerTests {
 
@@ -37,16 +37,17 @@
 		return next.all();
 	}
 
-	// All nodes lose power and start again. The lease names the process that ran on this
-	// very node before: it can't renew any more. Waiting for its expiry left lost groups
-	// without repair for 2.8 s, just when all callers came back.
+	// All nodes lose power and restart. The lease names the previous process of the same
+	// node, which can no longer renew it. Waiting for the lease to expire leaves lost
+	// groups without repair for 2.8 s, just when all callers retry.
 	@Test
 	void takesTheLeaseOfThePreviousProcessOnItsNodeAtOnce() {
 		assertThat(effectsAfterReading("one#b", "one#a", 900))
 			.containsExactly(new EntryEffect.ReplaceLease(new Lease("one#b", 4, 7)));
 	}
 
-	// The holder is another node, which may be alive: it is waited for.
+	// The holder is another node, whose process may still run, so the lease has to expire
+	// first.
 	@Test
 	void waitsUntilTheLeaseOfAnotherNodeExpires() {
 		assertThat(effectsAfterReading("one#b", "two#a", 900)).containsExactly(new EntryEffect.ReadLease());
@@ -77,9 +78,9 @@
 		return effects.all();
 	}
 
-	// The store turns the controller's node away and serves the others. It is out of
-	// control in any case soon: it says so after two renewals that failed, and
-	// another node takes the lease 1 s sooner than by its expiry.
+	// The store rejects the calls of the controller's node and serves the others. The
+	// holder will lose the lease soon in any case. It releases the lease after two failed
+	// renewals, so that another node takes over 1 s sooner than by its expiry.
 	@Test
 	void releasesTheLeaseWhenOnlyOthersReachTheStore() {
 		GroupLeaseManager manager = holder("one#a");
@@ -103,10 +104,10 @@
 		return effects.all();
 	}
 
-	// 95 nodes that look at the lease for themselves make as many calls as there are
-	// nodes, and each that sees an old copy writes in vain. Those that hear of the lease
-	// don't look; when the node that reads and holds it dies, they know its last renewal,
-	// and take the lease as soon as it has expired.
+	// If each of 95 nodes reads the lease itself, the store receives calls from all of
+	// them, and each node that sees an old copy writes in vain. Nodes that receive the
+	// lease with store updates do not read it. When the node that reads and holds it
+	// crashes, they know its last renewal, and take the lease as soon as it has expired.
 	@Test
 	void aNodeReadsTheLeaseOnlyWithoutStoreUpdates() {
 		GroupLeaseManager manager = GroupLeaseManager.of("one#b");
@@ -123,8 +124,8 @@
 			.containsExactly(new EntryEffect.ReplaceLease(new Lease("one#b", 4, 14)));
 	}
 
-	// A holder was cut off and another node took the lease. It hears so from a neighbour
-	// before the store answers it.
+	// A holder was partitioned and another node took the lease. The holder learns this
+	// from a peer before the store answers it.
 	@Test
 	void aHolderStopsWhenAnUpdateNamesAnotherHolder() {
 		GroupLeaseManager manager = holder("one#a");
@@ -133,9 +134,9 @@
 		assertThat(manager.isHeld(this.start.plusMillis(510))).isFalse();
 	}
 
-	// The store is away for all nodes for 8 s, and members of groups die meanwhile.
-	// Nobody can take the lease, so its holder goes on; a holder that only it is away
-	// for does not.
+	// No node reaches the store for 8 s, and members of groups crash meanwhile. Nobody
+	// can take the lease, so its holder continues. A holder that alone cannot reach the
+	// store has to stop.
 	@Test
 	void keepsTheLeaseWhileNoNodeReachesTheStore() {
 		GroupLeaseManager unreachableForAll = holder("one#a");
--- a/src/test/java/sycamorehill/logic/layout/LayoutPlanTests.java
+++ b/src/test/java/sycamorehill/logic/layout/LayoutPlanTests.java
@@ -16,15 +16,15 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What the spare engines are for: which of them form groups, and which load weights.
+ * Tests which spare engines form groups, and which load weights.
  */
 class LayoutPlanTests {
 
-	/** A model whose groups take more than half of a domain of 11. */
+	/** A model whose groups take more than half of a domain of 11 engines. */
 	private static final ModelFigures SIX = new ModelFigures("six", 6, 0.67, 1, Duration.ofSeconds(16),
 			Duration.ofMillis(1600));
 
-	/** A model whose groups fit beside one of six in a domain of 11. */
+	/** A model whose groups fit beside a group of six in a domain of 11 engines. */
 	private static final ModelFigures THREE = new ModelFigures("three", 3, 0.33, 0.6, Duration.ofSeconds(12),
 			Duration.ofMillis(1100));
 
@@ -73,8 +73,8 @@
 	}
 
 	// Three survivors of a group of four wait for a fourth engine, and pairs are missing
-	// too. Loading the survivors anew for a pair would cost the group of four for 16 s or
-	// more.
+	// too. If the survivors loaded weights for a pair, the group of four would be delayed
+	// by 16 s or more.
 	@Test
 	void survivorsKeepTheirWeightsWhileTheirModelLacksGroups() {
 		List<SpareEngine> spares = List.of(spare("a", "d0", ServingSamples.LARGE),
@@ -85,10 +85,10 @@
 			.hasSizeGreaterThanOrEqualTo(2);
 	}
 
-	// Groups of four are lost one by one, and each domain has two or three engines free.
-	// Pairs were formed of them wherever two were empty, so that no domain ever got four
-	// again: with 18 engines free, one group of four served of three that were wanted.
-	// The domain that is nearest to a group of four is kept for it.
+	// Groups of four are lost one by one, and each domain has two or three free engines.
+	// If pairs are formed wherever two engines are empty, no domain has four free engines
+	// again: of three desired groups of four, only one serves while 18 engines are free.
+	// The domain that is nearest to a group of four must be reserved for it.
 	@Test
 	void reservesTheDomainThatIsNearestToALargeGroup() {
 		List<SpareEngine> firstDomain = List.of(spare("a", "d0", ServingSamples.LARGE), spare("b", "d0"),
@@ -126,10 +126,11 @@
 		assertThat(steps.formations().get(0).members().get(0).domain()).contains("d1");
 	}
 
-	// Six domains of eleven engines start empty, and groups of six and of three are
-	// wanted, six of each. Placed one by one where there was most room or fewest others,
-	// groups of three shared domains, one group of six found no room, and 18 engines of
-	// 66 stood without weights all day. Each domain takes one of each, and two spares.
+	// Six domains of eleven engines start empty, and six groups of six and six groups of
+	// three are desired. If groups are placed one by one where most engines are free or
+	// fewest other groups are, groups of three share domains, one group of six finds no
+	// domain, and 18 of 66 engines stay without weights. Each domain must get one group
+	// of each model and two spares.
 	@Test
 	void givesEachDomainOneGroupOfEachModelAndASpareForEach() {
 		List<SpareEngine> spares = new ArrayList<>();
@@ -151,9 +152,9 @@
 		}
 	}
 
-	// A group of six was lost, and no domain has room for it any more. Its wish can't
-	// be met, and eight empty spares in other domains stood without weights for as
-	// long: each further loss there took 12 to 16 s to mend instead of 2 s.
+	// A group of six was lost, and no domain has enough engines for it any more. If its
+	// reservation blocks the eight empty spares in other domains, they stay without
+	// weights, and replacing a lost member there takes 12 to 16 s instead of 2 s.
 	@Test
 	void aGroupWithoutADomainBlocksNoSpareLoads() {
 		List<SpareEngine> spares = new ArrayList<>();
@@ -164,10 +165,10 @@
 		assertThat(LayoutPlan.of(sixAndThree(), desiredCounts(SIX, 1, 0), inventories(spares)).loads()).hasSize(8);
 	}
 
-	// A domain lost two members of its group of six within seconds; the spare with the
-	// weights replaced the first. Now five survivors hold the weights and the other spare
-	// holds those of the groups of three, of which none is missing. It is loaded anew, so
-	// that the group of six serves again, and no survivor gives up its weights.
+	// A domain lost two members of its group of six within seconds, and the spare with
+	// the weights replaced the first. Now five survivors hold the weights, and the other
+	// spare holds those of the groups of three, of which none is missing. It must load
+	// the weights of the group of six, and no survivor may give up its weights.
 	@Test
 	void loadsTheLastSpareForAGroupThatLacksOneMember() {
 		List<SpareEngine> spares = new ArrayList<>();
@@ -183,10 +184,10 @@
 		});
 	}
 
-	// The head of a group of six died. Its five survivors may be used only when the
-	// head has surely stopped, 4.5 s later; the spare of the domain waits for them.
-	// Six engines of another domain were loaded for a new group meanwhile, which took
-	// 16 s and left that domain without spares.
+	// The head of a group of six crashed. Its five survivors may be used only when the
+	// head has certainly stopped, 4.5 s later, and the spare of the domain waits for
+	// them. If six engines of another domain load weights for a new group meanwhile, this
+	// takes 16 s and leaves that domain without spares.
 	@Test
 	void waitsForSurvivorsThatAreUsableSoon() {
 		List<SpareEngine> spares = new ArrayList<>();
@@ -200,8 +201,9 @@
 		assertThat(LayoutPlan.of(sixAndThree(), desiredCounts(SIX, 1, 2), inventories(spares)).loads()).isEmpty();
 	}
 
-	// Two spares of a domain hold the weights of its group of six, none those of its
-	// group of three. The next loss hits the group of three in one of three cases.
+	// All three spares of a domain hold the weights of its group of six, none those of
+	// its group of three. The next loss hits the group of three in one of three cases, so
+	// one spare must load its weights.
 	@Test
 	void distributesSparesByExpectedMemberLosses() {
 		DomainInventories inventories = DomainInventories.create();
--- a/src/test/java/sycamorehill/logic/layout/PlanIntervalTests.java
+++ b/src/test/java/sycamorehill/logic/layout/PlanIntervalTests.java
@@ -22,7 +22,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * How often a controller plans.
+ * Tests how often a controller makes a plan.
  */
 class PlanIntervalTests {
 
@@ -52,7 +52,7 @@
 		return effects.all();
 	}
 
-	// The first plan asks all engines for their counts of orders.
+	// The first plan reads the command counts of all engines.
 	private Duration timeOfFirstPlan() {
 		Duration after = Duration.ZERO;
 		while (tick(after).stream().noneMatch(EntryEffect.ReadReport.class::isInstance)) {
@@ -68,8 +68,8 @@
 		return tick(after).stream().anyMatch(EntryEffect.SendOrder.class::isInstance);
 	}
 
-	// Hundreds of engines answer in the same second. A controller that plans anew after
-	// each answer is behind by seconds, and calls of its own time out meanwhile.
+	// Hundreds of engines answer in the same second. A controller that makes a plan after
+	// each answer falls behind by seconds, and its own calls time out meanwhile.
 	@Test
 	void aControllerOfManyEnginesDoesNotPlanAfterEachReport() {
 		Duration first = timeOfFirstPlan();
