--- a/src/main/java/sycamorehill/logic/layout/TransitionPoller.java
+++ b/src/main/java/sycamorehill/logic/layout/TransitionPoller.java
@@ -47,13 +47,13 @@
 	/**
 	 * Polls the engines that are due.
 	 * @param engines the engines of the service
-	 * @param forming the groups that are being formed
+	 * @param formingGroups the groups that are being formed
 	 * @param now the current time
 	 * @param effects receives the resulting effects
 	 */
-	void poll(List<TargetEntry> engines, Collection<FormingGroup> forming, Instant now, Effects effects) {
+	void poll(List<TargetEntry> engines, Collection<FormingGroup> formingGroups, Instant now, Effects effects) {
 		for (TargetEntry engine : engines) {
-			boolean joining = forming.stream().anyMatch((group) -> group.hasMember(engine.name()));
+			boolean joining = formingGroups.stream().anyMatch((group) -> group.hasMember(engine.name()));
 			if (joining || isUnopenedHead(engine)) {
 				poll(engine, POLL_INTERVAL, now, effects);
 			}
--- a/src/test/java/sycamorehill/logic/layout/FakeEngine.java
+++ b/src/test/java/sycamorehill/logic/layout/FakeEngine.java
@@ -44,7 +44,7 @@
 
 	private Instant readyAt = Instant.MAX;
 
-	private boolean alive = true;
+	private boolean running = true;
 
 	private boolean partitioned;
 
@@ -61,12 +61,12 @@
 		return this.name;
 	}
 
-	boolean alive() {
-		return this.alive;
+	boolean running() {
+		return this.running;
 	}
 
-	boolean reachable() {
-		return this.alive && !this.partitioned;
+	boolean isReachable() {
+		return this.running && !this.partitioned;
 	}
 
 	Optional<Membership> membership() {
@@ -78,7 +78,8 @@
 	}
 
 	boolean isOpen() {
-		return this.alive && this.membership.filter((membership) -> membership.state() == MemberState.OPEN).isPresent();
+		return this.running
+				&& this.membership.filter((membership) -> membership.state() == MemberState.OPEN).isPresent();
 	}
 
 	/**
@@ -109,11 +110,11 @@
 	}
 
 	void crash() {
-		this.alive = false;
+		this.running = false;
 	}
 
 	void restart() {
-		this.alive = true;
+		this.running = true;
 		this.startMillis++;
 		this.acceptedCommands = 0;
 		this.membership = Optional.empty();
@@ -126,12 +127,12 @@
 	}
 
 	void advance(Instant now) {
-		if (this.alive && !now.isBefore(this.stagedAt)) {
+		if (this.running && !now.isBefore(this.stagedAt)) {
 			this.stagedAt = Instant.MAX;
 			this.staged = Set.of(this.staging.orElseThrow().name());
 			this.staging = Optional.empty();
 		}
-		if (this.alive && !now.isBefore(this.readyAt)) {
+		if (this.running && !now.isBefore(this.readyAt)) {
 			this.readyAt = Instant.MAX;
 			changeState(MemberState.READY);
 			String model = this.join.orElseThrow().model();
--- a/src/test/java/sycamorehill/logic/layout/FakeFleet.java
+++ b/src/test/java/sycamorehill/logic/layout/FakeFleet.java
@@ -126,7 +126,7 @@
 			this.engines.values().stream().filter(FakeEngine::isOpen).forEach(this::breakIfStalled);
 			executeDelayed();
 			for (FakeEngine engine : this.engines.values()) {
-				if (engine.reachable()) {
+				if (engine.isReachable()) {
 					this.lastHeartbeats.put(engine.name(), this.now);
 				}
 			}
@@ -157,7 +157,7 @@
 			if (!delayed.executeAt().isAfter(this.now)) {
 				this.delayedCommands.remove(delayed);
 				FakeEngine engine = this.engines.get(delayed.engine());
-				if (engine.reachable()) {
+				if (engine.isReachable()) {
 					execute(engine, delayed.command(), delayed.expectedCount());
 				}
 			}
@@ -217,7 +217,7 @@
 		return head.members()
 			.stream()
 			.map(this.engines::get)
-			.allMatch((member) -> member.alive() && member.membership()
+			.allMatch((member) -> member.running() && member.membership()
 				.filter((membership) -> membership.group().equals(head.membership().orElseThrow().group()))
 				.isPresent());
 	}
@@ -255,8 +255,8 @@
 			this.running = !paused;
 		}
 
-		void partitionFromStore(boolean cut) {
-			this.partitionedFromStore = cut;
+		void partitionFromStore(boolean partitioned) {
+			this.partitionedFromStore = partitioned;
 		}
 
 		void checkMembers(String head) {
@@ -288,7 +288,7 @@
 				.filter((engine) -> FakeFleet.this.lastHeartbeats.get(engine.name())
 					.plus(ENTRY_EXPIRY)
 					.isAfter(FakeFleet.this.now))
-				.map((engine) -> engine.reachable() ? engine.entry()
+				.map((engine) -> engine.isReachable() ? engine.entry()
 						: this.directory.find(engine.name()).orElseGet(engine::entry))
 				.toList();
 		}
@@ -314,7 +314,7 @@
 		private void send(EntryEffect.SendOrder command, Effects next) {
 			FakeEngine engine = FakeFleet.this.engines.get(command.target().name());
 			EngineOrderAnswer answer;
-			if (!engine.reachable()) {
+			if (!engine.isReachable()) {
 				answer = EngineOrderAnswer.NOTHING_LISTENS;
 			}
 			else if (FakeFleet.this.random.nextDouble() < FakeFleet.this.delayedShare) {
@@ -332,7 +332,7 @@
 
 		private void report(EntryEffect.ReadReport read, Effects next) {
 			FakeEngine engine = FakeFleet.this.engines.get(read.target().name());
-			if (engine.reachable()) {
+			if (engine.isReachable()) {
 				this.control.handleReport(engine.name(), engine.report(), FakeFleet.this.now, next);
 			}
 			else {
