--- a/src/main/java/sycamorehill/logic/layout/GroupCompletenessTracker.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupCompletenessTracker.java
@@ -46,7 +46,7 @@
 	 * @return true if the group is new, incomplete and was never complete
 	 */
 	boolean mayStillAppear(GroupView group, Instant now) {
-		if (group.allSeen()) {
+		if (group.allRanksReported()) {
 			this.seenComplete.add(group.key());
 			return false;
 		}
--- a/src/main/java/sycamorehill/logic/layout/GroupController.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupController.java
@@ -175,7 +175,7 @@
 	 * @param effects receives the resulting effects
 	 */
 	public void handleReport(TargetName engine, EngineReport report, Instant now, Effects effects) {
-		this.directory.reported(engine, report)
+		this.directory.applyReport(engine, report)
 			.ifPresent((change) -> effects
 				.add(new EntryEffect.TellAll(new NodeMessage.TargetsSeen(this.settings.nodeName(), List.of(change)))));
 		long startMillis = this.directory.find(engine).map(TargetEntry::bornMillis).orElse(0L);
@@ -253,7 +253,7 @@
 	 * @param effects receives the resulting effects
 	 */
 	public void tick(NodeStatus status, Instant now, Effects effects) {
-		this.detached.update(this.directory.all(), this.directory.changes(), now);
+		this.detached.update(this.directory.all(), this.directory.changeCount(), now);
 		this.lease.tick(new GroupLeaseManager.StoreStatus(status.receivesStoreUpdates(), status.storeUnreachable()),
 				now, effects);
 		if (!this.lease.isHeld(now) || status.configuration().isEmpty()) {
--- a/src/main/java/sycamorehill/logic/layout/GroupDisbander.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupDisbander.java
@@ -96,7 +96,7 @@
 		if (this.endedGroups.contains(group.key())) {
 			return true;
 		}
-		if (this.presumedBroken.contains(group.key()) && group.headSeen()) {
+		if (this.presumedBroken.contains(group.key()) && group.headReported()) {
 			this.presumedBroken.remove(group.key());
 		}
 		return this.presumedBroken.contains(group.key());
@@ -141,7 +141,7 @@
 	 */
 	void proceed(GroupView group, MemberReachability reachability, Instant now, Effects effects) {
 		Disbanding state = this.disbanding.computeIfAbsent(group.key(), (key) -> start(group, now, effects));
-		if (group.headSeen()) {
+		if (group.headReported()) {
 			state.head = group.head();
 		}
 		if (headRestartedOrLeft(group, state)) {
@@ -172,12 +172,12 @@
 
 	private static Disbanding start(GroupView group, Instant now, Effects effects) {
 		effects.log(LogEvent.GROUP_CHANGED, "group=" + group.name() + " epoch=" + group.epoch() + " disbanding seen="
-				+ group.members().size() + " of=" + group.model().size() + " head-seen=" + group.headSeen());
+				+ group.members().size() + " of=" + group.model().size() + " head-seen=" + group.headReported());
 		return new Disbanding(now);
 	}
 
 	private static boolean isServing(GroupView group) {
-		MemberState head = GroupView.state(group.head());
+		MemberState head = GroupView.memberState(group.head());
 		return head == MemberState.OPEN || head == MemberState.CLOSING;
 	}
 
--- a/src/main/java/sycamorehill/logic/layout/ServiceGroups.java
+++ b/src/main/java/sycamorehill/logic/layout/ServiceGroups.java
@@ -110,7 +110,7 @@
 		List<TargetEntry> vanished = directory.vanished().stream().filter(this::belongsToService).toList();
 		List<GroupView> groups = GroupViews.of(engines, vanished, parameters);
 		pollUnreachable(engines, now, effects);
-		if (!directory.reached()) {
+		if (!directory.isStoreReachable()) {
 			this.transitionPoller.poll(engines, this.builder.formingGroups(), now, effects);
 		}
 		this.shared.vanished().update(groups, groupActivity, now, effects);
@@ -153,7 +153,8 @@
 		}
 		claim(group, claimed);
 		boolean appeared = !this.completeness.mayStillAppear(group, now);
-		boolean complete = group.allSeen() && group.members().stream().noneMatch(this.shared.unreachable()::isUnusable);
+		boolean complete = group.allRanksReported()
+				&& group.members().stream().noneMatch(this.shared.unreachable()::isUnusable);
 		boolean healthy = complete && !this.builder.hasFailed(group, now);
 		if (healthy && this.disbander.canBeCancelled(group)) {
 			this.disbander.cancel(group, effects);
@@ -183,8 +184,8 @@
 			.filter(unreachable::contains)
 			.map(TargetEntry::name)
 			.collect(Collectors.toSet());
-		boolean complete = group.allSeen() && unreachableNames.isEmpty();
-		boolean headReachable = group.headSeen() && !unreachableNames.contains(group.head().name());
+		boolean complete = group.allRanksReported() && unreachableNames.isEmpty();
+		boolean headReachable = group.headReported() && !unreachableNames.contains(group.head().name());
 		return new GroupDisbander.MemberReachability(complete, headReachable, unreachableNames);
 	}
 
@@ -194,7 +195,7 @@
 
 	private boolean isFree(TargetEntry engine, Set<TargetName> claimed) {
 		return !claimed.contains(engine.name()) && !this.shared.unreachable().isUnusable(engine)
-				&& !this.shared.directory().lapsed(engine.name());
+				&& !this.shared.directory().isMissing(engine.name());
 	}
 
 	private boolean isDisbanding(GroupView group) {
--- a/src/main/java/sycamorehill/logic/layout/TransitionPoller.java
+++ b/src/main/java/sycamorehill/logic/layout/TransitionPoller.java
@@ -65,7 +65,7 @@
 
 	private static boolean isUnopenedHead(TargetEntry engine) {
 		return engine.membership()
-			.filter((membership) -> membership.rank() == 0 && GroupView.state(engine) != MemberState.OPEN)
+			.filter((membership) -> membership.rank() == 0 && GroupView.memberState(engine) != MemberState.OPEN)
 			.isPresent();
 	}
 
--- a/src/main/java/sycamorehill/logic/node/StateView.java
+++ b/src/main/java/sycamorehill/logic/node/StateView.java
@@ -30,7 +30,7 @@
  */
 final class StateView implements NodeView {
 
-	private static final TargetChooser CHOOSER = TargetChooser.predicted();
+	private static final TargetChooser CHOOSER = TargetChooser.lowestPredictedLatency();
 
 	private final NodeState state;
 
@@ -113,7 +113,7 @@
 
 	@Override
 	public Optional<VmSight> sight(VmName vm) {
-		return fleet().sight(vm).or(() -> ServingGroups.headSight(this.state.group(), vm));
+		return fleet().sight(vm).or(() -> ServingGroups.publishedHeadObservation(this.state.group(), vm));
 	}
 
 	@Override
