--- a/src/main/java/sycamorehill/logic/layout/GroupDisbander.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupDisbander.java
@@ -32,7 +32,7 @@
 final class GroupDisbander {
 
 	/**
-	 * Time after which an accepted command is sent again if the directory does not show
+	 * Time after which a command is sent to the head again if the directory does not show
 	 * its effect.
 	 */
 	private static final Duration COMMAND_RETRY_DELAY = Duration.ofSeconds(2);
