--- a/src/test/java/sycamorehill/logic/layout/FakeFleet.java
+++ b/src/test/java/sycamorehill/logic/layout/FakeFleet.java
@@ -23,15 +23,18 @@
 import sycamorehill.support.ServingSamples;
 
 /**
- * Engines, a store and controllers in virtual time, with the promises about groups
- * checked at each step: a serving group is whole, and no member is taken from a serving
- * head.
+ * Simulates engines, a store and controllers in virtual time, and checks the invariants
+ * of groups at each step: a group is opened only when all its members are ready, and no
+ * member is taken from a serving head.
  */
 final class FakeFleet {
 
 	private static final Duration STEP = Duration.ofMillis(100);
 
-	/** Entries of engines that the store does not hear lapse after three heartbeats. */
+	/**
+	 * Time after which the entry of an engine that the store receives no heartbeats from
+	 * expires: three heartbeats.
+	 */
 	private static final Duration ENTRY_EXPIRY = Duration.ofMillis(3600);
 
 	private final Map<TargetName, FakeEngine> engines = new LinkedHashMap<>();
@@ -80,8 +83,9 @@
 	}
 
 	/**
-	 * Counts the orders that an engine refused because they named another count.
-	 * @return the number of orders
+	 * Returns the number of commands that engines refused because of a conflict, for
+	 * example a wrong command count.
+	 * @return the number of commands
 	 */
 	int conflicts() {
 		return this.conflicts;
@@ -122,7 +126,7 @@
 			this.engines.values().stream().filter(FakeEngine::isOpen).forEach(this::breakIfStalled);
 			executeDelayed();
 			for (FakeEngine engine : this.engines.values()) {
-				if (engine.reachable()) {
+				if (engine.isReachable()) {
 					this.lastHeartbeats.put(engine.name(), this.now);
 				}
 			}
@@ -134,8 +138,7 @@
 		}
 	}
 
-	// A head that lost the path to a member stands still, and breaks after the stall
-	// time.
+	// A head that cannot reach a member stalls, and breaks after the stall time.
 	private void breakIfStalled(FakeEngine head) {
 		boolean joined = isComplete(head)
 				&& head.members().stream().map(this.engines::get).allMatch((member) -> member.isInSamePartition(head));
@@ -154,7 +157,7 @@
 			if (!delayed.executeAt().isAfter(this.now)) {
 				this.delayedCommands.remove(delayed);
 				FakeEngine engine = this.engines.get(delayed.engine());
-				if (engine.reachable()) {
+				if (engine.isReachable()) {
 					execute(engine, delayed.command(), delayed.expectedCount());
 				}
 			}
@@ -185,16 +188,16 @@
 		return answer;
 	}
 
-	// An engine that left is counted with its head until it joins another group: the head
-	// serves on for some time, knowing nothing of it.
+	// Returns the head of the last group that an engine joined. An engine that left still
+	// belongs to its head until it joins another group, because the head continues to
+	// serve for some time without noticing.
 	private Optional<FakeEngine> headOf(FakeEngine engine) {
 		return engine.members().isEmpty() ? Optional.empty()
 				: Optional.ofNullable(this.engines.get(engine.members().get(0)));
 	}
 
-	// A head serves its group until it leaves, dies, or has stood still for the stall
-	// time; a head that lost a member is counted as serving only while all its
-	// members are there.
+	// A head serves its group until it leaves, crashes, or has stalled for the stall
+	// time.
 	private boolean servesGroup(FakeEngine head, Optional<EngineOrderCall.Join> join) {
 		return head.isOpen() && join.isPresent()
 				&& head.membership().filter((membership) -> membership.group().equals(join.get().group())).isPresent();
@@ -214,24 +217,24 @@
 		return head.members()
 			.stream()
 			.map(this.engines::get)
-			.allMatch((member) -> member.alive() && member.membership()
+			.allMatch((member) -> member.running() && member.membership()
 				.filter((membership) -> membership.group().equals(head.membership().orElseThrow().group()))
 				.isPresent());
 	}
 
 	/**
-	 * An order that was not answered and is carried out later.
+	 * A command that was not answered and is carried out later.
 	 *
 	 * @param engine the engine
-	 * @param command the order
-	 * @param expectedCount the count of orders that it names
+	 * @param command the command
+	 * @param expectedCount the command count that it names
 	 * @param executeAt when it is carried out
 	 */
 	private record DelayedCommand(TargetName engine, EngineOrderCall command, long expectedCount, Instant executeAt) {
 	}
 
 	/**
-	 * A node's control of groups, against this fleet.
+	 * The group controller of one node, connected to this fleet.
 	 */
 	final class Controller {
 
@@ -252,8 +255,8 @@
 			this.running = !paused;
 		}
 
-		void partitionFromStore(boolean cut) {
-			this.partitionedFromStore = cut;
+		void partitionFromStore(boolean partitioned) {
+			this.partitionedFromStore = partitioned;
 		}
 
 		void checkMembers(String head) {
@@ -285,7 +288,7 @@
 				.filter((engine) -> FakeFleet.this.lastHeartbeats.get(engine.name())
 					.plus(ENTRY_EXPIRY)
 					.isAfter(FakeFleet.this.now))
-				.map((engine) -> engine.reachable() ? engine.entry()
+				.map((engine) -> engine.isReachable() ? engine.entry()
 						: this.directory.find(engine.name()).orElseGet(engine::entry))
 				.toList();
 		}
@@ -311,7 +314,7 @@
 		private void send(EntryEffect.SendOrder command, Effects next) {
 			FakeEngine engine = FakeFleet.this.engines.get(command.target().name());
 			EngineOrderAnswer answer;
-			if (!engine.reachable()) {
+			if (!engine.isReachable()) {
 				answer = EngineOrderAnswer.NOTHING_LISTENS;
 			}
 			else if (FakeFleet.this.random.nextDouble() < FakeFleet.this.delayedShare) {
@@ -329,7 +332,7 @@
 
 		private void report(EntryEffect.ReadReport read, Effects next) {
 			FakeEngine engine = FakeFleet.this.engines.get(read.target().name());
-			if (engine.reachable()) {
+			if (engine.isReachable()) {
 				this.control.handleReport(engine.name(), engine.report(), FakeFleet.this.now, next);
 			}
 			else {
