--- a/src/main/java/sycamorehill/logic/group/AllocationCalls.java
+++ b/src/main/java/sycamorehill/logic/group/AllocationCalls.java
@@ -15,15 +15,15 @@
 import sycamorehill.model.platform.PlatformRequest;
 
 /**
- * The calls about the allocation.
+ * Reads and writes the allocation and handles the answers of the platform.
  */
 final class AllocationCalls {
 
 	private AllocationCalls() {
 	}
 
-	// Only the stewards read the allocation: the calls must not grow with the nodes. The
-	// others hear from the stewards which groups serve.
+	// Only stewards read the allocation, so that the number of calls does not grow with
+	// the number of nodes. The other nodes receive the serving groups from the stewards.
 	static void tick(GroupStep step, boolean steward) {
 		if (steward && !step.now().isBefore(step.state().allocation().nextReadAt())) {
 			requestRead(step);
@@ -31,8 +31,8 @@
 	}
 
 	/**
-	 * Reads the allocation live.
-	 * @param step the step
+	 * Reads the allocation from the platform, unless a read is already pending.
+	 * @param step the current step
 	 */
 	static void requestRead(GroupStep step) {
 		if (step.callPlatform(PendingCall.Purpose.READ_ALLOCATION, new PlatformRequest.Read(key(step)))) {
@@ -56,7 +56,7 @@
 		if (isOwnWrite) {
 			logChanges(step, state);
 		}
-		// A read that overtakes an own write does not settle it.
+		// The answer to a read does not show the result of a write that is still pending.
 		boolean isWriting = step.state().isPending(PendingCall.Purpose.WRITE_ALLOCATION);
 		step.update(step.state()
 			.withAllocation(
@@ -64,9 +64,10 @@
 	}
 
 	/**
-	 * Writes the allocation under the condition that it is still the one that was read.
-	 * @param step the step
-	 * @param next the allocation as it is to be
+	 * Writes the allocation on condition that the stored version is still the one that
+	 * was read.
+	 * @param step the current step
+	 * @param next the new allocation
 	 */
 	static void write(GroupStep step, Allocation next) {
 		AllocationState state = step.state().allocation();
@@ -88,15 +89,16 @@
 				.withAllocation(state.withConfirmed(state.attempt().get(), written.version(), answered.sentAt())));
 		}
 		else if (answered.answer() instanceof PlatformAnswer.NotTaken notTaken) {
-			// Failure: the platform refuses at once, and the next decision writes at once
-			// again: thousands of calls a second at a platform that asks for fewer.
+			// Without this delay the next decision would write again at once, and a
+			// platform that asks for fewer calls would receive thousands per second.
 			Duration wait = notTaken.retryAfter().plus(step.policy().decisionInterval());
 			step.update(step.state().withAllocation(state.withoutAttempt()).withNextDecisionAt(step.now().plus(wait)));
 		}
 		else {
-			// Failure: the answer is lost although the write took effect. The read that
-			// follows shows whose mark the allocation carries; until then nothing is
-			// decided, and a write that takes effect even later fails on its condition.
+			// The write may have taken effect although its answer was lost. The read that
+			// follows shows whose mark the stored allocation carries. Nothing is decided
+			// until then, and a write that takes effect even later fails on its version
+			// condition.
 			step.log(LogEvent.GROUP_ALLOCATION_CONFLICT, answered.answer().toString());
 			requestRead(step);
 		}
@@ -114,7 +116,7 @@
 		for (GroupRecord record : before.values()) {
 			if (!next.containsKey(record.identity().name())) {
 				step.log(LogEvent.GROUP_CHANGED, record.identity().name() + " generation "
-						+ record.identity().generation() + " given up: " + record.reason());
+						+ record.identity().generation() + " removed: " + record.reason());
 			}
 		}
 	}
--- a/src/main/java/sycamorehill/logic/group/AllocationDraft.java
+++ b/src/main/java/sycamorehill/logic/group/AllocationDraft.java
@@ -17,7 +17,7 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * An allocation under change, within one decision.
+ * Collects the changes that one decision makes to an allocation.
  */
 final class AllocationDraft {
 
@@ -80,12 +80,12 @@
 	}
 
 	/**
-	 * Puts a group in its next generation, to be loaded.
+	 * Puts a group into its next generation, in which it has to load its model.
 	 * @param name the group
-	 * @param members its members, the head first
-	 * @param specification what it is to load
-	 * @param reason why, for readers
-	 * @param failures failed loads since it last served
+	 * @param members the members, the head first
+	 * @param specification the specification of what the group loads
+	 * @param reason the reason for operators
+	 * @param failures the number of failed loads since the group last served
 	 */
 	void form(GroupName name, List<VmName> members, GroupSpecification specification, String reason, int failures) {
 		GroupIdentity identity = GroupIdentity.of(name, this.nextGeneration++);
@@ -109,10 +109,10 @@
 	}
 
 	/**
-	 * The changed allocation.
+	 * Returns the changed allocation.
 	 * @param fencingNumber the controller's fencing number
-	 * @param writer the mark of the write
-	 * @return the new allocation, or the one before if nothing has changed
+	 * @param writer the mark that identifies the write
+	 * @return the new allocation, or the original one if nothing has changed
 	 */
 	Allocation build(long fencingNumber, String writer) {
 		boolean same = this.groups.equals(this.original.groups()) && this.standbys.equals(this.original.standbys())
@@ -125,13 +125,13 @@
 				TreePMap.from(this.groups), TreePMap.from(this.standbys));
 	}
 
-	// Failure: one VM in two groups, each of which would load over the other for ever.
+	// Two groups that share a VM would replace each other's load without end.
 	private void requireUniqueVms() {
 		Set<VmName> seen = new TreeSet<>(this.standbys.keySet());
 		for (GroupRecord record : this.groups.values()) {
 			for (VmName vm : record.members()) {
 				if (!seen.add(Objects.requireNonNull(vm))) {
-					throw new IllegalStateException("VM " + vm + " would be claimed twice");
+					throw new IllegalStateException("VM " + vm + " is claimed more than once in the new allocation");
 				}
 			}
 		}
--- a/src/main/java/sycamorehill/logic/group/AllocationState.java
+++ b/src/main/java/sycamorehill/logic/group/AllocationState.java
@@ -6,27 +6,27 @@
 import sycamorehill.model.group.Allocation;
 
 /**
- * What a node knows of the allocation of its data centre.
+ * Holds what this node knows about the allocation of its data centre.
  *
  * @param known the allocation as last read or written, empty before the first read
- * @param version the version of the object, 0 if there is none yet
- * @param confirmedAt own monotonic time from before the call that last showed this
- * version to be the present one
- * @param attempt the own last write, until its effect is known
- * @param nextReadAt when it is read next
+ * @param version the version of the stored object, 0 if it does not exist yet
+ * @param confirmedAt the node's monotonic time just before the call that last confirmed
+ * this version as the current one
+ * @param attempt the allocation that this node last wrote, until the result is known
+ * @param nextReadAt the time of the next read
  */
 public record AllocationState(Optional<Allocation> known, long version, Instant confirmedAt,
 		Optional<Allocation> attempt, Instant nextReadAt) {
 
 	/**
-	 * Nothing known yet.
+	 * Creates the state of a node that has not read the allocation yet.
 	 * @return the state before the first event
 	 */
 	public static AllocationState initial() {
 		return new AllocationState(Optional.empty(), 0, Instant.MIN, Optional.empty(), Instant.MIN);
 	}
 
-	// A stale read never takes the view back: versions of one object only grow.
+	// The versions of an object only grow, so a lower one belongs to an outdated read.
 	AllocationState withConfirmed(Allocation allocation, long readVersion, Instant sentAt) {
 		if (readVersion < this.version) {
 			return this;
--- a/src/main/java/sycamorehill/logic/group/ControllerLeaseCalls.java
+++ b/src/main/java/sycamorehill/logic/group/ControllerLeaseCalls.java
@@ -10,7 +10,7 @@
 import sycamorehill.model.platform.PlatformRequest;
 
 /**
- * The calls about the controller's lease.
+ * Reads and writes the lease of the controller and handles the answers of the platform.
  */
 final class ControllerLeaseCalls {
 
--- a/src/main/java/sycamorehill/logic/group/ControllerLeaseManager.java
+++ b/src/main/java/sycamorehill/logic/group/ControllerLeaseManager.java
@@ -15,9 +15,9 @@
 import sycamorehill.model.policy.GroupPolicy;
 
 /**
- * Takes, renews and gives back the lease of a data centre's controller. Its age is
- * counted on the own monotonic clock from before a renewal was sent; wall clocks of
- * different nodes are never compared.
+ * Acquires, renews and releases the lease of a data centre's controller. Its duration is
+ * measured on the node's own monotonic clock, starting before a renewal is sent; wall
+ * clocks of different nodes are never compared.
  */
 final class ControllerLeaseManager {
 
@@ -25,13 +25,13 @@
 	}
 
 	/**
-	 * The call that is due.
-	 * @param state what is known of the lease
-	 * @param now own monotonic time
+	 * Returns the request that is due.
+	 * @param state the known state of the lease
+	 * @param now the current monotonic time of this node
 	 * @param self this node
-	 * @param candidate whether this node may take the lease
-	 * @param policy the bounds
-	 * @return the call, empty if none is due
+	 * @param candidate whether this node may acquire the lease
+	 * @param policy the policy for groups
+	 * @return the request, empty if none is due
 	 */
 	static Optional<PlatformRequest> dueRequest(LeaseState state, Instant now, NodeIdentity self, boolean candidate,
 			GroupPolicy policy) {
@@ -45,18 +45,18 @@
 	}
 
 	/**
-	 * Takes in a read of the lease.
-	 * @param state what was known
-	 * @param now own monotonic time
+	 * Applies the answer to a read of the lease.
+	 * @param state the state before the answer
+	 * @param now the current monotonic time of this node
 	 * @param answer the answer
-	 * @return what is known now
+	 * @return the state after the answer
 	 */
 	static LeaseState applyRead(LeaseState state, Instant now, PlatformAnswer answer) {
 		if (answer instanceof PlatformAnswer.Found found && found.object().value() instanceof ControllerLease lease) {
 			LeaseState seen = state.withSeen(lease, found.object().version(), now);
-			// Failure: the answer of a renewal is lost although it took effect. The
-			// lease read back carries the own write: it is held, but only from the time
-			// before that write was sent.
+			// A renewal may have taken effect although its answer was lost. If the stored
+			// lease equals this node's last write, this node holds the lease, but its
+			// length counts from before that write was sent.
 			return state.attempt()
 				.filter((attempt) -> attempt.lease().equals(lease))
 				.map((attempt) -> seen.withHeldUntil(expiresAt(attempt)))
@@ -69,12 +69,13 @@
 	}
 
 	/**
-	 * The write that follows a read, if this node holds the lease or may take it.
-	 * @param state what is known after the read
-	 * @param now own monotonic time
+	 * Returns the write that follows a read, if this node holds the lease or may acquire
+	 * it.
+	 * @param state the state after the read
+	 * @param now the current monotonic time of this node
 	 * @param self this node
-	 * @param policy the bounds
-	 * @return the write, empty if another node's lease may still hold
+	 * @param policy the policy for groups
+	 * @return the write, empty if another node's lease may still be valid
 	 */
 	static Optional<PlatformRequest> writeRequest(LeaseState state, Instant now, NodeIdentity self,
 			GroupPolicy policy) {
@@ -96,11 +97,11 @@
 	}
 
 	/**
-	 * Takes in the answer of a write of the lease.
-	 * @param state what was known
-	 * @param now own monotonic time
+	 * Applies the answer to a write of the lease.
+	 * @param state the state before the answer
+	 * @param now the current monotonic time of this node
 	 * @param answer the answer
-	 * @return what is known now
+	 * @return the state after the answer
 	 */
 	static LeaseState applyWrite(LeaseState state, Instant now, PlatformAnswer answer) {
 		if (answer instanceof PlatformAnswer.Written written && state.attempt().isPresent()) {
@@ -114,8 +115,8 @@
 	}
 
 	/**
-	 * The write that gives the lease back when the node stops: a lease of no length.
-	 * @param state what is known
+	 * Returns the write that releases the lease by setting its length to zero.
+	 * @param state the known state of the lease
 	 * @param self this node
 	 * @return the write
 	 */
--- a/src/main/java/sycamorehill/logic/group/DrainPass.java
+++ b/src/main/java/sycamorehill/logic/group/DrainPass.java
@@ -10,7 +10,7 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * Ends drains: a drained group is given up or built anew.
+ * Completes drains: removes a drained group or forms it again.
  */
 final class DrainPass implements GroupPlanner.PlanPass {
 
@@ -23,9 +23,10 @@
 		}
 	}
 
-	// Failure: a planned change cuts off a long stream. Only the engine's own count of
-	// zero ends a drain; nodes that did not hear of it show in that count. A bound holds
-	// only where a member goes anyway or is dead.
+	// A planned change must not interrupt a long stream. So only the engine's own count
+	// of zero requests ends a drain; it includes requests from nodes that do not know of
+	// the drain yet. A time limit applies only to a group with a leaving member. A member
+	// that is dead or has left the group ends the drain at once.
 	private static boolean isComplete(PlanContext context, GroupRecord record) {
 		if (context.isDrained(record)) {
 			return true;
--- a/src/main/java/sycamorehill/logic/group/EngineCommandDispatcher.java
+++ b/src/main/java/sycamorehill/logic/group/EngineCommandDispatcher.java
@@ -16,7 +16,7 @@
 import sycamorehill.model.log.LogEvent;
 
 /**
- * Gives orders to engines.
+ * Sends commands to engines.
  */
 final class EngineCommandDispatcher {
 
@@ -26,19 +26,21 @@
 	}
 
 	/**
-	 * Gives the orders that are due.
-	 * @param step the step
-	 * @param commands the orders that the confirmed allocation asks for
+	 * Sends the commands that are due. If the last read of the allocation is too old, it
+	 * only starts a new read.
+	 * @param step the current step
+	 * @param commands the commands that the confirmed allocation requires
 	 */
 	static void dispatch(GroupStep step, List<RequiredCommand> commands) {
 		List<RequiredCommand> due = commands.stream().filter((required) -> isDue(step, required)).toList();
 		if (due.isEmpty()) {
 			return;
 		}
-		// Failure: a holder is paused past its lease, wakes, and orders engines that
-		// ignore fencing numbers into a group that another controller has given up. An
-		// order rests on a live read of the allocation, and the sender drops it when the
-		// window after that read is over, also if the pause falls between the two.
+		// A holder that was paused until its lease expired must not send commands for a
+		// group that another controller has removed, because engines may ignore fencing
+		// numbers. So a command is based on a recent read of the allocation, and the
+		// sender drops it when the window after that read has passed, even if the pause
+		// falls between the two.
 		Duration halfWindow = step.policy().orderWindow().dividedBy(2);
 		Instant confirmedAt = step.state().allocation().confirmedAt();
 		if (confirmedAt.plus(halfWindow).isBefore(step.now())) {
@@ -52,10 +54,10 @@
 	}
 
 	/**
-	 * Gives orders that rest on no live read, because the platform is silent to the whole
-	 * data centre: nobody can have changed the allocation meanwhile.
-	 * @param step the step
-	 * @param commands the orders
+	 * Sends the commands that are due without a recent read, because the platform is
+	 * silent to the whole data centre: nobody can have changed the allocation meanwhile.
+	 * @param step the current step
+	 * @param commands the commands
 	 */
 	static void dispatchWithoutRead(GroupStep step, List<RequiredCommand> commands) {
 		Instant notAfter = step.now().plus(step.policy().orderWindow());
@@ -90,8 +92,9 @@
 
 	static void handleAnswer(GroupStep step, TargetEvent.OrderAnswered answered) {
 		if (answered.result() == EngineOrderResult.REFUSED_FENCED) {
-			// A higher fencing number is about: another node took the lease over.
-			step.log(LogEvent.GROUP_ORDER_FENCED, "order " + answered.call().number());
+			// The engine knows a higher fencing number, so another node has acquired the
+			// lease.
+			step.log(LogEvent.GROUP_ORDER_FENCED, "command " + answered.call().number());
 			step.update(step.state().withLease(step.state().lease().withHeldUntil(step.now()).withReadFirst()));
 			return;
 		}
--- a/src/main/java/sycamorehill/logic/group/EngineReconciler.java
+++ b/src/main/java/sycamorehill/logic/group/EngineReconciler.java
@@ -19,7 +19,7 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * The orders that bring the engines to what the allocation says.
+ * Determines the commands that bring the engines in line with the allocation.
  */
 final class EngineReconciler {
 
@@ -27,10 +27,10 @@
 	}
 
 	/**
-	 * The orders that the allocation and the present sights ask for.
+	 * Returns the commands that the allocation and the latest observations require.
 	 * @param allocation the confirmed allocation
-	 * @param context what the decision rests on
-	 * @return the orders
+	 * @param context the state that the decision is based on
+	 * @return the commands
 	 */
 	static List<RequiredCommand> requiredCommands(Allocation allocation, PlanContext context) {
 		List<RequiredCommand> commands = new ArrayList<>();
@@ -43,11 +43,11 @@
 		return commands;
 	}
 
-	// Failure: a controller with an old view orders VMs out of a group that was formed
-	// since, and cuts off its streams. Generations come from the allocation itself: one
-	// that is lower than the next to be given and not in the allocation was given up for
-	// ever, whatever has been written since; a higher one is newer than the view and is
-	// left alone. So this order is harmless however late it arrives.
+	// A controller with an outdated view must not remove VMs from a group that was formed
+	// since, because this would interrupt its streams. The allocation numbers the
+	// generations: one that is lower than the next number and not in the allocation was
+	// removed for good, whatever has been written since. A higher one is newer than this
+	// view and is not touched. So the command does no harm however late it arrives.
 	private static Optional<RequiredCommand> leaveCommand(Allocation allocation, PlanContext context, VmEntry entry) {
 		Optional<GroupIdentity> group = freshReport(context, entry.name()).flatMap(VmReport::group);
 		if (group.isEmpty() || !isRemoved(allocation, group.get().generation())) {
@@ -63,8 +63,9 @@
 		return Optional.of(new RequiredCommand(entry, order));
 	}
 
-	// A generation given while the platform was silent was given up if a later controller
-	// has written the allocation without it.
+	// A generation formed while the platform was silent contains its controller's fencing
+	// number. If the allocation has the same or a higher one and does not list the
+	// generation, a later write has removed it.
 	private static boolean isRemoved(Allocation allocation, long generation) {
 		return (generation < OfflineState.FIRST_OFFLINE_GENERATION) ? generation < allocation.nextGeneration()
 				: OfflineState.fencingNumber(generation) <= allocation.fencingNumber();
@@ -75,8 +76,8 @@
 		for (VmName vm : record.members()) {
 			VmEntry entry = context.fleet().entries().get(vm);
 			Optional<VmReport> report = freshReport(context, vm);
-			// Failure: a new controller starts a load again that is already under way.
-			// Only an engine that was freshly seen in no group is ordered to join.
+			// A new controller must not restart a load that is in progress. So only an
+			// engine that was recently observed in no group receives a join command.
 			boolean free = report.isPresent() && report.get().group().isEmpty() && !report.get().leaving();
 			if (entry != null && free) {
 				commands.add(new RequiredCommand(entry, new EngineOrder.Join(record.identity(), record.members(),
@@ -86,11 +87,11 @@
 	}
 
 	/**
-	 * The forming groups that may load now. The weight store is rate-limited and shared:
-	 * groups load one after the other, those first whose load ends the most downtime
-	 * soonest, so that some serve early instead of all late.
+	 * Returns the forming groups that may load now. The weight store is shared and
+	 * rate-limited, so only a few groups load at a time. Those whose load ends the most
+	 * downtime soonest come first, so that some groups serve early instead of all late.
 	 * @param allocation the confirmed allocation
-	 * @param context what the decision rests on
+	 * @param context the state that the decision is based on
 	 * @return the groups
 	 */
 	private static List<GroupRecord> groupsToLoad(Allocation allocation, PlanContext context) {
@@ -152,10 +153,10 @@
 	}
 
 	/**
-	 * An order that is to be given.
+	 * Pairs a VM with a command for its engine.
 	 *
 	 * @param entry the VM
-	 * @param command the order
+	 * @param command the command
 	 */
 	record RequiredCommand(VmEntry entry, EngineOrder command) {
 
--- a/src/main/java/sycamorehill/logic/group/FormationPass.java
+++ b/src/main/java/sycamorehill/logic/group/FormationPass.java
@@ -12,7 +12,7 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * Forms the groups that are missing, for the sets first that lack the greatest share.
+ * Forms the missing groups, starting with the sets that lack the largest share of theirs.
  */
 final class FormationPass implements GroupPlanner.PlanPass {
 
@@ -48,10 +48,10 @@
 	}
 
 	/**
-	 * A name of the set that no group has.
-	 * @param draft the allocation under change
-	 * @param specification the set
-	 * @return the name with the lowest free ordinal
+	 * Returns the name with the lowest ordinal that no group of the set uses.
+	 * @param draft the draft allocation
+	 * @param specification the specification of the set
+	 * @return the name
 	 */
 	static GroupName firstFreeName(AllocationDraft draft, GroupSpecification specification) {
 		Set<Integer> taken = draft.groups(specification.set().name())
--- a/src/main/java/sycamorehill/logic/group/GroupController.java
+++ b/src/main/java/sycamorehill/logic/group/GroupController.java
@@ -29,7 +29,7 @@
 import sycamorehill.model.ticket.Truth;
 
 /**
- * The decisions of the node that holds the lease.
+ * Makes the decisions of the node that holds the controller lease.
  */
 final class GroupController {
 
@@ -52,9 +52,10 @@
 	}
 
 	/**
-	 * Keeps the times since which groups and VMs have been as they are.
-	 * @param step the step
-	 * @param offline whether this node repairs while the platform is silent
+	 * Updates the times since which groups have been in their phase and VMs have been
+	 * silent.
+	 * @param step the current step
+	 * @param offline whether this node repairs groups while the platform is silent
 	 */
 	private static void updateObservations(GroupStep step, boolean offline) {
 		Optional<Allocation> known = step.state().effectiveAllocation();
@@ -83,8 +84,8 @@
 		requestReports(step, silences);
 	}
 
-	// Before a VM is taken for dead the controller asks it itself, as well as its
-	// observers do: what they say may be late.
+	// The controller itself requests a report from a VM before it considers the VM dead,
+	// because the reports that observers relay may arrive late.
 	private static void requestReports(GroupStep step, VmSilences silences) {
 		int asked = 0;
 		for (VmName vm : silences.silentVms()) {
@@ -103,9 +104,10 @@
 	}
 
 	/**
-	 * Decides, if this node may: it holds the lease, its view holds its own last write,
-	 * and it knows the truth and the VM list.
-	 * @param step the step
+	 * Writes the next allocation or, if nothing changes, sends the due commands to
+	 * engines. Does so only if this node holds the lease, knows the result of its last
+	 * write, and knows the desired state and the VM list.
+	 * @param step the current step
 	 */
 	static void decide(GroupStep step) {
 		GroupState state = step.state();
--- a/src/main/java/sycamorehill/logic/group/GroupPlanner.java
+++ b/src/main/java/sycamorehill/logic/group/GroupPlanner.java
@@ -7,8 +7,8 @@
 import sycamorehill.model.group.GroupRecord;
 
 /**
- * Decides what the allocation is to be. It only proposes: the conditional update decides
- * whether the proposal holds.
+ * Plans the next allocation. The plan is only a proposal: the conditional update decides
+ * whether it takes effect.
  */
 final class GroupPlanner {
 
@@ -20,11 +20,11 @@
 
 	/**
 	 * Plans the next allocation.
-	 * @param allocation the allocation as it is
-	 * @param context what the decision rests on
+	 * @param allocation the current allocation
+	 * @param context the state that the decision is based on
 	 * @param fencingNumber the controller's fencing number
-	 * @param writer the mark of the write
-	 * @return the allocation as it is to be; the very same if nothing is to change
+	 * @param writer the mark that identifies the write
+	 * @return the next allocation, the same instance if nothing changes
 	 */
 	static Allocation plan(Allocation allocation, PlanContext context, long fencingNumber, String writer) {
 		AllocationDraft draft = AllocationDraft.of(allocation);
@@ -35,11 +35,11 @@
 	}
 
 	/**
-	 * The groups of a set that are to stay, the ones worth most first.
-	 * @param draft the allocation under change
-	 * @param context what the decision rests on
-	 * @param specification what the truth asks for
-	 * @return the groups, worth most first
+	 * Returns the groups of a set, ordered by how important it is to keep them.
+	 * @param draft the draft allocation
+	 * @param context the state that the decision is based on
+	 * @param specification the specification of the set
+	 * @return the groups, the most important one first
 	 */
 	static List<GroupRecord> rankedGroups(AllocationDraft draft, PlanContext context,
 			GroupSpecification specification) {
@@ -49,14 +49,14 @@
 	}
 
 	/**
-	 * One concern of the planning.
+	 * Handles one aspect of planning.
 	 */
 	interface PlanPass {
 
 		/**
-		 * Changes the draft.
-		 * @param draft the allocation under change
-		 * @param context what the decision rests on
+		 * Applies this pass to the draft.
+		 * @param draft the draft allocation
+		 * @param context the state that the decision is based on
 		 */
 		void apply(AllocationDraft draft, PlanContext context);
 
--- a/src/main/java/sycamorehill/logic/group/GroupPublicationState.java
+++ b/src/main/java/sycamorehill/logic/group/GroupPublicationState.java
@@ -10,16 +10,16 @@
 import sycamorehill.model.identity.NodeIncarnation;
 
 /**
- * The spreading of serving groups between nodes.
+ * Holds the state of publishing serving groups to other nodes.
  *
- * @param groups what is known of each data centre
- * @param nextAt when this node spreads its own view next
- * @param round counts the messages of which this node is the root
- * @param spreads counts the messages about the own data centre
- * @param lastSent hash over the groups of the last own message
- * @param factsLeft how many of the next own messages carry the facts
- * @param clocks how far other nodes' clocks are away
- * @param passedOn the last round of each root that was passed on
+ * @param groups the published groups of each data centre
+ * @param nextAt the time at which this node publishes next
+ * @param round the number of the next message that has this node as the root
+ * @param spreads the number of messages sent about this node's own data centre
+ * @param lastSent the hash of the groups in this node's last message
+ * @param factsLeft the number of following messages that carry the facts of the groups
+ * @param clocks the clock offsets of other nodes
+ * @param passedOn the last forwarded round of each root
  */
 public record GroupPublicationState(PMap<DataCentreName, PublishedGroups> groups, Instant nextAt, long round,
 		long spreads, int lastSent, int factsLeft, SenderClocks clocks, PMap<NodeIncarnation, Long> passedOn) {
--- a/src/main/java/sycamorehill/logic/group/GroupPublisher.java
+++ b/src/main/java/sycamorehill/logic/group/GroupPublisher.java
@@ -32,8 +32,8 @@
 import sycamorehill.model.policy.ObservationPolicy;
 
 /**
- * Spreads which groups serve: from the stewards of a data centre over a tree to its other
- * nodes, and to one steward of each other data centre, which spreads it there.
+ * Publishes the serving groups. The stewards of a data centre send them along a tree to
+ * its other nodes, and to one steward of each other data centre, which relays them there.
  */
 final class GroupPublisher {
 
@@ -54,29 +54,29 @@
 		List<GroupRecord> serving = serving(step, allocation.get());
 		List<GroupIdentity> identities = serving.stream().map(GroupRecord::identity).toList();
 		GroupPublicationState publication = step.state().spread();
-		// A node that starts while the platform is down learns of groups only from
-		// here: without its arrival in the hash it would refuse every request until
-		// facts go round by themselves.
+		// A node that starts while the platform is down learns of groups only from these
+		// messages. Its incarnation is part of the hash so that it is sent the facts at
+		// once; otherwise it would refuse every request until the next regular message
+		// with facts.
 		int hash = Objects.hash(identities, step.state().allocation().version(), incarnations(step));
 		boolean changed = hash != publication.lastSent();
 		if (!changed && step.now().isBefore(publication.nextAt())) {
 			return;
 		}
 		ObservationPolicy policy = step.view().policy().observation();
-		// The stewards take turns: together they spread once in each interval.
+		// The stewards share the work: each one waits for as many intervals as there are
+		// stewards, so that together they publish once per interval.
 		Duration interval = policy.digestInterval().multipliedBy(policy.stewards());
 		int factsLeft = changed ? FACTS_MESSAGES_AFTER_CHANGE : Math.max(0, publication.factsLeft() - 1);
 		boolean facts = changed || publication.factsLeft() > 0 || publication.spreads() % MESSAGES_PER_FACTS == 0;
 		step.update(step.state().withPublication(publication.withSent(step.now().plus(interval), hash, factsLeft)));
 		GroupsSent message = message(step, serving, facts);
 		forward(step, message);
-		// Failure: the one message that told another data centre of a change is lost, and
-		// that one refuses its callers until addresses and members go round by
-		// themselves.
-		// So a change goes there more than once. Messages that this node only passes on
-		// are
-		// not counted: with an even number of them between two own ones the turn of the
-		// other data centres would never come.
+		// A change is sent to the other data centres more than once: if the only message
+		// were lost, a data centre would refuse its callers until the next regular
+		// message with addresses and members. Relayed messages are not counted here: with
+		// an even number of them between two messages of this node, none of its messages
+		// would go to the other data centres.
 		if (facts || publication.spreads() % MESSAGES_PER_REMOTE_SEND == 0) {
 			sendToRemoteDataCentres(step, message);
 		}
@@ -161,7 +161,7 @@
 		}
 	}
 
-	// A message of another data centre spreads on from this node.
+	// A message from another data centre is distributed from this node as the root.
 	private static void startRelay(GroupStep step, GroupsSent message, long delay) {
 		GroupPublicationState publication = step.state().spread().withNextRound();
 		step.update(step.state().withPublication(publication));
@@ -197,7 +197,7 @@
 	}
 
 	/**
-	 * Collects the columns of one set.
+	 * Collects the columns of the message for one group set.
 	 */
 	private static final class GroupSetColumns {
 
--- a/src/main/java/sycamorehill/logic/group/GroupRanking.java
+++ b/src/main/java/sycamorehill/logic/group/GroupRanking.java
@@ -6,7 +6,8 @@
 import sycamorehill.model.group.GroupRecord;
 
 /**
- * Which groups of a set are given up last: whole ones of the right shape.
+ * Ranks the groups of a set: complete groups that match the specification are the last to
+ * be removed.
  */
 final class GroupRanking {
 
--- a/src/main/java/sycamorehill/logic/group/GroupReducer.java
+++ b/src/main/java/sycamorehill/logic/group/GroupReducer.java
@@ -17,7 +17,7 @@
 import sycamorehill.model.platform.PlatformAnswer;
 
 /**
- * Forming, repairing and draining of model groups.
+ * Handles the events that concern the formation, repair and draining of model groups.
  */
 public final class GroupReducer implements Reducer<GroupState> {
 
--- a/src/main/java/sycamorehill/logic/group/GroupSpecification.java
+++ b/src/main/java/sycamorehill/logic/group/GroupSpecification.java
@@ -7,13 +7,13 @@
 import sycamorehill.model.ticket.ServiceItem;
 
 /**
- * What the truth asks of each group of a set.
+ * Specifies what the desired state requires of each group of a set.
  *
- * @param set the set
- * @param service what its groups answer
+ * @param set the group set
+ * @param service the service whose requests the groups answer
  * @param model the model to load
- * @param modelVersion its version
- * @param ticket the later of the tickets that set the set and the service
+ * @param modelVersion the version of the model
+ * @param ticket the later of the tickets that set the group set and the service
  */
 record GroupSpecification(ModelGroupItem set, ServiceName service, String model, String modelVersion, long ticket) {
 
--- a/src/main/java/sycamorehill/logic/group/GroupState.java
+++ b/src/main/java/sycamorehill/logic/group/GroupState.java
@@ -11,21 +11,21 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * State of the part: forming, repairing and draining of model groups.
+ * Holds the state of group control, which forms, repairs and drains model groups.
  *
- * @param lease the controller's lease
+ * @param lease the lease of the controller
  * @param allocation the allocation of the data centre
- * @param pending calls to the platform under way, by number
- * @param orders the last order to each engine
- * @param phaseSince since when, by the own monotonic clock, a group was seen in its
+ * @param pending the pending calls to the platform, by number
+ * @param orders the last command sent to each engine
+ * @param phaseSince the monotonic time since which each group has been observed in its
  * generation and phase
- * @param silences claimed VMs that are silent
- * @param failedAt when a load last failed on a VM
- * @param spread the spreading of serving groups between nodes
- * @param offline repairs made while the platform is silent
+ * @param silences the claimed VMs that are silent
+ * @param failedAt the time of the last failed load on each VM
+ * @param spread the publication of serving groups to other nodes
+ * @param offline the repairs made while the platform is silent
  * @param nextCall the number of the next call
- * @param nextDecisionAt when the controller decides next
- * @param stopping whether the node stops and takes no duties
+ * @param nextDecisionAt the time of the controller's next decision
+ * @param stopping whether the node is stopping and accepts no duties
  */
 public record GroupState(LeaseState lease, AllocationState allocation, PMap<Long, PendingCall> pending,
 		PMap<VmName, LastEngineCommand> orders, PMap<GroupName, PhaseStart> phaseSince, VmSilences silences,
@@ -33,7 +33,7 @@
 		Instant nextDecisionAt, boolean stopping) {
 
 	/**
-	 * The state of a fresh node.
+	 * Creates the state of a newly started node.
 	 * @return the state before the first event
 	 */
 	public static GroupState initial() {
@@ -79,7 +79,7 @@
 	}
 
 	/**
-	 * The allocation with what was repaired while the platform was silent.
+	 * Returns the allocation including the repairs made while the platform was silent.
 	 * @return the allocation, empty before the first read
 	 */
 	Optional<Allocation> effectiveAllocation() {
--- a/src/main/java/sycamorehill/logic/group/GroupStep.java
+++ b/src/main/java/sycamorehill/logic/group/GroupStep.java
@@ -17,7 +17,7 @@
 import sycamorehill.model.policy.GroupPolicy;
 
 /**
- * One step under way: the state so far and the effects so far.
+ * Collects the state changes and the effects of one step of group control.
  */
 final class GroupStep {
 
@@ -74,10 +74,10 @@
 	}
 
 	/**
-	 * Calls the platform, unless a call of the same purpose is still under way.
-	 * @param purpose what the call is for
-	 * @param request the call
-	 * @return whether it was made
+	 * Calls the platform, unless a call of the same purpose is pending.
+	 * @param purpose the purpose of the call
+	 * @param request the request
+	 * @return whether the call was made
 	 */
 	boolean callPlatform(PendingCall.Purpose purpose, PlatformRequest request) {
 		if (this.state.isPending(purpose)) {
@@ -91,8 +91,7 @@
 		return true;
 	}
 
-	// Failure: an answer never comes, and a call of its purpose would be under way for
-	// ever.
+	// A call that is never answered would block all later calls of its purpose.
 	void dropTimedOutCalls() {
 		for (PendingCall call : this.state.pending().values()) {
 			if (!call.givenUpAt().isAfter(this.now)) {
--- a/src/main/java/sycamorehill/logic/group/LastEngineCommand.java
+++ b/src/main/java/sycamorehill/logic/group/LastEngineCommand.java
@@ -5,13 +5,13 @@
 import sycamorehill.model.group.EngineOrder;
 
 /**
- * The last order to one engine.
+ * Records the last command sent to an engine.
  *
  * @param call the number of the call
- * @param order the order
- * @param sentAt own monotonic time of sending
- * @param tries how often the same order was given
- * @param notBefore when it may be given again
+ * @param order the command
+ * @param sentAt the node's monotonic time at which the command was sent
+ * @param tries the number of times the same command had been sent before
+ * @param notBefore the earliest time at which the same command may be sent again
  */
 public record LastEngineCommand(long call, EngineOrder order, Instant sentAt, int tries, Instant notBefore) {
 
--- a/src/main/java/sycamorehill/logic/group/LeaseState.java
+++ b/src/main/java/sycamorehill/logic/group/LeaseState.java
@@ -6,23 +6,25 @@
 import sycamorehill.model.group.ControllerLease;
 
 /**
- * What a node knows of the controller's lease.
+ * Holds what this node knows about the lease of the controller.
  *
- * @param seen the lease as last read or written, empty if there was none
- * @param version the version of the object, 0 if there was none
- * @param seenSince own monotonic time at which exactly this renewal was first seen
- * @param attempt the own last write whose effect is not yet known or has taken effect
- * @param heldUntil until when the own lease holds, on the own monotonic clock
- * @param nextAt when the next call is made
- * @param readAt own monotonic time at which the lease was last seen in the platform
- * @param readFirst whether the view may miss a write, so that a read comes before the
- * next one
+ * @param seen the lease as last read or written, empty if there is none
+ * @param version the version of the stored object, 0 if there is none
+ * @param seenSince the node's monotonic time at which this renewal was first read or
+ * written
+ * @param attempt this node's last write, pending or successful
+ * @param heldUntil the node's monotonic time until which it holds the lease
+ * @param nextAt the time of the next call
+ * @param readAt the node's monotonic time of the last successful read or write of the
+ * lease
+ * @param readFirst whether this node may have missed a write and has to read the lease
+ * before it writes again
  */
 public record LeaseState(Optional<ControllerLease> seen, long version, Instant seenSince,
 		Optional<LeaseAttempt> attempt, Instant heldUntil, Instant nextAt, Instant readAt, boolean readFirst) {
 
 	/**
-	 * Nothing known yet.
+	 * Creates the state of a node that has not read the lease yet.
 	 * @return the state before the first event
 	 */
 	public static LeaseState initial() {
@@ -31,8 +33,8 @@
 	}
 
 	/**
-	 * Whether the own lease holds.
-	 * @param now own monotonic time
+	 * Returns whether this node holds the lease.
+	 * @param now the current monotonic time of this node
 	 * @return whether this node is the controller
 	 */
 	public boolean isHeld(Instant now) {
@@ -40,17 +42,17 @@
 	}
 
 	/**
-	 * The fencing number of the lease as last seen.
+	 * Returns the fencing number of the lease as last read or written.
 	 * @return the number, 0 if there was none
 	 */
 	public long fencingNumber() {
 		return this.seen.map(ControllerLease::fencingNumber).orElse(0L);
 	}
 
-	// Failure: the platform was silent for minutes, nobody could renew, and at its
-	// return another node takes the lease before the holder can; what the holder did
-	// meanwhile is undone. The lease is waited for anew when the reads have been cut
-	// off.
+	// While the platform is silent nobody can renew the lease. When it answers again,
+	// another node must not take the lease as expired before the holder can renew it,
+	// because this would undo what the holder did meanwhile. So the waiting time starts
+	// again if this node could not read the lease for longer than its length.
 	LeaseState withSeen(ControllerLease lease, long changedVersion, Instant now) {
 		boolean gap = !this.readAt.equals(Instant.MIN) && this.readAt.plus(lease.length()).isBefore(now);
 		boolean same = !gap && this.seen.filter(lease::equals).isPresent();
@@ -79,10 +81,10 @@
 	}
 
 	/**
-	 * A write of the lease by this node.
+	 * Records a write of the lease by this node.
 	 *
-	 * @param lease what was written
-	 * @param sentAt own monotonic time from before it was sent
+	 * @param lease the lease that was written
+	 * @param sentAt the node's monotonic time just before the write was sent
 	 */
 	public record LeaseAttempt(ControllerLease lease, Instant sentAt) {
 
--- a/src/main/java/sycamorehill/logic/group/LoadPass.java
+++ b/src/main/java/sycamorehill/logic/group/LoadPass.java
@@ -10,8 +10,9 @@
 import sycamorehill.model.policy.GroupPolicy;
 
 /**
- * Takes the end of loads in: a group whose members are all ready serves; one whose load
- * failed is loaded again after a wait, or left alone with the reason in its record.
+ * Handles the results of loads. A group whose members are all ready starts to serve. A
+ * group whose load failed is loaded again after a delay, or stays failed with the reason
+ * in its record.
  */
 final class LoadPass implements GroupPlanner.PlanPass {
 
@@ -51,9 +52,10 @@
 		}
 	}
 
-	// Failure: a model version that can't be loaded is loaded without end and takes the
-	// weight store from groups that could serve. The waits double; and while groups of
-	// the version before still serve, a change stops after a few failures.
+	// A model version that cannot be loaded must not be loaded without end, because its
+	// loads would take the capacity of the weight store from groups that could serve. So
+	// the delay doubles after each failure, and a rollout stops after a few failures
+	// while groups of the previous version still serve.
 	private static boolean mayRetry(AllocationDraft draft, PlanContext context, GroupSpecification specification,
 			GroupRecord record) {
 		if (!specification.matches(record)) {
--- a/src/main/java/sycamorehill/logic/group/MemberSelector.java
+++ b/src/main/java/sycamorehill/logic/group/MemberSelector.java
@@ -13,7 +13,7 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * Chooses the VMs of a group: all of one fabric domain, unless the set allows otherwise.
+ * Selects the VMs of a group: all from one fabric domain, unless the set allows several.
  */
 final class MemberSelector {
 
@@ -21,12 +21,13 @@
 	}
 
 	/**
-	 * Chooses the members of a new group. Domains with the fewest groups of the set come
-	 * first, so that a domain's loss costs few of them; then the tightest fit, so that
-	 * large groups still fit elsewhere.
-	 * @param context what the decision rests on
-	 * @param draft the allocation under change
-	 * @param specification what the group is to be
+	 * Selects the members of a new group. Prefers the domain with the fewest groups of
+	 * the set, so that the loss of a domain affects few of them. Among equal ones it
+	 * prefers the domain with the fewest candidates, which keeps room for large groups
+	 * elsewhere.
+	 * @param context the state that the decision is based on
+	 * @param draft the draft allocation
+	 * @param specification the specification of the group
 	 * @return the members, empty if the group does not fit
 	 */
 	static Optional<List<VmName>> selectMembers(PlanContext context, AllocationDraft draft,
@@ -35,11 +36,11 @@
 	}
 
 	/**
-	 * Chooses the members of a group that is built anew and gives its own VMs back.
-	 * @param context what the decision rests on
-	 * @param draft the allocation under change
-	 * @param specification what the group is to be
-	 * @param own the group's own VMs that are still good
+	 * Selects the members of a group that is formed again and may reuse its own VMs.
+	 * @param context the state that the decision is based on
+	 * @param draft the draft allocation
+	 * @param specification the specification of the group
+	 * @param own the group's own VMs that are still usable
 	 * @return the members, empty if the group does not fit
 	 */
 	static Optional<List<VmName>> selectMembers(PlanContext context, AllocationDraft draft,
@@ -64,11 +65,11 @@
 	}
 
 	/**
-	 * Chooses VMs in place of lost members, from the domain of the others.
-	 * @param context what the decision rests on
-	 * @param draft the allocation under change
-	 * @param specification what the group is to be
-	 * @param kept the members that stay
+	 * Selects VMs that replace lost members, from the domains of the other members.
+	 * @param context the state that the decision is based on
+	 * @param draft the draft allocation
+	 * @param specification the specification of the group
+	 * @param kept the members that stay in the group
 	 * @return the replacements, empty if there are too few
 	 */
 	static Optional<List<VmName>> selectReplacements(PlanContext context, AllocationDraft draft,
@@ -109,7 +110,7 @@
 		return groups;
 	}
 
-	// The fewest domains: each further one makes the group slower.
+	// Uses as few domains as possible, because each further one slows the group down.
 	private static List<VmName> selectAcrossDomains(Map<FabricDomain, List<VmName>> byDomain, int members) {
 		List<VmName> chosen = new ArrayList<>();
 		byDomain.values()
--- a/src/main/java/sycamorehill/logic/group/OfflineController.java
+++ b/src/main/java/sycamorehill/logic/group/OfflineController.java
@@ -19,7 +19,7 @@
 import sycamorehill.model.peer.PlatformSilent;
 
 /**
- * Repairs groups while the platform is silent to the whole data centre: only with
+ * Repairs groups while the platform is silent to the whole data centre. It uses only
  * standbys that the allocation had claimed before, so that no new claim is needed.
  */
 final class OfflineController {
@@ -36,8 +36,8 @@
 	}
 
 	/**
-	 * Tells the other stewards when the platform is silent.
-	 * @param step the step
+	 * Reports to the other stewards that the platform is silent to this node.
+	 * @param step the current step
 	 * @param steward whether this node is a steward
 	 */
 	static void tick(GroupStep step, boolean steward) {
@@ -60,11 +60,11 @@
 		}
 	}
 
-	// Failure: only this node's link to the platform is cut, another node takes the
-	// lease and repairs the same group with the same standby, and each orders the VMs
-	// out of the other's group. So this node repairs only if it held the lease last,
-	// and the other stewards, of which there must be one, hear nothing of the
-	// platform either.
+	// If only this node has lost its link to the platform, another node may acquire the
+	// lease and repair the same group with the same standby. Each would then remove the
+	// VMs from the other's group. So this node repairs groups only if it was the last
+	// holder of the lease and all other stewards, of which there must be at least one,
+	// report that the platform is silent to them too.
 	static boolean mayRepair(GroupStep step) {
 		GroupState state = step.state();
 		Optional<Allocation> known = state.allocation().known();
@@ -98,9 +98,10 @@
 	}
 
 	/**
-	 * Repairs what standbys can repair, and sees it through.
-	 * @param step the step
-	 * @param context what the decision rests on
+	 * Repairs groups that the claimed standbys can complete, and sends the commands for
+	 * these repairs.
+	 * @param step the current step
+	 * @param context the state that the decision is based on
 	 */
 	static void repairGroups(GroupStep step, PlanContext context) {
 		Allocation allocation = step.state().effectiveAllocation().orElseThrow();
--- a/src/main/java/sycamorehill/logic/group/OfflineState.java
+++ b/src/main/java/sycamorehill/logic/group/OfflineState.java
@@ -16,21 +16,23 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * Repairs made while the platform is silent, with standbys that the allocation had
- * claimed before.
+ * Holds the repairs made while the platform is silent, with standbys that the allocation
+ * had claimed before.
  *
- * @param baseVersion version of the allocation that they rest on
- * @param repairs how many there were in this life of the node
+ * @param baseVersion the version of the allocation that the repairs are based on
+ * @param repairs the number of repairs in this incarnation of the node
  * @param repaired the repaired groups
- * @param silentPeers when another steward last said that the platform is silent to it
- * @param nextWordAt when this node says so next
+ * @param silentPeers the time at which each other steward last reported that the platform
+ * is silent to it
+ * @param nextWordAt the time of this node's next report that the platform is silent to it
  */
 public record OfflineState(long baseVersion, long repairs, PMap<GroupName, GroupRecord> repaired,
 		PMap<NodeIncarnation, Instant> silentPeers, Instant nextWordAt) {
 
 	/**
-	 * Generations from here on were given while the platform was silent: the fencing
-	 * number of the controller and a counter, so that no other node gives the same.
+	 * The lowest generation that is assigned while the platform is silent. Such a
+	 * generation contains the controller's fencing number and a counter, so that no other
+	 * node assigns the same.
 	 */
 	static final long FIRST_OFFLINE_GENERATION = 1L << 50;
 
@@ -45,7 +47,7 @@
 	}
 
 	/**
-	 * The fencing number behind a generation that was given while the platform was
+	 * Returns the fencing number in a generation that was assigned while the platform was
 	 * silent.
 	 * @param generation the generation
 	 * @return the fencing number
@@ -55,10 +57,10 @@
 	}
 
 	/**
-	 * The allocation with the repairs in it.
-	 * @param allocation the allocation as known
+	 * Returns the allocation with the repairs applied to it.
+	 * @param allocation the known allocation
 	 * @param version its version
-	 * @return the very same if no repair rests on this version
+	 * @return the allocation, the same instance if no repair is based on this version
 	 */
 	Allocation applyTo(Allocation allocation, long version) {
 		if (version != this.baseVersion || this.repaired.isEmpty()) {
--- a/src/main/java/sycamorehill/logic/group/PendingCall.java
+++ b/src/main/java/sycamorehill/logic/group/PendingCall.java
@@ -3,29 +3,29 @@
 import java.time.Instant;
 
 /**
- * A call of the part to the platform whose answer has not come.
+ * Describes a call to the platform that has not been answered yet.
  *
- * @param number the call's number
- * @param purpose what it is for
- * @param givenUpAt own monotonic time at which it is given up
+ * @param number the number of the call
+ * @param purpose the purpose of the call
+ * @param givenUpAt the node's monotonic time after which the answer is no longer awaited
  */
 public record PendingCall(long number, Purpose purpose, Instant givenUpAt) {
 
 	/**
-	 * What a call is for.
+	 * Names the purpose of a call.
 	 */
 	public enum Purpose {
 
-		/** Reads the controller's lease. */
+		/** Reads the lease of the controller. */
 		READ_LEASE,
 
-		/** Takes, renews or gives back the lease. */
+		/** Acquires, renews or releases the lease. */
 		WRITE_LEASE,
 
 		/** Reads the allocation. */
 		READ_ALLOCATION,
 
-		/** Changes the allocation. */
+		/** Writes the allocation. */
 		WRITE_ALLOCATION
 
 	}
--- a/src/main/java/sycamorehill/logic/group/PhaseStart.java
+++ b/src/main/java/sycamorehill/logic/group/PhaseStart.java
@@ -6,11 +6,11 @@
 import sycamorehill.model.group.GroupPhase;
 
 /**
- * Since when this node has seen a group in its generation and phase.
+ * Records since when this node has observed a group in its generation and phase.
  *
  * @param identity the group and generation
  * @param phase the phase
- * @param since own monotonic time
+ * @param since the node's monotonic time of the first such observation
  */
 public record PhaseStart(GroupIdentity identity, GroupPhase phase, Instant since) {
 
--- a/src/main/java/sycamorehill/logic/group/PlanContext.java
+++ b/src/main/java/sycamorehill/logic/group/PlanContext.java
@@ -24,16 +24,16 @@
 import sycamorehill.model.policy.ObservationPolicy;
 
 /**
- * What a controller's decision rests on.
+ * Holds the state that a controller's decision is based on.
  *
- * @param now own monotonic time
- * @param fleet what is known of the VMs
- * @param specifications what the truth asks for
- * @param silences VMs that have been silent while this node watched
- * @param phaseSince since when each group is in its phase
- * @param failedAt when a load last failed on a VM
- * @param observation the bounds of sight
- * @param policy the bounds of group control
+ * @param now the current monotonic time of this node
+ * @param fleet the known VMs and their reports
+ * @param specifications the group specifications of the desired state
+ * @param silences the VMs that have been silent while this node observed them
+ * @param phaseSince the time since which each group has been in its phase
+ * @param failedAt the time of the last failed load on each VM
+ * @param observation the policy for observations
+ * @param policy the policy for groups
  */
 record PlanContext(Instant now, Fleet fleet, List<GroupSpecification> specifications, VmSilences silences,
 		PMap<GroupName, PhaseStart> phaseSince, PMap<VmName, Instant> failedAt, ObservationPolicy observation,
@@ -60,10 +60,10 @@
 	}
 
 	/**
-	 * Whether a member of a loaded group is in it no more, by its own word.
+	 * Returns whether a member reports that it is no longer in its group.
 	 * @param vm the VM
 	 * @param record the group
-	 * @return whether the engine has lost the group
+	 * @return whether the engine is in no group or in another one
 	 */
 	boolean hasLeftGroup(VmName vm, GroupRecord record) {
 		return freshReport(vm).filter((report) -> !report.group().equals(Optional.of(record.identity()))).isPresent();
@@ -76,9 +76,9 @@
 	}
 
 	/**
-	 * Whether a VM may be given to a group.
+	 * Returns whether a VM may become a member of a group.
 	 * @param vm the VM
-	 * @return whether it is listed as live, freshly seen and not said to leave
+	 * @return whether it is listed as live, was observed recently and is not leaving
 	 */
 	boolean isUsable(VmName vm) {
 		VmEntry entry = this.fleet.entries().get(vm);
@@ -87,8 +87,9 @@
 	}
 
 	/**
-	 * The VMs that nothing claims, those without a recent failed load first.
-	 * @param draft the allocation under change
+	 * Returns the VMs that no group and no standby claims, those without a recent failed
+	 * load first.
+	 * @param draft the draft allocation
 	 * @return the VMs
 	 */
 	List<VmName> freeVms(AllocationDraft draft) {
@@ -113,9 +114,10 @@
 	}
 
 	/**
-	 * How long a group has been in its phase, as far as this node knows.
+	 * Returns how long a group has been in its phase, as far as this node has observed
+	 * it.
 	 * @param record the group
-	 * @return the time, zero if it was not seen so before
+	 * @return the duration, zero if the group was not observed in this phase before
 	 */
 	Duration timeInPhase(GroupRecord record) {
 		PhaseStart phaseStart = this.phaseSince.get(record.identity().name());
@@ -125,11 +127,12 @@
 	}
 
 	/**
-	 * Whether a draining group runs nothing any more. The count asked for must be from
-	 * after every node has stopped sending: those that heard of the drain at once, those
-	 * that are cut off when their sight of the group has aged.
+	 * Returns whether a draining group has completed all its requests. The count of its
+	 * head must be more recent than the time at which all nodes have stopped sending:
+	 * informed nodes stop at once, partitioned nodes when their observation of the group
+	 * is too old.
 	 * @param record the draining group
-	 * @return whether its head counts no work
+	 * @return whether its head reports no running and no queued requests
 	 */
 	boolean isDrained(GroupRecord record) {
 		Duration settlingTime = this.observation.freshness().plus(ROUTING_STOP_DELAY);
--- a/src/main/java/sycamorehill/logic/group/PublishedGroup.java
+++ b/src/main/java/sycamorehill/logic/group/PublishedGroup.java
@@ -11,11 +11,12 @@
 import sycamorehill.model.peer.GroupFacts;
 
 /**
- * A serving group as a steward spread it.
+ * Describes a serving group as published by a steward.
  *
  * @param identity the group and generation
- * @param facts what does not change within the generation, once it is known
- * @param seenAt own monotonic time of the oldest sight of a member
+ * @param facts the data that stays the same within a generation, empty until it is
+ * received
+ * @param seenAt the node's monotonic time of the oldest observation of a member
  * @param load the load of its head
  */
 public record PublishedGroup(GroupIdentity identity, Optional<GroupFacts> facts, Instant seenAt, Load load) {
@@ -25,9 +26,9 @@
 	}
 
 	/**
-	 * The sight of the head, as far as it was spread.
+	 * Returns the observation of the head, limited to the published values.
 	 * @param head the head
-	 * @return the sight
+	 * @return the observation
 	 */
 	VmSight headObservation(VmName head) {
 		VmReport report = new VmReport(head, "", EngineState.READY, Optional.of(this.identity), false,
@@ -36,12 +37,12 @@
 	}
 
 	/**
-	 * The load of a group's head.
+	 * Describes the load of a group's head.
 	 *
-	 * @param running requests that it runs
-	 * @param queued requests that wait in it
-	 * @param tokensPerSecond tokens generated in its last second
-	 * @param freeCacheTokens room in its cache
+	 * @param running the number of running requests
+	 * @param queued the number of queued requests
+	 * @param tokensPerSecond the number of tokens generated in the last second
+	 * @param freeCacheTokens the free capacity of the cache in tokens
 	 */
 	public record Load(int running, int queued, int tokensPerSecond, long freeCacheTokens) {
 
--- a/src/main/java/sycamorehill/logic/group/PublishedGroups.java
+++ b/src/main/java/sycamorehill/logic/group/PublishedGroups.java
@@ -13,9 +13,9 @@
 import sycamorehill.model.peer.GroupsSent;
 
 /**
- * The serving groups of one data centre as its stewards spread them.
+ * Holds the serving groups of one data centre as published by its stewards.
  *
- * @param version version of the allocation behind them
+ * @param version the version of the allocation that they are based on
  * @param groups the groups
  */
 public record PublishedGroups(long version, PMap<GroupName, PublishedGroup> groups) {
@@ -25,14 +25,15 @@
 	}
 
 	/**
-	 * Takes a message in. Failure: a steward that lags behind tells of a group that has
-	 * been given up since, and work goes there again. A message that rests on an older
-	 * allocation is passed over, and one on a newer allocation replaces everything.
-	 * Between two messages on the same one the fresher sight of each group counts: a
-	 * steward with a cut link does not stop a group that the other one sees.
+	 * Merges a message. A steward with an outdated allocation may publish a group that
+	 * has been removed, and requests would be sent to it. So a message based on an older
+	 * allocation is ignored, and one based on a newer allocation replaces everything.
+	 * Among messages based on the same allocation the most recent observation of each
+	 * group is kept, so that a partitioned steward does not stop a group that another
+	 * steward observes.
 	 * @param message the message
-	 * @param sentAt own monotonic time of its sending
-	 * @return what is known now
+	 * @param sentAt the node's monotonic time at which the message was sent
+	 * @return the updated groups
 	 */
 	PublishedGroups withMessage(GroupsSent message, Instant sentAt) {
 		if (message.allocationVersion() < this.version) {
--- a/src/main/java/sycamorehill/logic/group/RepairPass.java
+++ b/src/main/java/sycamorehill/logic/group/RepairPass.java
@@ -36,9 +36,9 @@
 				&& record.members().stream().anyMatch((vm) -> context.fleet().isLeaving(vm) && !context.isDead(vm));
 	}
 
-	// A group with a leaving member gets no new work from now on. The missing group is
-	// built at once where it fits whole; else the group is built anew once it has
-	// drained.
+	// A serving group with a leaving member is drained and receives no new requests. A
+	// replacement is formed at once if a complete group fits; otherwise the group is
+	// formed again after the drain.
 	private static void handleLeavingMember(AllocationDraft draft, PlanContext context,
 			GroupSpecification specification, GroupRecord record) {
 		List<VmName> leaving = record.members().stream().filter(context.fleet()::isLeaving).toList();
@@ -60,8 +60,8 @@
 		return record.phase() == GroupPhase.SERVING && hasInternalFailure(context, record);
 	}
 
-	// An engine that restarted in no group, or a replica that says it has failed although
-	// all its members still answer.
+	// Detects an engine that restarted and is in no group, or a replica that reports a
+	// failure although all its members still answer.
 	private static boolean hasInternalFailure(PlanContext context, GroupRecord record) {
 		boolean failed = record.members()
 			.stream()
@@ -80,9 +80,9 @@
 		return members.isPresent();
 	}
 
-	// Two groups that each lack a member, and nothing to repair them with: one gives its
-	// members to the other. Without a second one the group waits as it is: a member that
-	// was only paused comes back in its generation and the group serves again.
+	// If two groups each lack a member and no VM can replace it, one group is removed and
+	// the other uses its members. A single broken group is kept: a member that was only
+	// paused returns in its generation, and the group serves again.
 	private static void mergeBroken(AllocationDraft draft, PlanContext context, GroupSpecification specification,
 			List<GroupRecord> broken) {
 		List<GroupRecord> unrepaired = new ArrayList<>(broken);
--- a/src/main/java/sycamorehill/logic/group/RollingUpdatePass.java
+++ b/src/main/java/sycamorehill/logic/group/RollingUpdatePass.java
@@ -9,8 +9,9 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * Brings groups of an older shape (model, version, service, size) to the one that the
- * truth asks for, one after the other, so that the rest goes on serving.
+ * Updates groups with an older specification (model, version, service, size) to the one
+ * that the desired state requires, one after the other, so that the others continue to
+ * serve.
  */
 final class RollingUpdatePass implements GroupPlanner.PlanPass {
 
@@ -22,7 +23,8 @@
 		}
 	}
 
-	// A group that is still loading serves nobody: it begins again in the new shape.
+	// A group that is still loading serves no requests, so it starts again with the new
+	// specification.
 	private static void updateForming(AllocationDraft draft, PlanContext context, GroupSpecification specification) {
 		for (GroupRecord record : draft.groups(specification.set().name())) {
 			if (record.phase() == GroupPhase.FORMING && !specification.matches(record)) {
--- a/src/main/java/sycamorehill/logic/group/ServingGroups.java
+++ b/src/main/java/sycamorehill/logic/group/ServingGroups.java
@@ -22,7 +22,7 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * The groups that may be given work now.
+ * Determines the groups that may receive requests.
  */
 public final class ServingGroups {
 
@@ -30,12 +30,12 @@
 	}
 
 	/**
-	 * The groups of all data centres that may be given work.
-	 * @param state what the node knows of groups
+	 * Returns the groups of all data centres that may receive requests for a service.
+	 * @param state the state of group control
 	 * @param view the node's view
 	 * @param service the service
-	 * @param now own monotonic time
-	 * @return the targets, by data centre and name
+	 * @param now the current monotonic time of this node
+	 * @return the targets, sorted by data centre and name
 	 */
 	public static List<ServingTarget> of(GroupState state, NodeView view, ServiceName service, Instant now) {
 		DataCentreName own = view.self().dataCentre();
@@ -92,10 +92,10 @@
 	}
 
 	/**
-	 * The sight of a group's head as the stewards spread it.
-	 * @param state what the node knows of groups
+	 * Returns the observation of a group's head as published by the stewards.
+	 * @param state the state of group control
 	 * @param head the head
-	 * @return the sight, if the VM is the head of a known group
+	 * @return the observation, empty if the VM is not the head of a published group
 	 */
 	public static Optional<VmSight> publishedHeadObservation(GroupState state, VmName head) {
 		for (PublishedGroups groups : state.spread().groups().values()) {
@@ -109,16 +109,15 @@
 	}
 
 	/**
-	 * Whether a group may be given work. Failure: the head still answers although a
-	 * member is gone, was replaced at the same address, or has joined another group; it
-	 * shows as streams that stall or mix. So every member counts, each must have said of
-	 * itself that it is ready in exactly this generation, and a sight without a recent
-	 * time is none.
+	 * Returns whether a group may receive requests. The head still answers if a member is
+	 * gone, was replaced at the same address or has joined another group; streams would
+	 * then stall or mix. So every member must have reported recently that it is ready in
+	 * exactly this generation.
 	 * @param record the group
-	 * @param fleet what is known of the VMs
-	 * @param now own monotonic time
-	 * @param freshness the oldest sight that counts
-	 * @return whether it serves whole
+	 * @param fleet the known VMs and their reports
+	 * @param now the current monotonic time of this node
+	 * @param freshness the maximum age of an observation
+	 * @return whether the group is in the serving phase and complete
 	 */
 	static boolean isServing(GroupRecord record, Fleet fleet, Instant now, Duration freshness) {
 		return record.phase() == GroupPhase.SERVING && record.members()
--- a/src/main/java/sycamorehill/logic/group/StandbyPass.java
+++ b/src/main/java/sycamorehill/logic/group/StandbyPass.java
@@ -14,7 +14,7 @@
 import sycamorehill.model.policy.RepairRules;
 
 /**
- * Claims standbys from what is left, and gives back those that are of no use.
+ * Claims standbys from the free VMs and releases those that are no longer required.
  */
 final class StandbyPass implements GroupPlanner.PlanPass {
 
@@ -66,7 +66,7 @@
 			.count() >= specification.set().groups();
 	}
 
-	// The domain with the most groups for each standby that it already has.
+	// Prefers the domain with the most groups per standby.
 	private static Optional<VmName> chooseStandby(AllocationDraft draft, PlanContext context, GroupSetName set) {
 		return context.freeVms(draft)
 			.stream()
--- a/src/main/java/sycamorehill/logic/group/SurplusPass.java
+++ b/src/main/java/sycamorehill/logic/group/SurplusPass.java
@@ -9,7 +9,7 @@
 import sycamorehill.model.identity.GroupSetName;
 
 /**
- * Drains the groups that the truth no longer asks for.
+ * Drains the groups that the desired state no longer requires.
  */
 final class SurplusPass implements GroupPlanner.PlanPass {
 
@@ -41,9 +41,9 @@
 		}
 	}
 
-	// A group of the new shape that is built next to one of the old shape is no surplus
-	// before it serves. One whose load failed stays too: its record holds the reason, and
-	// the change stops at it.
+	// A group with the new specification that is formed beside one with the old
+	// specification is not surplus until it serves. A group whose load failed is kept
+	// too: its record holds the reason, and the rollout stops at it.
 	private static boolean isBuildingReplacement(List<GroupRecord> retained, GroupSpecification specification) {
 		boolean replacing = retained.stream()
 			.anyMatch((record) -> record.phase() != GroupPhase.SERVING && specification.matches(record));
--- a/src/main/java/sycamorehill/logic/group/VmSilences.java
+++ b/src/main/java/sycamorehill/logic/group/VmSilences.java
@@ -22,15 +22,15 @@
 import sycamorehill.model.policy.RepairRules;
 
 /**
- * VMs that are claimed and not seen, with the time since which this node has watched them
- * be silent.
+ * Tracks the claimed VMs that are silent, and since when this node has observed their
+ * silence.
  *
- * @param since own monotonic time of the beginning of each silence
- * @param lookedAt own monotonic time of the last look
- * @param trusted whether the own view is good enough to tell the dead
- * @param companyAt own monotonic time at which another node was last heard of
- * @param deserted whether the other nodes have fallen silent of late
- * @param gone VMs of which another sign than silence says that they are dead
+ * @param since the node's monotonic time at the start of each silence
+ * @param lookedAt the node's monotonic time of the last update
+ * @param trusted whether this node observes enough VMs to decide that one is dead
+ * @param companyAt the node's monotonic time at which another node was last live
+ * @param deserted whether all other nodes have recently become silent
+ * @param gone the silent VMs with further evidence that they are dead
  */
 public record VmSilences(PMap<VmName, Instant> since, Instant lookedAt, boolean trusted, Instant companyAt,
 		boolean deserted, PSet<VmName> gone) {
@@ -48,20 +48,20 @@
 	}
 
 	/**
-	 * Looks at the claimed VMs.
-	 * @param fleet what is known of the VMs
+	 * Updates the silences from the latest observations.
+	 * @param fleet the known VMs and their reports
 	 * @param groups the groups
-	 * @param standbys the VMs claimed ahead of time
-	 * @param hasPeers whether another node of the data centre is heard of
-	 * @param now own monotonic time
-	 * @param reportInterval how often engines are asked
-	 * @return the silences after this look
+	 * @param standbys the claimed standbys
+	 * @param hasPeers whether another node of the data centre is live
+	 * @param now the current monotonic time of this node
+	 * @param reportInterval the interval at which engines are asked for a report
+	 * @return the updated silences
 	 */
 	VmSilences update(Fleet fleet, Iterable<GroupRecord> groups, Iterable<VmName> standbys, boolean hasPeers,
 			Instant now, Duration reportInterval) {
-		// Failure: this node was paused, and on waking every sight that it has is old: it
-		// would take the whole data centre for dead and rebuild it. A silence counts only
-		// while the node itself was looking.
+		// After a pause of this node all its observations are old. It would consider the
+		// whole data centre dead and rebuild it. So a silence counts only while this node
+		// was updating its observations.
 		boolean paused = this.lookedAt.equals(Instant.MIN) || this.lookedAt.plus(MAXIMUM_UPDATE_GAP).isBefore(now);
 		boolean discardsEarlier = paused || this.deserted || !this.trusted;
 		PMap<VmName, Instant> before = discardsEarlier ? HashTreePMap.empty() : this.since;
@@ -80,10 +80,9 @@
 				}
 			}
 		}
-		// Failure: this node's link to one VM is cut and so are its links to the
-		// nodes that still see the VM; it would rebuild a group that serves. When all
-		// other nodes have fallen silent a moment ago, silence of a VM proves
-		// nothing.
+		// This node may be partitioned from a VM and from the nodes that still observe
+		// it, and would rebuild a group that serves. So the silence of a VM proves
+		// nothing if all other nodes have recently become silent.
 		Instant lastContactAt = hasPeers ? now : this.companyAt;
 		boolean hadRecentContact = !lastContactAt.equals(Instant.MIN)
 				&& lastContactAt.plus(RECENT_CONTACT).isAfter(now);
@@ -111,9 +110,9 @@
 		return first != null && !first.plus(MINIMUM_REFUSAL_DURATION).isAfter(now);
 	}
 
-	// Failure: the own links are cut, every VM is silent, and the controller would
-	// declare all dead. As long as no domain shows at least half of its VMs, the fault is
-	// taken to be on this side.
+	// If this node's own links fail, every VM is silent and the controller would declare
+	// all of them dead. So the fault is assumed to be local unless this node observes at
+	// least half of the VMs of some domain.
 	private static boolean isAnyDomainObserved(Fleet fleet, Instant now, Duration bound) {
 		Map<FabricDomain, int[]> counts = new HashMap<>();
 		for (VmEntry entry : fleet.entries().values()) {
@@ -127,15 +126,15 @@
 	}
 
 	/**
-	 * Whether a VM is taken for dead.
+	 * Returns whether a VM is considered dead.
 	 * @param vm the VM
-	 * @param now own monotonic time
-	 * @param rules how groups are repaired
-	 * @return whether its group has to go on without it
+	 * @param now the current monotonic time of this node
+	 * @param rules the rules for repairs
+	 * @return whether its group has to continue without it
 	 */
 	boolean isDead(VmName vm, Instant now, RepairRules rules) {
-		// Failure: a node that controlled the groups minutes ago takes the lease
-		// again and decides on what it watched then.
+		// A node that controlled the groups minutes ago and acquires the lease again must
+		// not decide on its observations from that time.
 		if (this.lookedAt.equals(Instant.MIN) || this.lookedAt.plus(MAXIMUM_UPDATE_GAP).isBefore(now)) {
 			return false;
 		}
@@ -147,7 +146,7 @@
 	}
 
 	/**
-	 * The VMs that are silent.
+	 * Returns the silent VMs.
 	 * @return the VMs
 	 */
 	Iterable<VmName> silentVms() {
--- a/src/main/java/sycamorehill/logic/group/package-info.java
+++ b/src/main/java/sycamorehill/logic/group/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Forming, repairing and draining of model groups.
+ * Forms, repairs and drains the groups of VMs that serve a model.
  */
 package sycamorehill.logic.group;
--- a/src/test/java/sycamorehill/logic/group/FaultyTrialPlatform.java
+++ b/src/test/java/sycamorehill/logic/group/FaultyTrialPlatform.java
@@ -10,7 +10,7 @@
 import sycamorehill.support.FakePlatform;
 
 /**
- * The fake platform with its lost and late calls, as a trial uses it.
+ * Lets a trial use the fake platform, which loses and delays calls.
  */
 final class FaultyTrialPlatform implements TrialPlatform {
 
--- a/src/test/java/sycamorehill/logic/group/GroupChangeTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupChangeTests.java
@@ -42,7 +42,7 @@
 		Assertions.assertThat(trial.figures().brokenStreams()).isZero();
 	}
 
-	// No VM is left over to build the new groups beside the old ones.
+	// No VM is free to form the new groups beside the old ones.
 	@Test
 	void aFullDataCentreIsUpdatedOneGroupAtATime() {
 		GroupTrial trial = GroupTrials.formed(2, 4, 0);
@@ -61,8 +61,8 @@
 		Assertions.assertThat(trial.figures().brokenStreams()).isZero();
 	}
 
-	// The new version can't be loaded. Operators see the service go on with the old one,
-	// and the reason in the group's record.
+	// The new version cannot be loaded. The service continues with the old version, and
+	// the record of the failed group holds the reason.
 	@Test
 	void aVersionThatFailsToLoadStopsTheRollout() {
 		GroupTrial trial = GroupTrials.formed(4, 3, 0);
@@ -90,8 +90,9 @@
 			.allMatch((group) -> group.modelVersion().equals("1") && group.phase() == GroupPhase.SERVING);
 	}
 
-	// A node is cut off from its peers and the platform, does not hear of the drain and
-	// goes on sending streams until its sight of the group has aged.
+	// Guards against interrupted streams during a drain. A node is partitioned from its
+	// peers and the platform, is not informed of the drain, and sends streams until its
+	// observation of the group is too old.
 	@Test
 	void aNodeThatIsNotInformedOfTheDrainLosesNoStream() {
 		GroupTrial trial = GroupTrials.formed(6, 3, 0);
@@ -109,7 +110,8 @@
 		Assertions.assertThat(trial.figures().brokenStreams()).isZero();
 	}
 
-	// The VM list says that a member will go. Work sent there now would be cut off.
+	// The VM list announces that a member will leave. Requests sent to its group after
+	// that would be interrupted.
 	@Test
 	void aLeavingMemberDrainsItsGroupAndStartsTheReplacementAtOnce() {
 		GroupTrial trial = GroupTrials.formed(7, 2, 0);
@@ -126,8 +128,9 @@
 		Assertions.assertThat(trial.figures().brokenStreams()).isZero();
 	}
 
-	// A controller is paused with orders in its hand, past its lease; another one builds
-	// the groups differently; the first one wakes and sends. The engines ignore fencing.
+	// Guards against late commands. A controller pauses past its lease before it sends
+	// its commands, another one forms the groups differently, then the first one resumes
+	// and sends. The engines ignore fencing numbers.
 	@Test
 	void aControllerThatResumesAfterItsLeaseDoesNoHarm() {
 		for (long seed = 1; seed <= 20; seed++) {
--- a/src/test/java/sycamorehill/logic/group/GroupControllerTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupControllerTests.java
@@ -88,8 +88,8 @@
 		return ServingGroups.isServing(record, contextWithVmIn(generation).fleet(), NOW, Duration.ofSeconds(5));
 	}
 
-	// A member comes back from a long pause, still ready in a generation that was given
-	// up while it was away. With it the replica would mix two memberships.
+	// Guards against a replica that mixes two memberships. A member resumes after a long
+	// pause, still ready in a generation that was removed meanwhile.
 	@Test
 	void aMemberOfAnOlderGenerationDoesNotCount() {
 		Assertions.assertThat(isServingWithVmIn(4)).isTrue();
@@ -110,9 +110,8 @@
 		return before.update(fleet, List.of(), List.of(VM), hasPeers, NOW.plusSeconds(second), Duration.ofSeconds(1));
 	}
 
-	// A node watches a VM fall silent, loses the lease, takes it again a minute later and
-	// happens to find the VM silent for a moment: it may have served all the time
-	// between.
+	// A node observes a silent VM, loses the lease, acquires it again a minute later and
+	// finds the VM silent for a moment. The VM may have served all the time between.
 	@Test
 	void silenceObservedDuringAnEarlierLeaseDoesNotCount() {
 		VmSilences observed = update(update(update(VmSilences.none(), 0), 1), 2);
@@ -121,7 +120,8 @@
 		Assertions.assertThat(after.isDead(VM, NOW.plusSeconds(62), GroupPolicy.standard().repair())).isFalse();
 	}
 
-	// The node takes the lease again, and a read is answered before it has looked once.
+	// The node acquires the lease again, and the answer to a read arrives before the
+	// first update.
 	@Test
 	void outdatedSilenceDoesNotMarkAVmDead() {
 		VmSilences observed = VmSilences.none();
@@ -131,7 +131,7 @@
 		Assertions.assertThat(observed.isDead(VM, NOW.plusSeconds(100), GroupPolicy.standard().repair())).isFalse();
 	}
 
-	// The other nodes fall silent, and so does a VM: the fault may be on this side.
+	// The other nodes and a VM become silent, so the fault may be on this node's side.
 	@Test
 	void silenceObservedWithoutPeersDoesNotMarkAVmDead() {
 		VmSilences observed = update(VmSilences.none(), 0);
@@ -150,8 +150,8 @@
 		Assertions.assertThat(observed.isDead(VM, NOW.plusSeconds(40), GroupPolicy.standard().repair())).isTrue();
 	}
 
-	// A controller with an old view meets a group that was formed since, and would order
-	// its VMs out of it, streams and all.
+	// Guards against interrupted streams. A controller with an outdated allocation
+	// observes a group that was formed since, and would send its VMs a leave command.
 	@Test
 	void aGroupNewerThanTheKnownAllocationIsNotChanged() {
 		Assertions.assertThat(EngineReconciler.requiredCommands(allocation(5), contextWithVmIn(5))).isEmpty();
@@ -165,8 +165,8 @@
 			.hasSize(1);
 	}
 
-	// A new controller finds a group loading. Ordered again, an engine that ignores the
-	// repeat would begin its load anew.
+	// Guards against a second load. A new controller finds a group that is loading; an
+	// engine that does not recognise a repeated join command would start its load again.
 	@Test
 	void anEngineThatIsAlreadyLoadingGetsNoSecondJoinCommand() {
 		GroupIdentity group = GroupIdentity.of(GroupName.of(GroupSetName.of("s"), 0), 4);
@@ -191,8 +191,9 @@
 			.isDrained(record);
 	}
 
-	// The head counts no work for a moment, and a node that has not heard of the
-	// drain yet sends the next stream just before the engine is ordered to leave.
+	// Guards against interrupted streams. The head reports no requests for a moment, and
+	// a node that does not know of the drain yet sends a stream just before the engine
+	// receives the leave command.
 	@Test
 	void aCountOfZeroEndsADrainOnlyAfterAllNodesHaveStoppedSending() {
 		Assertions.assertThat(isDrainedAfter(5, 0)).isFalse();
@@ -200,7 +201,7 @@
 		Assertions.assertThat(isDrainedAfter(9, 1)).isTrue();
 	}
 
-	// A controller is paused between its look at the allocation and its orders.
+	// The controller pauses between reading the allocation and sending its commands.
 	@Test
 	void commandsForAnOutdatedAllocationWaitForARead() {
 		GroupStep step = step(Duration.ofSeconds(20));
@@ -218,15 +219,16 @@
 				.isEqualTo(NOW.minusMillis(300).plus(GroupPolicy.standard().orderWindow())));
 	}
 
-	// A read that was answered by a lagging copy comes after the own write.
+	// The answer of an outdated replica arrives after the node's own write.
 	@Test
 	void aStaleReadDoesNotRevertTheAllocation() {
 		AllocationState state = AllocationState.initial().withConfirmed(allocation(5), 8, NOW);
 		Assertions.assertThat(state.withConfirmed(allocation(4), 7, NOW.plusSeconds(1))).isEqualTo(state);
 	}
 
-	// A read is answered while the own write is still under way. Taken for settled, the
-	// write would be planned a second time, and its answer belong to nothing.
+	// The answer to a read arrives while the node's own write is pending. If the write
+	// counted as complete, it would be planned a second time and its answer would be
+	// ignored.
 	@Test
 	void aReadThatOvertakesAWriteDoesNotCompleteIt() {
 		AllocationState writing = AllocationState.initial()
@@ -242,8 +244,8 @@
 		Assertions.assertThat(step.state().allocation().attempt()).isPresent();
 	}
 
-	// The answer of a renewal comes four seconds late. Counted from the answer, the lease
-	// would hold four seconds longer than the others wait.
+	// The answer to a renewal arrives four seconds late. If the lease started with the
+	// answer, it would last four seconds longer than the other nodes wait.
 	@Test
 	void theLeaseStartsWhenTheRenewalIsSent() {
 		ControllerLease lease = new ControllerLease(DATA_CENTRE, HOLDER, 1, Duration.ofSeconds(6), 1);
--- a/src/test/java/sycamorehill/logic/group/GroupHistoryTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupHistoryTests.java
@@ -17,10 +17,10 @@
 import sycamorehill.experiment.group.TrialNode;
 
 /**
- * Histories under everything at once: VMs that die, pause, restart and leave, nodes that
- * pause and are cut off, lost and late calls and orders, engines that ignore fencing
- * numbers, and tickets in between. New seeds: {@code mvn -o test
- * -Dtest=GroupHistoryTests -DgroupSeeds=FIRST:COUNT}.
+ * Runs random histories with all faults at the same time: VMs that crash, pause, restart
+ * and leave, nodes that pause and are partitioned, lost and late calls and commands,
+ * engines that ignore fencing numbers, and tickets in between. Other seeds: {@code mvn -o
+ * test -Dtest=GroupHistoryTests -DgroupSeeds=FIRST:COUNT}.
  */
 class GroupHistoryTests {
 
--- a/src/test/java/sycamorehill/logic/group/GroupOfflineTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupOfflineTests.java
@@ -30,7 +30,7 @@
 	}
 
 	/**
-	 * A group in whose domain a standby is held, if any is.
+	 * Returns a group with a standby in its domain, or any group if there is none.
 	 */
 	private static GroupRecord repairableGroup(GroupTrial trial) {
 		Allocation allocation = allocation(trial);
@@ -63,8 +63,8 @@
 		trial.run(REPAIR_TIME);
 	}
 
-	// The data centre is cut off from the platform, and a member dies. A standby that was
-	// claimed before takes its place; nothing has to be written for that.
+	// The data centre is partitioned from the platform and a member fails. A standby that
+	// was claimed before replaces it, which needs no write.
 	@Test
 	void aClaimedStandbyRepairsAGroupWhileThePlatformIsDown() {
 		GroupTrial trial = formed(2);
@@ -73,7 +73,7 @@
 		Assertions.assertThat(trial.figures().violations()).isEmpty();
 	}
 
-	// The platform comes back. The repair is written down and not undone.
+	// The platform recovers. The repair is written to the allocation and not undone.
 	@Test
 	void theRepairIsKeptWhenThePlatformRecovers() {
 		GroupTrial trial = formed(2);
@@ -86,7 +86,8 @@
 			.anyMatch((group) -> group.identity().generation() >= OfflineState.FIRST_OFFLINE_GENERATION);
 	}
 
-	// Without a claim a free VM may be another controller's by now.
+	// Guards against using an unclaimed VM, which another controller may have claimed
+	// meanwhile.
 	@Test
 	void anUnclaimedVmIsNotUsedWhileThePlatformIsDown() {
 		GroupTrial trial = formed(0);
@@ -94,8 +95,8 @@
 		Assertions.assertThat(downtime(trial)).isEqualTo(10);
 	}
 
-	// Only the controller's own link to the platform is cut; the other node takes over
-	// and repairs. Two repairs of one group would tear it apart.
+	// Only the controller is partitioned from the platform; the other node takes over and
+	// repairs the group. Two repairs would remove each other's members.
 	@Test
 	void aControllerThatAloneLosesThePlatformRepairsNothing() {
 		GroupTrial trial = formed(2);
--- a/src/test/java/sycamorehill/logic/group/GroupPublisherTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupPublisherTests.java
@@ -47,10 +47,10 @@
 		return node.targets(DRAFTS, trial.now()).stream().map(ServingTarget::dataCentre).collect(Collectors.toSet());
 	}
 
-	// A data centre refuses its callers while the groups of others serve. Nothing
-	// changes for a minute and every message arrives. Cause: a node counts the messages
-	// that it passes on together with its own, and takes every second count for the
-	// turn of the other data centres.
+	// Guards against a data centre that refuses its callers although nothing changes,
+	// every message arrives and the groups of the other data centres serve. This happens
+	// if a node counts relayed messages together with its own and sends every second
+	// message by that count to the other data centres.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8 })
 	void eachDataCentreAlwaysSeesTheGroupsOfTheOthers(long seed) {
@@ -65,9 +65,9 @@
 		}
 	}
 
-	// A data centre is cut off from the others just when they tell of a change, and
-	// refuses its callers long after the cut has ended. Cause: addresses and members
-	// travel with few messages, and these went only to the own data centre.
+	// Guards against a data centre that refuses its callers long after a partition. It
+	// misses a change that the others publish during the partition, if addresses and
+	// members are in only a few messages and these are not sent to other data centres.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8 })
 	void aDataCentreThatMissedAChangeReceivesItWithinSeconds(long seed) {
--- a/src/test/java/sycamorehill/logic/group/GroupRepairTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupRepairTests.java
@@ -43,8 +43,9 @@
 		return trial.figures().downtimeSeconds() - before;
 	}
 
-	// A caller's stream stalls for good. The VM of one member pauses; the head still
-	// answers, so a check of the head alone would go on sending work to the group.
+	// Guards against streams that stall for good. The VM of one member pauses while the
+	// head still answers, so a check of the head alone would keep sending requests to the
+	// group.
 	@Test
 	void aGroupWithASilentMemberReceivesNoRequests() {
 		GroupTrial trial = GroupTrials.formed(1, 2, 0);
@@ -55,8 +56,8 @@
 		Assertions.assertThat(trial.figures().violations()).isEmpty();
 	}
 
-	// The member comes back as if nothing had happened. A rebuild would have cost a load
-	// of the whole group.
+	// Guards against an unnecessary rebuild, which loads the whole group again. The
+	// member resumes in its generation.
 	@Test
 	void aPausedMemberCausesNoRebuild() {
 		GroupTrial trial = GroupTrials.formed(1, 2, 0);
@@ -97,7 +98,7 @@
 			.anyMatch(standbys::contains);
 	}
 
-	// A whole rack goes dark: every VM of one domain is gone at once.
+	// All VMs of one domain fail at the same time.
 	@Test
 	void groupsOfALostDomainAreRebuiltInAnotherDomain() {
 		GroupTrial trial = GroupTrials.formed(3, 2, 0);
@@ -112,7 +113,7 @@
 		Assertions.assertThat(downtime(trial, Duration.ofSeconds(5))).isZero();
 	}
 
-	// Two groups lose a member each, and no VM is left over.
+	// Two groups each lose a member, and no VM is free.
 	@Test
 	void aBrokenGroupServesAgainWithMembersOfAnotherOne() {
 		GroupTrial trial = GroupTrials.formed(4, 4, 0);
@@ -135,8 +136,8 @@
 		Assertions.assertThat(downtime(trial, Duration.ofSeconds(5))).isZero();
 	}
 
-	// The engine process restarts within a second: the VM answers again, at the same
-	// address and under the same name, but has lost its group.
+	// Guards against counting a restarted engine as a member. It restarts within a second
+	// and answers at the same address and under the same name, but has lost its group.
 	@Test
 	void aRestartedVmIsNoLongerAMember() {
 		GroupTrial trial = GroupTrials.formed(6, 1, 0);
@@ -150,7 +151,7 @@
 		Assertions.assertThat(downtime(trial, Duration.ofSeconds(5))).isZero();
 	}
 
-	// One node loses its link to a member. The other one still sees it.
+	// One node is partitioned from a member. The other node still observes it.
 	@Test
 	void aPartitionBetweenOneObserverAndAMemberStopsNoGroup() {
 		GroupTrial trial = GroupTrials.formed(7, 1, 0);
@@ -161,8 +162,8 @@
 		}
 	}
 
-	// The controller loses its links to the other node and to a member, both at once. The
-	// other node still sees the member and sends work to its group.
+	// The controller is partitioned from the other node and from a member at the same
+	// time. The other node still observes the member and sends requests to its group.
 	@Test
 	void aControllerPartitionedFromItsPeersIgnoresSilence() {
 		GroupTrial trial = GroupTrials.formed(7, 1, 0);
@@ -176,8 +177,8 @@
 		Assertions.assertThat(allocation(trial).nextGeneration()).isEqualTo(generation);
 	}
 
-	// All nodes of the data centre stop for half a minute, as when their host is frozen.
-	// On waking every sight is old, and every VM looks dead.
+	// All nodes of the data centre pause for half a minute, for example because their
+	// host is frozen. Afterwards every observation is old, and every VM looks dead.
 	@Test
 	void aPauseOfAllNodesCausesNoRebuild() {
 		GroupTrial trial = GroupTrials.formed(8, 3, 0);
@@ -187,7 +188,7 @@
 		Assertions.assertThat(allocation(trial).nextGeneration()).isEqualTo(generation);
 	}
 
-	// The nodes' own switch fails: no VM answers any of them.
+	// The switch of the nodes fails, so no VM answers any of them.
 	@Test
 	void aPartitionFromAllVmsCausesNoRebuild() {
 		GroupTrial trial = GroupTrials.formed(9, 3, 0);
@@ -204,8 +205,8 @@
 		trial.nodes().forEach((node) -> vms.forEach((vm) -> node.cutFrom(vm, isPartitioned)));
 	}
 
-	// A node that controlled the groups a while ago, and saw a VM silent then, takes the
-	// lease again. The VM has been back for long.
+	// A node observes a silent VM while it is the controller, loses the lease and
+	// acquires it again. The VM has resumed long before.
 	@Test
 	void aNewLeaseIgnoresSilenceObservedDuringAnEarlierOne() {
 		GroupTrial trial = GroupTrials.formed(10, 1, 0);
@@ -221,8 +222,8 @@
 		Assertions.assertThat(allocation(trial).nextGeneration()).isEqualTo(generation);
 	}
 
-	// The platform is down for a minute: groups serve on, because wholeness is seen and
-	// not read from the platform.
+	// The platform is down for a minute. Groups continue to serve, because whether a
+	// group is complete is observed and not read from the platform.
 	@Test
 	void groupsServeThroughAnOutageOfThePlatform() {
 		FaultyTrialPlatform platform = FaultyTrialPlatform.create(11);
@@ -233,7 +234,7 @@
 		Assertions.assertThat(downtime(trial, REPAIR_TIME)).isZero();
 	}
 
-	// Every second answer of the platform is lost although the write took effect.
+	// Half of the platform's answers are lost although the writes took effect.
 	@Test
 	void lostResponsesDoNotFormAGroupTwice() {
 		FaultyTrialPlatform platform = FaultyTrialPlatform.create(12);
@@ -245,7 +246,7 @@
 		Assertions.assertThat(allocation(trial).nextGeneration()).isEqualTo(4);
 	}
 
-	// A controller is paused while a group loads; another one takes over.
+	// A controller pauses while a group loads, and another node takes over.
 	@Test
 	void aNewControllerDoesNotRestartALoadInProgress() {
 		GroupTrial trial = GroupTrials.create(13);
--- a/src/test/java/sycamorehill/logic/group/GroupTrials.java
+++ b/src/test/java/sycamorehill/logic/group/GroupTrials.java
@@ -15,8 +15,8 @@
 import sycamorehill.model.ticket.ServiceItem;
 
 /**
- * Small trials for tests: one data centre, two nodes, two domains of six VMs, groups of
- * three.
+ * Creates small trials: one data centre, two nodes, two domains of six VMs each, groups
+ * of three.
  */
 final class GroupTrials {
 
@@ -53,7 +53,7 @@
 	}
 
 	/**
-	 * A trial with so many groups that serve.
+	 * Creates a trial and runs it until the groups are formed.
 	 */
 	static GroupTrial formed(long seed, int groups, int standbys) {
 		GroupTrial trial = create(seed);
--- a/src/test/java/sycamorehill/logic/group/PublishedGroupsTests.java
+++ b/src/test/java/sycamorehill/logic/group/PublishedGroupsTests.java
@@ -31,7 +31,8 @@
 		return groups.withMessage(message, Instant.ofEpochSecond(second));
 	}
 
-	// A steward that lags behind tells of a group that has been given up since.
+	// Guards against requests to a removed group. A steward with an outdated allocation
+	// publishes a group that has been removed since.
 	@Test
 	void aMessageBasedOnAnOlderAllocationIsIgnored() {
 		PublishedGroups groups = withMessage(PublishedGroups.none(), message(8, 4, 0), 1);
