--- a/src/main/java/sycamorehill/logic/group/GroupController.java
+++ b/src/main/java/sycamorehill/logic/group/AllocationController.java
@@ -31,11 +31,11 @@
 /**
  * Makes the decisions of the node that holds the controller lease.
  */
-final class GroupController {
+final class AllocationController {
 
 	private static final int MAXIMUM_REPORT_REQUESTS = 8;
 
-	private GroupController() {
+	private AllocationController() {
 	}
 
 	static void tick(GroupStep step) {
--- a/src/main/java/sycamorehill/logic/group/AllocationDraft.java
+++ b/src/main/java/sycamorehill/logic/group/AllocationDraft.java
@@ -31,17 +31,17 @@
 
 	private long nextGeneration;
 
-	private AllocationDraft(Allocation before) {
-		this.original = before;
-		this.groups = new TreeMap<>(before.groups());
-		this.standbys = new TreeMap<>(before.standbys());
-		this.nextGeneration = before.nextGeneration();
-		before.groups().values().forEach((record) -> this.claimed.addAll(record.members()));
-		this.claimed.addAll(before.standbys().keySet());
+	private AllocationDraft(Allocation allocation) {
+		this.original = allocation;
+		this.groups = new TreeMap<>(allocation.groups());
+		this.standbys = new TreeMap<>(allocation.standbys());
+		this.nextGeneration = allocation.nextGeneration();
+		allocation.groups().values().forEach((record) -> this.claimed.addAll(record.members()));
+		this.claimed.addAll(allocation.standbys().keySet());
 	}
 
-	static AllocationDraft of(Allocation before) {
-		return new AllocationDraft(before);
+	static AllocationDraft of(Allocation allocation) {
+		return new AllocationDraft(allocation);
 	}
 
 	List<GroupRecord> groups() {
--- a/src/main/java/sycamorehill/logic/group/DrainPass.java
+++ b/src/main/java/sycamorehill/logic/group/DrainPass.java
@@ -31,11 +31,12 @@
 		if (context.isDrained(record)) {
 			return true;
 		}
-		boolean dead = record.members()
+		boolean hasLostMember = record.members()
 			.stream()
 			.anyMatch((vm) -> context.isDead(vm) || context.hasLeftGroup(vm, record));
-		boolean leaving = record.members().stream().anyMatch(context.fleet()::isLeaving);
-		return dead || (leaving && context.timeInPhase(record).compareTo(context.policy().drainLongest()) > 0);
+		boolean hasLeavingMember = record.members().stream().anyMatch(context.fleet()::isLeaving);
+		return hasLostMember
+				|| (hasLeavingMember && context.timeInPhase(record).compareTo(context.policy().drainLongest()) > 0);
 	}
 
 	private static void complete(AllocationDraft draft, PlanContext context, GroupRecord record) {
--- a/src/main/java/sycamorehill/logic/group/EngineCommandDispatcher.java
+++ b/src/main/java/sycamorehill/logic/group/EngineCommandDispatcher.java
@@ -73,9 +73,9 @@
 
 	private static void send(GroupStep step, RequiredCommand required, Instant notAfter) {
 		VmName vm = required.entry().name();
-		LastEngineCommand before = step.state().orders().get(vm);
-		boolean isRepeat = before != null && before.order().equals(required.command());
-		int tries = isRepeat ? before.tries() + 1 : 0;
+		LastEngineCommand previous = step.state().orders().get(vm);
+		boolean isRepeat = previous != null && previous.order().equals(required.command());
+		int tries = isRepeat ? previous.tries() + 1 : 0;
 		long number = step.nextCallNumber();
 		LastEngineCommand last = new LastEngineCommand(number, required.command(), step.now(), tries,
 				step.now().plus(retryDelay(step, tries)));
@@ -85,9 +85,9 @@
 	}
 
 	private static Duration retryDelay(GroupStep step, int tries) {
-		Duration wait = step.policy().orderRetry().multipliedBy(1L << Math.min(tries, MAXIMUM_DOUBLINGS));
+		Duration delay = step.policy().orderRetry().multipliedBy(1L << Math.min(tries, MAXIMUM_DOUBLINGS));
 		Duration maximum = step.policy().orderRetryLongest();
-		return (wait.compareTo(maximum) < 0) ? wait : maximum;
+		return (delay.compareTo(maximum) < 0) ? delay : maximum;
 	}
 
 	static void handleAnswer(GroupStep step, TargetEvent.OrderAnswered answered) {
--- a/src/main/java/sycamorehill/logic/group/EngineReconciler.java
+++ b/src/main/java/sycamorehill/logic/group/EngineReconciler.java
@@ -54,9 +54,9 @@
 			return Optional.empty();
 		}
 		GroupRecord record = allocation.groups().get(group.get().name());
-		boolean member = record != null && record.identity().equals(group.get())
+		boolean isMember = record != null && record.identity().equals(group.get())
 				&& record.members().contains(entry.name());
-		if (member) {
+		if (isMember) {
 			return Optional.empty();
 		}
 		EngineOrder order = new EngineOrder.Leave(group.get(), allocation.fencingNumber());
@@ -78,8 +78,8 @@
 			Optional<VmReport> report = freshReport(context, vm);
 			// A new controller must not restart a load that is in progress. So only an
 			// engine that was recently observed in no group receives a join command.
-			boolean free = report.isPresent() && report.get().group().isEmpty() && !report.get().leaving();
-			if (entry != null && free) {
+			boolean isFree = report.isPresent() && report.get().group().isEmpty() && !report.get().leaving();
+			if (entry != null && isFree) {
 				commands.add(new RequiredCommand(entry, new EngineOrder.Join(record.identity(), record.members(),
 						record.model(), record.modelVersion(), allocation.fencingNumber())));
 			}
@@ -104,11 +104,11 @@
 		List<GroupRecord> admitted = new ArrayList<>();
 		int loads = 0;
 		for (GroupRecord record : forming) {
-			int missing = countUnloaded(context, record);
+			int unloaded = countUnloaded(context, record);
 			if (hasStartedLoading(context, record) || loads == 0
-					|| loads + missing <= context.policy().concurrentLoads()) {
+					|| loads + unloaded <= context.policy().concurrentLoads()) {
 				admitted.add(record);
-				loads += missing;
+				loads += unloaded;
 			}
 		}
 		return admitted;
@@ -136,9 +136,9 @@
 	}
 
 	private static int countUnloaded(PlanContext context, GroupRecord record) {
-		Set<VmName> missing = new HashSet<>(record.members());
-		missing.removeIf((vm) -> isInState(context, vm, record, EngineState.READY));
-		return missing.size();
+		Set<VmName> unloaded = new HashSet<>(record.members());
+		unloaded.removeIf((vm) -> isInState(context, vm, record, EngineState.READY));
+		return unloaded.size();
 	}
 
 	private static boolean isInState(PlanContext context, VmName vm, GroupRecord record, EngineState state) {
--- a/src/main/java/sycamorehill/logic/group/GroupPublisher.java
+++ b/src/main/java/sycamorehill/logic/group/GroupPublisher.java
@@ -37,11 +37,11 @@
  */
 final class GroupPublisher {
 
-	private static final int FACTS_MESSAGES_AFTER_CHANGE = 3;
+	private static final int MESSAGES_WITH_FACTS_AFTER_CHANGE = 3;
 
-	private static final int MESSAGES_PER_FACTS = 10;
+	private static final int FACTS_INTERVAL_IN_MESSAGES = 10;
 
-	private static final int MESSAGES_PER_REMOTE_SEND = 2;
+	private static final int REMOTE_SEND_INTERVAL_IN_MESSAGES = 2;
 
 	private GroupPublisher() {
 	}
@@ -51,14 +51,14 @@
 		if (!steward || allocation.isEmpty()) {
 			return;
 		}
-		List<GroupRecord> serving = serving(step, allocation.get());
+		List<GroupRecord> serving = servingGroups(step, allocation.get());
 		List<GroupIdentity> identities = serving.stream().map(GroupRecord::identity).toList();
 		GroupPublicationState publication = step.state().spread();
 		// A node that starts while the platform is down learns of groups only from these
 		// messages. Its incarnation is part of the hash so that it is sent the facts at
 		// once; otherwise it would refuse every request until the next regular message
 		// with facts.
-		int hash = Objects.hash(identities, step.state().allocation().version(), incarnations(step));
+		int hash = Objects.hash(identities, step.state().allocation().version(), liveIncarnations(step));
 		boolean changed = hash != publication.lastSent();
 		if (!changed && step.now().isBefore(publication.nextAt())) {
 			return;
@@ -67,22 +67,23 @@
 		// The stewards share the work: each one waits for as many intervals as there are
 		// stewards, so that together they publish once per interval.
 		Duration interval = policy.digestInterval().multipliedBy(policy.stewards());
-		int factsLeft = changed ? FACTS_MESSAGES_AFTER_CHANGE : Math.max(0, publication.factsLeft() - 1);
-		boolean facts = changed || publication.factsLeft() > 0 || publication.spreads() % MESSAGES_PER_FACTS == 0;
+		int factsLeft = changed ? MESSAGES_WITH_FACTS_AFTER_CHANGE : Math.max(0, publication.factsLeft() - 1);
+		boolean withFacts = changed || publication.factsLeft() > 0
+				|| publication.spreads() % FACTS_INTERVAL_IN_MESSAGES == 0;
 		step.update(step.state().withPublication(publication.withSent(step.now().plus(interval), hash, factsLeft)));
-		GroupsSent message = message(step, serving, facts);
+		GroupsSent message = message(step, serving, withFacts);
 		forward(step, message);
 		// A change is sent to the other data centres more than once: if the only message
 		// were lost, a data centre would refuse its callers until the next regular
 		// message with addresses and members. Relayed messages are not counted here: with
 		// an even number of them between two messages of this node, none of its messages
 		// would go to the other data centres.
-		if (facts || publication.spreads() % MESSAGES_PER_REMOTE_SEND == 0) {
+		if (withFacts || publication.spreads() % REMOTE_SEND_INTERVAL_IN_MESSAGES == 0) {
 			sendToRemoteDataCentres(step, message);
 		}
 	}
 
-	private static Set<NodeIncarnation> incarnations(GroupStep step) {
+	private static Set<NodeIncarnation> liveIncarnations(GroupStep step) {
 		return step.view()
 			.liveNodes()
 			.nodes()
@@ -92,7 +93,7 @@
 			.collect(Collectors.toSet());
 	}
 
-	private static List<GroupRecord> serving(GroupStep step, Allocation allocation) {
+	private static List<GroupRecord> servingGroups(GroupStep step, Allocation allocation) {
 		Duration freshness = step.view().policy().observation().freshness();
 		return allocation.groups()
 			.values()
@@ -134,7 +135,7 @@
 		for (DataCentreName other : others) {
 			List<NodeIdentity> stewards = Rendezvous.stewards(step.view(), other);
 			if (!stewards.isEmpty()) {
-				int choice = (int) ((message.round() / MESSAGES_PER_REMOTE_SEND) % stewards.size());
+				int choice = (int) ((message.round() / REMOTE_SEND_INTERVAL_IN_MESSAGES) % stewards.size());
 				step.emit(new PeerEffect.Send(stewards.get(choice), message));
 			}
 		}
@@ -157,7 +158,7 @@
 		NodeIncarnation root = message.root();
 		if (message.round() > publication.passedOn().getOrDefault(root, -1L)) {
 			step.update(step.state().withPublication(step.state().spread().withForwarded(root, message.round())));
-			forward(step, relayed(step, message, root, message.round(), delay));
+			forward(step, relayedMessage(step, message, root, message.round(), delay));
 		}
 	}
 
@@ -165,17 +166,17 @@
 	private static void startRelay(GroupStep step, GroupsSent message, long delay) {
 		GroupPublicationState publication = step.state().spread().withNextRound();
 		step.update(step.state().withPublication(publication));
-		forward(step, relayed(step, message, step.view().self().incarnation(), publication.round(), delay));
+		forward(step, relayedMessage(step, message, step.view().self().incarnation(), publication.round(), delay));
 	}
 
-	private static GroupsSent relayed(GroupStep step, GroupsSent message, NodeIncarnation root, long round,
+	private static GroupsSent relayedMessage(GroupStep step, GroupsSent message, NodeIncarnation root, long round,
 			long delay) {
-		List<GroupSetSights> relayedSets = message.sets().stream().map((set) -> aged(set, delay)).toList();
+		List<GroupSetSights> relayedSets = message.sets().stream().map((set) -> addDelay(set, delay)).toList();
 		return new GroupsSent(message.dataCentre(), root, round, step.now().toEpochMilli(), message.allocationVersion(),
 				message.listHash(), relayedSets, message.facts());
 	}
 
-	private static GroupSetSights aged(GroupSetSights set, long delay) {
+	private static GroupSetSights addDelay(GroupSetSights set, long delay) {
 		List<Integer> ages = set.ages().stream().map((age) -> (int) (age + delay)).toList();
 		return new GroupSetSights(set.set(), set.ordinals(), set.generations(), ages, set.running(), set.queued(),
 				set.tokensPerSecond(), set.freeCacheTokens());
--- a/src/main/java/sycamorehill/logic/group/GroupReducer.java
+++ b/src/main/java/sycamorehill/logic/group/GroupReducer.java
@@ -70,7 +70,7 @@
 		ControllerLeaseCalls.tick(step, steward);
 		AllocationCalls.tick(step, steward);
 		OfflineController.tick(step, steward);
-		GroupController.tick(step);
+		AllocationController.tick(step);
 		GroupPublisher.tick(step, steward);
 		return step.result();
 	}
@@ -90,7 +90,7 @@
 		boolean allocation = call.purpose() == PendingCall.Purpose.READ_ALLOCATION
 				|| call.purpose() == PendingCall.Purpose.WRITE_ALLOCATION;
 		if (allocation && confirmsAllocation(answered.answer())) {
-			GroupController.decide(step);
+			AllocationController.decide(step);
 		}
 		return step.result();
 	}
--- a/src/main/java/sycamorehill/logic/group/LoadPass.java
+++ b/src/main/java/sycamorehill/logic/group/LoadPass.java
@@ -62,14 +62,14 @@
 			return true;
 		}
 		GroupPolicy policy = context.policy();
-		boolean change = draft.groups(specification.set().name())
+		boolean isRollout = draft.groups(specification.set().name())
 			.stream()
 			.anyMatch((other) -> other.phase() == GroupPhase.SERVING && !specification.matches(other));
-		if (change && record.failures() >= policy.failedLoadsBeforeStop()) {
+		if (isRollout && record.failures() >= policy.failedLoadsBeforeStop()) {
 			return false;
 		}
-		Duration wait = policy.orderRetry().multipliedBy(1L << Math.min(record.failures(), MAXIMUM_DOUBLINGS));
-		Duration bounded = (wait.compareTo(policy.orderRetryLongest()) < 0) ? wait : policy.orderRetryLongest();
+		Duration delay = policy.orderRetry().multipliedBy(1L << Math.min(record.failures(), MAXIMUM_DOUBLINGS));
+		Duration bounded = (delay.compareTo(policy.orderRetryLongest()) < 0) ? delay : policy.orderRetryLongest();
 		return context.timeInPhase(record).compareTo(bounded) >= 0;
 	}
 
--- a/src/main/java/sycamorehill/logic/group/MemberSelector.java
+++ b/src/main/java/sycamorehill/logic/group/MemberSelector.java
@@ -48,7 +48,7 @@
 		List<VmName> candidates = new ArrayList<>(own);
 		candidates.addAll(usableStandbys(context, draft, specification.set().name()));
 		candidates.addAll(context.freeVms(draft));
-		Map<FabricDomain, List<VmName>> byDomain = byDomain(context, candidates);
+		Map<FabricDomain, List<VmName>> byDomain = groupVmsByDomain(context, candidates);
 		Map<FabricDomain, Integer> groups = countGroupsByDomain(context, draft, specification.set().name());
 		Optional<List<VmName>> inOneDomain = byDomain.entrySet()
 			.stream()
@@ -92,7 +92,7 @@
 		return draft.standbys(set).stream().filter(context::isUsable).toList();
 	}
 
-	private static Map<FabricDomain, List<VmName>> byDomain(PlanContext context, List<VmName> vms) {
+	private static Map<FabricDomain, List<VmName>> groupVmsByDomain(PlanContext context, List<VmName> vms) {
 		Map<FabricDomain, List<VmName>> byDomain = new TreeMap<>();
 		for (VmName vm : vms) {
 			context.domain(vm)
--- a/src/main/java/sycamorehill/logic/group/OfflineController.java
+++ b/src/main/java/sycamorehill/logic/group/OfflineController.java
@@ -24,9 +24,9 @@
  */
 final class OfflineController {
 
-	private static final Duration REPORT_AFTER = Duration.ofSeconds(5);
+	private static final Duration SILENCE_BEFORE_REPORT = Duration.ofSeconds(5);
 
-	private static final Duration REPAIR_AFTER = Duration.ofSeconds(10);
+	private static final Duration SILENCE_BEFORE_REPAIR = Duration.ofSeconds(10);
 
 	private static final Duration REPORT_INTERVAL = Duration.ofSeconds(1);
 
@@ -42,7 +42,8 @@
 	 */
 	static void tick(GroupStep step, boolean steward) {
 		AllocationState allocation = step.state().allocation();
-		boolean isSilent = steward && allocation.known().isPresent() && isPlatformSilentFor(step, REPORT_AFTER);
+		boolean isSilent = steward && allocation.known().isPresent()
+				&& isPlatformSilentFor(step, SILENCE_BEFORE_REPORT);
 		if (!isSilent || step.now().isBefore(step.state().offline().nextWordAt())) {
 			return;
 		}
@@ -74,16 +75,16 @@
 			.filter(step.view().self().incarnation()::equals)
 			.isPresent();
 		if (!heldLast || known.isEmpty() || known.get().fencingNumber() != state.lease().fencingNumber()
-				|| !isPlatformSilentFor(step, REPAIR_AFTER)) {
+				|| !isPlatformSilentFor(step, SILENCE_BEFORE_REPAIR)) {
 			return false;
 		}
-		Instant bound = step.now().minus(REPORT_VALIDITY);
+		Instant oldestValid = step.now().minus(REPORT_VALIDITY);
 		List<NodeIdentity> others = otherStewards(step);
 		return !others.isEmpty() && others.stream()
 			.allMatch((other) -> state.offline()
 				.silentPeers()
 				.getOrDefault(other.incarnation(), Instant.MIN)
-				.isAfter(bound));
+				.isAfter(oldestValid));
 	}
 
 	private static boolean isPlatformSilentFor(GroupStep step, Duration time) {
--- a/src/main/java/sycamorehill/logic/group/PlanContext.java
+++ b/src/main/java/sycamorehill/logic/group/PlanContext.java
@@ -39,7 +39,7 @@
 		PMap<GroupName, PhaseStart> phaseSince, PMap<VmName, Instant> failedAt, ObservationPolicy observation,
 		GroupPolicy policy) {
 
-	private static final Duration FAILED_VM_AVOIDANCE = Duration.ofMinutes(5);
+	private static final Duration FAILED_VM_AVOIDANCE_TIME = Duration.ofMinutes(5);
 
 	private static final Duration ROUTING_STOP_DELAY = Duration.ofSeconds(2);
 
@@ -106,7 +106,7 @@
 
 	boolean failedRecently(VmName vm) {
 		Instant failure = this.failedAt.get(vm);
-		return failure != null && failure.plus(FAILED_VM_AVOIDANCE).isAfter(this.now);
+		return failure != null && failure.plus(FAILED_VM_AVOIDANCE_TIME).isAfter(this.now);
 	}
 
 	Optional<FabricDomain> domain(VmName vm) {
--- a/src/main/java/sycamorehill/logic/group/StandbyPass.java
+++ b/src/main/java/sycamorehill/logic/group/StandbyPass.java
@@ -30,11 +30,11 @@
 			}
 		}
 		for (GroupSpecification specification : context.specifications()) {
-			adjust(draft, context, specification);
+			adjustStandbys(draft, context, specification);
 		}
 	}
 
-	private static void adjust(AllocationDraft draft, PlanContext context, GroupSpecification specification) {
+	private static void adjustStandbys(AllocationDraft draft, PlanContext context, GroupSpecification specification) {
 		GroupSetName set = specification.set().name();
 		int required = requiredStandbys(draft, context, specification);
 		List<VmName> claimed = draft.standbys(set);
--- a/src/main/java/sycamorehill/logic/group/VmSilences.java
+++ b/src/main/java/sycamorehill/logic/group/VmSilences.java
@@ -39,7 +39,7 @@
 
 	private static final Duration MINIMUM_REFUSAL_DURATION = Duration.ofSeconds(2);
 
-	private static final Duration RECENT_CONTACT = Duration.ofMinutes(2);
+	private static final Duration RECENT_CONTACT_WINDOW = Duration.ofMinutes(2);
 
 	private static final Duration MAXIMUM_UPDATE_GAP = Duration.ofSeconds(3);
 
@@ -64,18 +64,20 @@
 		// was updating its observations.
 		boolean paused = this.lookedAt.equals(Instant.MIN) || this.lookedAt.plus(MAXIMUM_UPDATE_GAP).isBefore(now);
 		boolean discardsEarlier = paused || this.deserted || !this.trusted;
-		PMap<VmName, Instant> before = discardsEarlier ? HashTreePMap.empty() : this.since;
-		Duration bound = reportInterval.multipliedBy(SILENT_REPORT_INTERVALS);
-		PMap<VmName, Instant> after = HashTreePMap.empty();
+		PMap<VmName, Instant> earlier = discardsEarlier ? HashTreePMap.empty() : this.since;
+		Duration maximumAge = reportInterval.multipliedBy(SILENT_REPORT_INTERVALS);
+		PMap<VmName, Instant> silences = HashTreePMap.empty();
 		PSet<VmName> likelyDead = HashTreePSet.empty();
 		for (VmName vm : standbys) {
-			after = isSilent(fleet, vm, now, bound) ? after.plus(vm, before.getOrDefault(vm, now)) : after;
+			silences = isSilent(fleet, vm, now, maximumAge) ? silences.plus(vm, earlier.getOrDefault(vm, now))
+					: silences;
 		}
 		for (GroupRecord record : groups) {
-			boolean replicaFailed = record.phase() == GroupPhase.SERVING && reportsFailure(fleet, record, now, bound);
+			boolean replicaFailed = record.phase() == GroupPhase.SERVING
+					&& reportsFailure(fleet, record, now, maximumAge);
 			for (VmName vm : record.members()) {
-				if (isSilent(fleet, vm, now, bound)) {
-					after = after.plus(vm, before.getOrDefault(vm, now));
+				if (isSilent(fleet, vm, now, maximumAge)) {
+					silences = silences.plus(vm, earlier.getOrDefault(vm, now));
 					likelyDead = (replicaFailed || isRefusing(fleet, vm, now)) ? likelyDead.plus(vm) : likelyDead;
 				}
 			}
@@ -85,19 +87,19 @@
 		// nothing if all other nodes have recently become silent.
 		Instant lastContactAt = hasPeers ? now : this.companyAt;
 		boolean hadRecentContact = !lastContactAt.equals(Instant.MIN)
-				&& lastContactAt.plus(RECENT_CONTACT).isAfter(now);
-		boolean isReliable = !paused && isAnyDomainObserved(fleet, now, bound);
-		return new VmSilences(after, now, isReliable, lastContactAt, !hasPeers && hadRecentContact, likelyDead);
+				&& lastContactAt.plus(RECENT_CONTACT_WINDOW).isAfter(now);
+		boolean isReliable = !paused && isAnyDomainObserved(fleet, now, maximumAge);
+		return new VmSilences(silences, now, isReliable, lastContactAt, !hasPeers && hadRecentContact, likelyDead);
 	}
 
-	private static boolean isSilent(Fleet fleet, VmName vm, Instant now, Duration bound) {
-		return fleet.freshSight(vm, now, bound).isEmpty();
+	private static boolean isSilent(Fleet fleet, VmName vm, Instant now, Duration maximumAge) {
+		return fleet.freshSight(vm, now, maximumAge).isEmpty();
 	}
 
-	private static boolean reportsFailure(Fleet fleet, GroupRecord record, Instant now, Duration bound) {
+	private static boolean reportsFailure(Fleet fleet, GroupRecord record, Instant now, Duration maximumAge) {
 		return record.members()
 			.stream()
-			.anyMatch((vm) -> fleet.freshSight(vm, now, bound)
+			.anyMatch((vm) -> fleet.freshSight(vm, now, maximumAge)
 				.map(VmSight::report)
 				.filter((report) -> report.state() == EngineState.FAILED)
 				.flatMap(VmReport::group)
@@ -113,12 +115,12 @@
 	// If this node's own links fail, every VM is silent and the controller would declare
 	// all of them dead. So the fault is assumed to be local unless this node observes at
 	// least half of the VMs of some domain.
-	private static boolean isAnyDomainObserved(Fleet fleet, Instant now, Duration bound) {
+	private static boolean isAnyDomainObserved(Fleet fleet, Instant now, Duration maximumAge) {
 		Map<FabricDomain, int[]> counts = new HashMap<>();
 		for (VmEntry entry : fleet.entries().values()) {
 			int[] count = counts.computeIfAbsent(entry.domain(), (domain) -> new int[2]);
 			count[0]++;
-			if (fleet.freshSight(entry.name(), now, bound).isPresent()) {
+			if (fleet.freshSight(entry.name(), now, maximumAge).isPresent()) {
 				count[1]++;
 			}
 		}
--- a/src/test/java/sycamorehill/logic/group/GroupChangeTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupChangeTests.java
@@ -19,14 +19,14 @@
 		return trial.allocation(GroupTrials.DATA_CENTRE).groups().values();
 	}
 
-	private static int serving(GroupTrial trial) {
+	private static int countServing(GroupTrial trial) {
 		return (int) groups(trial).stream().filter((group) -> group.phase() == GroupPhase.SERVING).count();
 	}
 
-	private static void requireAtLeast(GroupTrial trial, int groups, Duration time) {
+	private static void assertServingAtLeast(GroupTrial trial, int groups, Duration time) {
 		for (int second = 0; second < time.toSeconds(); second++) {
 			trial.run(Duration.ofSeconds(1));
-			Assertions.assertThat(serving(trial)).isGreaterThanOrEqualTo(groups);
+			Assertions.assertThat(countServing(trial)).isGreaterThanOrEqualTo(groups);
 		}
 	}
 
@@ -34,7 +34,7 @@
 	void aNewModelVersionIsRolledOutWhileTheServiceServes() {
 		GroupTrial trial = GroupTrials.formed(1, 3, 0);
 		trial.file(GroupTrials.service("2"));
-		requireAtLeast(trial, 2, Duration.ofMinutes(8));
+		assertServingAtLeast(trial, 2, Duration.ofMinutes(8));
 		Assertions.assertThat(groups(trial))
 			.hasSize(3)
 			.allMatch((group) -> group.modelVersion().equals("2") && group.phase() == GroupPhase.SERVING);
@@ -47,7 +47,7 @@
 	void aFullDataCentreIsUpdatedOneGroupAtATime() {
 		GroupTrial trial = GroupTrials.formed(2, 4, 0);
 		trial.file(GroupTrials.service("2"));
-		requireAtLeast(trial, 3, Duration.ofMinutes(8));
+		assertServingAtLeast(trial, 3, Duration.ofMinutes(8));
 		Assertions.assertThat(groups(trial)).hasSize(4).allMatch((group) -> group.modelVersion().equals("2"));
 		Assertions.assertThat(trial.figures().brokenStreams()).isZero();
 	}
@@ -68,7 +68,7 @@
 		GroupTrial trial = GroupTrials.formed(4, 3, 0);
 		trial.engines().values().forEach((engine) -> engine.failLoads(true));
 		trial.file(GroupTrials.service("2"));
-		requireAtLeast(trial, 3, Duration.ofMinutes(6));
+		assertServingAtLeast(trial, 3, Duration.ofMinutes(6));
 		Assertions.assertThat(groups(trial))
 			.filteredOn((group) -> group.phase() == GroupPhase.FAILED)
 			.singleElement()
@@ -123,7 +123,7 @@
 			.anyMatch((group) -> group.identity().equals(record.identity()) && group.phase() == GroupPhase.DRAINING)
 			.anyMatch((group) -> group.phase() == GroupPhase.FORMING);
 		trial.run(Duration.ofMinutes(2));
-		Assertions.assertThat(serving(trial)).isEqualTo(2);
+		Assertions.assertThat(countServing(trial)).isEqualTo(2);
 		Assertions.assertThat(groups(trial)).noneMatch((group) -> group.members().contains(leaving));
 		Assertions.assertThat(trial.figures().brokenStreams()).isZero();
 	}
--- a/src/test/java/sycamorehill/logic/group/GroupControllerTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupDecisionTests.java
@@ -45,7 +45,7 @@
 import sycamorehill.model.policy.ObservationPolicy;
 import sycamorehill.support.FixedView;
 
-class GroupControllerTests {
+class GroupDecisionTests {
 
 	private static final DataCentreName DATA_CENTRE = DataCentreName.of("dc0");
 
