--- a/src/main/java/sycamorehill/logic/group/AllocationController.java
+++ b/src/main/java/sycamorehill/logic/group/AllocationController.java
@@ -55,7 +55,7 @@
 	 * Updates the times since which groups have been in their phase and VMs have been
 	 * silent.
 	 * @param step the current step
-	 * @param offline whether this node repairs groups while the platform is silent
+	 * @param offline whether this node repairs groups while the platform does not answer
 	 */
 	private static void updateObservations(GroupStep step, boolean offline) {
 		Optional<Allocation> known = step.state().effectiveAllocation();
--- a/src/main/java/sycamorehill/logic/group/EngineCommandDispatcher.java
+++ b/src/main/java/sycamorehill/logic/group/EngineCommandDispatcher.java
@@ -54,8 +54,8 @@
 	}
 
 	/**
-	 * Sends the commands that are due without a recent read, because the platform is
-	 * silent to the whole data centre: nobody can have changed the allocation meanwhile.
+	 * Sends the commands that are due without a recent read, because the platform answers
+	 * no node of the data centre: nobody can have changed the allocation meanwhile.
 	 * @param step the current step
 	 * @param commands the commands
 	 */
--- a/src/main/java/sycamorehill/logic/group/EngineReconciler.java
+++ b/src/main/java/sycamorehill/logic/group/EngineReconciler.java
@@ -63,9 +63,9 @@
 		return Optional.of(new RequiredCommand(entry, order));
 	}
 
-	// A generation formed while the platform was silent contains its controller's fencing
-	// number. If the allocation has the same or a higher one and does not list the
-	// generation, a later write has removed it.
+	// A generation formed while the platform did not answer contains its controller's
+	// fencing number. If the allocation has the same or a higher one and does not list
+	// the generation, a later write or repair has removed it.
 	private static boolean isRemoved(Allocation allocation, long generation) {
 		return (generation < OfflineState.FIRST_OFFLINE_GENERATION) ? generation < allocation.nextGeneration()
 				: OfflineState.fencingNumber(generation) <= allocation.fencingNumber();
--- a/src/main/java/sycamorehill/logic/group/GroupState.java
+++ b/src/main/java/sycamorehill/logic/group/GroupState.java
@@ -22,7 +22,7 @@
  * @param silences the claimed VMs that are silent
  * @param failedAt the time of the last failed load on each VM
  * @param spread the publication of serving groups to other nodes
- * @param offline the repairs made while the platform is silent
+ * @param offline the repairs made while the platform does not answer
  * @param nextCall the number of the next call
  * @param nextDecisionAt the time of the controller's next decision
  * @param stopping whether the node is stopping and accepts no duties
@@ -79,7 +79,8 @@
 	}
 
 	/**
-	 * Returns the allocation including the repairs made while the platform was silent.
+	 * Returns the allocation including the repairs made while the platform did not
+	 * answer.
 	 * @return the allocation, empty before the first read
 	 */
 	Optional<Allocation> effectiveAllocation() {
--- a/src/main/java/sycamorehill/logic/group/LeaseState.java
+++ b/src/main/java/sycamorehill/logic/group/LeaseState.java
@@ -49,10 +49,10 @@
 		return this.seen.map(ControllerLease::fencingNumber).orElse(0L);
 	}
 
-	// While the platform is silent nobody can renew the lease. When it answers again,
-	// another node must not take the lease as expired before the holder can renew it,
-	// because this would undo what the holder did meanwhile. So the waiting time starts
-	// again if this node could not read the lease for longer than its length.
+	// While the platform does not answer nobody can renew the lease. When it answers
+	// again, another node must not take the lease as expired before the holder can renew
+	// it, because this would undo what the holder did meanwhile. So the waiting time
+	// starts again if this node could not read the lease for longer than its length.
 	LeaseState withSeen(ControllerLease lease, long changedVersion, Instant now) {
 		boolean gap = !this.readAt.equals(Instant.MIN) && this.readAt.plus(lease.length()).isBefore(now);
 		boolean same = !gap && this.seen.filter(lease::equals).isPresent();
--- a/src/main/java/sycamorehill/logic/group/OfflineController.java
+++ b/src/main/java/sycamorehill/logic/group/OfflineController.java
@@ -19,7 +19,7 @@
 import sycamorehill.model.peer.PlatformSilent;
 
 /**
- * Repairs groups while the platform is silent to the whole data centre. It uses only
+ * Repairs groups while the platform answers no node of the data centre. It uses only
  * standbys that the allocation had claimed before, so that no new claim is needed.
  */
 final class OfflineController {
@@ -36,7 +36,7 @@
 	}
 
 	/**
-	 * Reports to the other stewards that the platform is silent to this node.
+	 * Reports to the other stewards that the platform does not answer this node.
 	 * @param step the current step
 	 * @param steward whether this node is a steward
 	 */
@@ -65,7 +65,7 @@
 	// lease and repair the same group with the same standby. Each would then remove the
 	// VMs from the other's group. So this node repairs groups only if it was the last
 	// holder of the lease and all other stewards, of which there must be at least one,
-	// report that the platform is silent to them too.
+	// report that the platform does not answer them either.
 	static boolean mayRepair(GroupStep step) {
 		GroupState state = step.state();
 		Optional<Allocation> known = state.allocation().known();
--- a/src/main/java/sycamorehill/logic/group/OfflineState.java
+++ b/src/main/java/sycamorehill/logic/group/OfflineState.java
@@ -16,21 +16,22 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * Holds the repairs made while the platform is silent, with standbys that the allocation
- * had claimed before.
+ * Holds the repairs made while the platform does not answer, with standbys that the
+ * allocation had claimed before.
  *
  * @param baseVersion the version of the allocation that the repairs are based on
  * @param repairs the number of repairs in this incarnation of the node
  * @param repaired the repaired groups
  * @param silentPeers the time at which each other steward last reported that the platform
- * is silent to it
- * @param nextWordAt the time of this node's next report that the platform is silent to it
+ * does not answer it
+ * @param nextWordAt the time of this node's next report that the platform does not answer
+ * it
  */
 public record OfflineState(long baseVersion, long repairs, PMap<GroupName, GroupRecord> repaired,
 		PMap<NodeIncarnation, Instant> silentPeers, Instant nextWordAt) {
 
 	/**
-	 * The lowest generation that is assigned while the platform is silent. Such a
+	 * The lowest generation that is assigned while the platform does not answer. Such a
 	 * generation contains the controller's fencing number and a counter, so that no other
 	 * node assigns the same.
 	 */
@@ -47,8 +48,8 @@
 	}
 
 	/**
-	 * Returns the fencing number in a generation that was assigned while the platform was
-	 * silent.
+	 * Returns the fencing number in a generation that was assigned while the platform did
+	 * not answer.
 	 * @param generation the generation
 	 * @return the fencing number
 	 */
--- a/src/main/java/sycamorehill/logic/group/VmSilences.java
+++ b/src/main/java/sycamorehill/logic/group/VmSilences.java
@@ -30,7 +30,8 @@
  * @param trusted whether this node observes enough VMs to decide that one is dead
  * @param companyAt the node's monotonic time at which another node was last live
  * @param deserted whether all other nodes have recently become silent
- * @param gone the silent VMs with further evidence that they are dead
+ * @param gone the silent VMs that are dead by further evidence, such as refused
+ * connections
  */
 public record VmSilences(PMap<VmName, Instant> since, Instant lookedAt, boolean trusted, Instant companyAt,
 		boolean deserted, PSet<VmName> gone) {
