--- a/src/main/java/sycamorehill/logic/group/AllocationController.java
+++ b/src/main/java/sycamorehill/logic/group/AllocationController.java
@@ -33,7 +33,7 @@
  */
 final class AllocationController {
 
-	private static final int MAXIMUM_REPORT_REQUESTS = 8;
+	private static final int MAXIMUM_REPORT_REQUESTS_PER_DECISION = 8;
 
 	private AllocationController() {
 	}
@@ -90,7 +90,7 @@
 		int asked = 0;
 		for (VmName vm : silences.silentVms()) {
 			VmEntry entry = step.view().fleet().entries().get(vm);
-			if (entry != null && asked++ < MAXIMUM_REPORT_REQUESTS) {
+			if (entry != null && asked++ < MAXIMUM_REPORT_REQUESTS_PER_DECISION) {
 				step.emit(new TargetEffect.AskReport(vm, entry.address()));
 			}
 		}
--- a/src/test/java/sycamorehill/logic/group/GroupDecisionTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupDecisionTests.java
@@ -168,7 +168,7 @@
 	// Guards against a second load. A new controller finds a group that is loading; an
 	// engine that does not recognise a repeated join command would start its load again.
 	@Test
-	void anEngineThatIsAlreadyLoadingGetsNoSecondJoinCommand() {
+	void anEngineThatIsAlreadyLoadingReceivesNoSecondJoinCommand() {
 		GroupIdentity group = GroupIdentity.of(GroupName.of(GroupSetName.of("s"), 0), 4);
 		GroupRecord record = new GroupRecord(group, ServiceName.of("s"), "m", "1", List.of(VM), GroupPhase.FORMING, 1,
 				"", 0);
@@ -256,7 +256,7 @@
 	}
 
 	@Test
-	void anotherNodesLeaseIsTakenOnlyAfterItsFullLengthWithoutRenewal() {
+	void anotherNodesLeaseIsAcquiredOnlyAfterItsFullLengthWithoutRenewal() {
 		FixedView view = FixedView.of("other");
 		ControllerLease lease = new ControllerLease(DATA_CENTRE, HOLDER, 1, Duration.ofSeconds(6), 1);
 		PlatformAnswer found = new PlatformAnswer.Found(
