--- a/src/main/java/sycamorehill/logic/directory/GroupKey.java
+++ b/src/main/java/sycamorehill/logic/directory/GroupKey.java
@@ -3,8 +3,9 @@
 import sycamorehill.model.serving.Membership;
 
 /**
- * Identifies a group among all that ever were. Made for each member at each look, so it
- * compares without the method handles of a record's own methods.
+ * Identifies a group by its name and epoch. Keys are created and compared for each member
+ * at each check, so equality is written out instead of using the method handles of a
+ * record's generated methods.
  *
  * @param group the group's name
  * @param epoch the group's epoch
@@ -12,8 +13,8 @@
 public record GroupKey(String group, long epoch) {
 
 	/**
-	 * The group that an engine reports.
-	 * @param membership the engine's place in it
+	 * Creates the key of the group that an engine reports.
+	 * @param membership the engine's membership in the group
 	 * @return the key
 	 */
 	public static GroupKey of(Membership membership) {
--- a/src/main/java/sycamorehill/logic/directory/GroupNames.java
+++ b/src/main/java/sycamorehill/logic/directory/GroupNames.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 /**
- * Names of groups. A name carries the model, because an engine that is still loading
- * reports no model yet, and an epoch, so that no name is used twice.
+ * Creates and parses names of groups. A name contains the model, because an engine that
+ * is still loading reports no model yet, and an epoch, so that no name is used twice.
  */
 public final class GroupNames {
 
@@ -14,7 +14,7 @@
 	}
 
 	/**
-	 * Makes a name.
+	 * Creates a name.
 	 * @param model the group's model
 	 * @param epoch the group's epoch
 	 * @return the name
--- a/src/main/java/sycamorehill/logic/directory/GroupView.java
+++ b/src/main/java/sycamorehill/logic/directory/GroupView.java
@@ -9,20 +9,20 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * A group as its members report it.
+ * Holds a group as its members report it.
  *
  * @param name the group's name
  * @param epoch the group's epoch
- * @param model its model
- * @param members the members seen, by rank
- * @param vanished members whose entries went lately: what is known of them is their last
- * word
+ * @param model the parameters of its model
+ * @param members the known members, sorted by rank
+ * @param vanished the members that are known only by their last entry, because it was
+ * recently removed from the store
  */
 public record GroupView(String name, long epoch, ModelFigures model, List<TargetEntry> members,
 		Set<TargetName> vanished) {
 
 	/**
-	 * Identifies the group among all that ever were.
+	 * Returns the key that identifies the group.
 	 * @return the key
 	 */
 	public GroupKey key() {
@@ -30,7 +30,7 @@
 	}
 
 	/**
-	 * Whether an engine reports this group as its own.
+	 * Returns whether an engine reports that it is a member of this group.
 	 * @param engine the engine
 	 * @return true if it does
 	 */
@@ -39,8 +39,9 @@
 	}
 
 	/**
-	 * Whether every rank was seen once, no member is leaving and all hold the model.
-	 * @return true if the group is whole
+	 * Returns whether each rank is reported by exactly one member, no member is leaving,
+	 * and all members have loaded the model.
+	 * @return true if the group is complete and its members are ready
 	 */
 	public boolean allMembersReady() {
 		if (!allRanksReported()) {
@@ -55,7 +56,7 @@
 	}
 
 	/**
-	 * Whether every rank was seen once, whatever its state.
+	 * Returns whether each rank is reported by exactly one member, in any state.
 	 * @return true if no member is missing
 	 */
 	public boolean allRanksReported() {
@@ -71,26 +72,27 @@
 	}
 
 	/**
-	 * Whether the group takes requests. Members that vanished may only be cut off from
-	 * the store; if one is lost, the group stands still and is taken apart. A head that
-	 * vanished may be leaving and gets no new work.
-	 * @return true if it is whole and its head is open
+	 * Returns whether the group accepts requests. A vanished member may only be
+	 * partitioned from the store, so it does not count as lost; if it is lost, the group
+	 * stops making progress and is disbanded. A vanished head may be leaving and receives
+	 * no new requests.
+	 * @return true if all members are ready, and the head is open and has not vanished
 	 */
 	public boolean serving() {
 		return allMembersReady() && memberState(head()) == MemberState.OPEN && !this.vanished.contains(head().name());
 	}
 
 	/**
-	 * The member of rank 0.
-	 * @return the head, or the member of the lowest rank seen
+	 * Returns the member of rank 0.
+	 * @return the head, or the known member of the lowest rank if rank 0 is not reported
 	 */
 	public TargetEntry head() {
 		return this.members.get(0);
 	}
 
 	/**
-	 * Whether the member of rank 0 was seen.
-	 * @return true if it was
+	 * Returns whether a member of rank 0 is known.
+	 * @return true if it is
 	 */
 	public boolean headReported() {
 		return head().membership().orElseThrow().rank() == 0;
@@ -101,7 +103,7 @@
 	}
 
 	/**
-	 * Where a member stands.
+	 * Returns a member's state in its group.
 	 * @param member the member
 	 * @return its state
 	 */
--- a/src/main/java/sycamorehill/logic/directory/GroupViews.java
+++ b/src/main/java/sycamorehill/logic/directory/GroupViews.java
@@ -17,7 +17,7 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Puts groups together from what engines report.
+ * Assembles groups from the memberships that engines report.
  */
 public final class GroupViews {
 
@@ -32,11 +32,12 @@
 	}
 
 	/**
-	 * Collects the groups of one service.
+	 * Returns the groups of one service.
 	 * @param entries the service's engines
-	 * @param vanished the last word of engines whose entries went lately
-	 * @param parameters what its engines do
-	 * @return all groups that at least one engine reports, in a fixed order
+	 * @param vanished the last known entries of engines that vanished
+	 * @param parameters the parameters of the service's engines
+	 * @return all groups that at least one engine in the directory reports, sorted by
+	 * name and epoch
 	 */
 	public static List<GroupView> of(List<TargetEntry> entries, Collection<TargetEntry> vanished,
 			EngineFigures parameters) {
@@ -49,8 +50,7 @@
 		Set<TargetName> vanishedNames = new HashSet<>();
 		for (TargetEntry entry : vanished) {
 			vanishedNames.add(entry.name());
-			// A group of which no engine is left in the directory can't be used or
-			// changed.
+			// A group without any engine left in the directory can't be used or changed.
 			entry.membership().map(GroupKey::of).map(byGroup::get).ifPresent((members) -> members.add(entry));
 		}
 		List<GroupView> groups = new ArrayList<>();
--- a/src/main/java/sycamorehill/logic/directory/TargetDirectory.java
+++ b/src/main/java/sycamorehill/logic/directory/TargetDirectory.java
@@ -17,17 +17,17 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * The targets that this node believes in. Entries of live targets may lapse while the
- * store is away: they are kept until the targets have had time to enter themselves again,
- * so that an outage never empties the directory. An entry that is missing after that is
- * gone.
+ * Holds the targets that this node knows. While the store is unreachable, entries of live
+ * targets may expire there: they are kept until the targets have had time to register
+ * again, so that a store outage never empties the directory. An entry that is still
+ * missing after that is removed.
  */
 public final class TargetDirectory {
 
 	/**
-	 * How long entries may be missing after the store came back. Live targets enter
-	 * themselves again within about 2 s; the rest is the time that a change needs to
-	 * arrive here.
+	 * How long entries may be missing after the store became reachable again. Live
+	 * targets register again within about 2 s; the rest is the time that a change needs
+	 * to arrive here.
 	 */
 	static final Duration REREGISTRATION_TIME = Duration.ofMillis(2300);
 
@@ -55,9 +55,9 @@
 	}
 
 	/**
-	 * Notes whether the store answered.
+	 * Records whether the store answered.
 	 * @param reachable whether it did
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	public void recordStoreContact(boolean reachable, Instant now) {
 		if (!reachable) {
@@ -71,10 +71,10 @@
 	}
 
 	/**
-	 * Takes a whole list.
-	 * @param listed all entries that the store shows
-	 * @param now the present time
-	 * @return entries of lives that ended
+	 * Replaces all entries by a complete list.
+	 * @param listed all entries that the store lists
+	 * @param now the current time
+	 * @return the entries of targets or incarnations that ended
 	 */
 	public List<TargetEntry> replaceAll(List<TargetEntry> listed, Instant now) {
 		Set<TargetName> present = new HashSet<>();
@@ -92,10 +92,10 @@
 	}
 
 	/**
-	 * Takes changes.
-	 * @param changes the changes in their order
-	 * @param now the present time
-	 * @return entries of lives that ended
+	 * Applies changes.
+	 * @param changes the changes in order
+	 * @param now the current time
+	 * @return the entries of targets or incarnations that ended
 	 */
 	public List<TargetEntry> apply(List<TargetChange> changes, Instant now) {
 		List<TargetEntry> ended = new ArrayList<>();
@@ -106,10 +106,11 @@
 	}
 
 	/**
-	 * Drops the entries that had time to come back and did not, and the last word of
-	 * targets that vanished long ago.
-	 * @param now the present time
-	 * @return the entries dropped
+	 * Removes the entries that are still missing although their targets had time to
+	 * register again, and the last known entries of targets that vanished longer ago than
+	 * {@link VanishedTargets#RETENTION_TIME}.
+	 * @param now the current time
+	 * @return the missing entries that were removed
 	 */
 	public List<TargetEntry> dropMissing(Instant now) {
 		if (this.vanished.expire(now)) {
@@ -128,11 +129,12 @@
 	}
 
 	/**
-	 * Takes what an engine has told of itself while the store is away. What the store
-	 * shows goes before it at all other times.
+	 * Applies an engine's own report while the store is unreachable. At all other times
+	 * the store's entry takes precedence.
 	 * @param name the engine
-	 * @param report what it told
-	 * @return the change; empty if the store answers or nothing is new
+	 * @param report the engine's report
+	 * @return the change; empty if the store is reachable, the engine is unknown, or
+	 * nothing changed
 	 */
 	public Optional<TargetChange> applyReport(TargetName name, EngineReport report) {
 		TargetEntry previous = this.entries.get(name);
@@ -182,51 +184,52 @@
 	}
 
 	/**
-	 * Finds a target.
+	 * Finds the entry of a target.
 	 * @param name the target
-	 * @return what it says of itself
+	 * @return its entry, if the target is known
 	 */
 	public Optional<TargetEntry> find(TargetName name) {
 		return Optional.ofNullable(this.entries.get(name));
 	}
 
 	/**
-	 * Whether an entry is kept though the store doesn't show it.
+	 * Returns whether an entry is kept although the store doesn't list it.
 	 * @param name the target
-	 * @return true for an entry that may have lapsed
+	 * @return true for an entry that may have expired
 	 */
 	public boolean isMissing(TargetName name) {
 		return this.missing.contains(name);
 	}
 
 	/**
-	 * All entries.
-	 * @return the entries
+	 * Returns all entries.
+	 * @return the entries, including missing ones
 	 */
 	public Collection<TargetEntry> all() {
 		return this.entries.values();
 	}
 
 	/**
-	 * The last word of targets whose entries went lately, without notice of their
-	 * leaving. They are no targets to use; groups that they are members of may go on.
-	 * @return the entries as they were
+	 * Returns the last known entries of targets whose entries were recently removed from
+	 * the store without a leaving notice. These targets receive no requests; groups that
+	 * they are members of may keep serving.
+	 * @return the last known entries
 	 */
 	public Collection<TargetEntry> vanished() {
 		return this.vanished.all();
 	}
 
 	/**
-	 * Finds the last word of a target whose entry went lately.
+	 * Finds the last known entry of a target that vanished.
 	 * @param name the target
-	 * @return what it said of itself
+	 * @return its last known entry, if the target vanished recently
 	 */
 	public Optional<TargetEntry> findVanished(TargetName name) {
 		return this.vanished.find(name);
 	}
 
 	/**
-	 * Forgets the last word of a target that is known to be gone.
+	 * Removes the last known entry of a target that is known to be gone.
 	 * @param name the target
 	 */
 	public void forgetVanished(TargetName name) {
@@ -236,7 +239,8 @@
 	}
 
 	/**
-	 * Counts the changes, so that others know when to derive their views again.
+	 * Returns the number of changes so far, which shows when derived views are out of
+	 * date.
 	 * @return the number of changes
 	 */
 	public long changeCount() {
@@ -244,8 +248,8 @@
 	}
 
 	/**
-	 * Whether the store answers at present.
-	 * @return false while it is away
+	 * Returns whether the store answered last time.
+	 * @return false while the store is unreachable
 	 */
 	public boolean isStoreReachable() {
 		return !this.storeUnreachable;
--- a/src/main/java/sycamorehill/logic/directory/VanishedTargets.java
+++ b/src/main/java/sycamorehill/logic/directory/VanishedTargets.java
@@ -11,17 +11,19 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * The last word of targets whose entries went without notice of their leaving.
+ * Holds the last known entries of targets whose entries were removed from the store
+ * without a leaving notice.
  *
- * Such a target may be dead, may leave silently, or may only be cut off from the store. A
- * group goes on serving when a member is cut off from the store alone; if its missing
- * entry counted as a loss, a cut of a tenth of the engines took half of all groups apart.
+ * Such a target may have crashed, may leave without notice, or may only be partitioned
+ * from the store. A group keeps serving when a member is partitioned from the store
+ * alone; if its missing entry counted as a loss, a partition of a tenth of the engines
+ * would disband half of all groups.
  */
 final class VanishedTargets {
 
 	/**
-	 * How long the last word is kept. Cuts that last longer are rare, and their groups
-	 * are known again from the entries that come back.
+	 * How long a last known entry is kept. Longer partitions are rare, and their groups
+	 * become known again from the entries that are registered again.
 	 */
 	static final Duration RETENTION_TIME = Duration.ofSeconds(10);
 
@@ -32,7 +34,7 @@
 	}
 
 	/**
-	 * Forgets a target.
+	 * Removes a target.
 	 * @param name the target
 	 * @return whether it was known
 	 */
@@ -41,8 +43,8 @@
 	}
 
 	/**
-	 * Forgets the targets that went too long ago.
-	 * @param now the present time
+	 * Removes the targets that vanished longer ago than {@link #RETENTION_TIME}.
+	 * @param now the current time
 	 * @return whether there were any
 	 */
 	boolean expire(Instant now) {
@@ -58,10 +60,10 @@
 	}
 
 	/**
-	 * A target whose entry went.
+	 * Holds the last known entry of a vanished target.
 	 *
-	 * @param entry its last word
-	 * @param since when the entry went
+	 * @param entry its last known entry
+	 * @param since when the entry was removed
 	 */
 	private record Vanished(TargetEntry entry, Instant since) {
 	}
--- a/src/main/java/sycamorehill/logic/directory/package-info.java
+++ b/src/main/java/sycamorehill/logic/directory/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The targets that a node believes in, and the groups that they report.
+ * The targets that a node knows, and the groups that they report.
  */
 package sycamorehill.logic.directory;
--- a/src/main/java/sycamorehill/logic/entry/ConfigurationDistribution.java
+++ b/src/main/java/sycamorehill/logic/entry/ConfigurationDistribution.java
@@ -10,15 +10,20 @@
 import sycamorehill.model.serving.EntryEffect;
 
 /**
- * Has the text of each configuration told to the nodes that are read for, which spares
+ * Sends the text of each configuration to the nodes that follow this one, which saves
  * each of them a call to the store for each version.
  */
 final class ConfigurationDistribution {
 
-	/** Time from the news of a version to its text, which is sent at the same time. */
+	/**
+	 * How long to wait for the text of an announced version. Both are sent at the same
+	 * time.
+	 */
 	private static final Duration TEXT_TIMEOUT = Duration.ofMillis(200);
 
-	/** A version that is older than this has reached the others by other ways. */
+	/**
+	 * A version that took effect longer ago has reached the other nodes in other ways.
+	 */
 	private static final Duration MAXIMUM_SEND_DELAY = Duration.ofSeconds(1);
 
 	private final String self;
@@ -46,11 +51,11 @@
 	}
 
 	/**
-	 * Tells a version that has come into force here to the nodes that hear the news of
-	 * the store from this one.
+	 * Sends a version that took effect here to the nodes that receive store updates from
+	 * this one. If there are none yet, the version stays pending.
 	 * @param version the version
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void send(long version, Instant now, Effects effects) {
 		if (!isDistributor(now)) {
@@ -69,10 +74,10 @@
 	}
 
 	/**
-	 * Tells a version that came into force here just before the others began to hear the
-	 * news of the store from this node.
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * Sends the pending version, which took effect here just before the other nodes began
+	 * to receive store updates from this one.
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void sendPending(Instant now, Effects effects) {
 		if (this.unsentVersion == 0) {
@@ -91,11 +96,11 @@
 	}
 
 	/**
-	 * Notes news of a version that is not in force here. A text that has not come when
-	 * they are told again is read in the store.
+	 * Records that an update announced a version that is not in effect here. If its text
+	 * has not arrived when it is announced again, the text is read from the store.
 	 * @param version the version
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void awaitText(long version, Instant now, Effects effects) {
 		if (version != this.awaitedVersion) {
--- a/src/main/java/sycamorehill/logic/entry/EntryReducer.java
+++ b/src/main/java/sycamorehill/logic/entry/EntryReducer.java
@@ -23,33 +23,34 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * All decisions of an entry node: takes one event after the other and says what is to be
- * done. Time and random numbers come from outside, so that a history can be played again.
+ * Makes all decisions of an entry node: handles one event after the other and returns the
+ * resulting effects. Time and random numbers are passed in, so that a sequence of events
+ * can be replayed.
  */
 public final class EntryReducer {
 
 	/**
-	 * Time after the order to stop in which requests are still taken: the balancer asks
-	 * each second and sends no new connections after two refusals.
+	 * How long requests are still accepted after the request to stop: the load balancer
+	 * checks the node each second and sends no new connections after two failed checks.
 	 */
 	public static final Duration ACCEPTANCE_AFTER_STOP = Duration.ofMillis(3000);
 
 	/**
-	 * How long a call may wait in the store for a change. One that does not end is how a
-	 * node learns that the store has stopped answering it.
+	 * How long a call may wait in the store for a change. A call that does not return in
+	 * time shows a node that the store has stopped answering it.
 	 */
 	public static final Duration STORE_LONG_POLL_WAIT = StoreRelay.LONG_POLL_WAIT;
 
-	/** Gathers changes of targets and groups, which come several times a second. */
+	/** Batches changes of targets and groups, which occur several times a second. */
 	private static final Duration MINIMUM_READ_PAUSE = Duration.ofMillis(150);
 
 	/**
-	 * A change must be followed within 2 s; the rest is for the call itself and for one
+	 * A change must take effect within 2 s; the rest is for the call itself and for one
 	 * that fails.
 	 */
 	private static final Duration MAXIMUM_READ_PAUSE = Duration.ofMillis(1000);
 
-	/** Nodes that may all read at the shortest pause. */
+	/** Number of nodes up to which all may read at the minimum pause. */
 	private static final int NODES_AT_MINIMUM_PAUSE = 9;
 
 	private final TargetDirectory directory = TargetDirectory.create();
@@ -100,11 +101,12 @@
 	}
 
 	/**
-	 * Creates the decisions of a node that knows nothing yet.
+	 * Creates the reducer of a node that has read neither its configuration nor the
+	 * targets.
 	 * @param settings the node's settings
-	 * @param self names this process among all that ever ran
-	 * @param random feeds all random choices
-	 * @param started the present time
+	 * @param self identifies this incarnation of the process among all others
+	 * @param random the source of all random choices
+	 * @param started the current time
 	 * @return the reducer
 	 */
 	public static EntryReducer of(EntrySettings settings, String self, RandomGenerator random, Instant started) {
@@ -112,10 +114,10 @@
 	}
 
 	/**
-	 * Takes one event.
+	 * Handles one event.
 	 * @param event the event
-	 * @param now the present time, which never goes back
-	 * @return what is to be done, in this order
+	 * @param now the current time, which never decreases
+	 * @return the effects to carry out, in order
 	 */
 	public List<EntryEffect> accept(EntryEvent event, Instant now) {
 		Effects effects = Effects.begin();
@@ -125,7 +127,7 @@
 		return resolveBroadcasts(effects.all());
 	}
 
-	// Puts the addresses of all other nodes to what all are told.
+	// Replaces each broadcast by a message to the addresses of all peers.
 	private List<EntryEffect> resolveBroadcasts(List<EntryEffect> unresolved) {
 		if (unresolved.stream().noneMatch(EntryEffect.TellAll.class::isInstance)) {
 			return unresolved;
@@ -142,8 +144,8 @@
 		return effects.all();
 	}
 
-	// A request that comes late in a planned stop could be cut off when the process ends:
-	// answers take up to 4 s, and the caller can be served by another node at once.
+	// A request that arrives late in a planned stop could be aborted when the process
+	// exits: answers take up to 4 s, and another node can serve the caller at once.
 	private void handleRequest(CallerRequest request, Instant now, Effects effects) {
 		if (this.stopRequestedAt != null && now.isAfter(this.stopRequestedAt.plus(ACCEPTANCE_AFTER_STOP))) {
 			this.requests.refuseStopping(request, effects);
@@ -352,7 +354,8 @@
 		tick(now, effects);
 	}
 
-	// Nodes that started before this one did not find it in their lists.
+	// Nodes that started before this one did not find it in their lists, so it introduces
+	// itself.
 	private void handleNodeList(EntryEvent.NodesListed all, Instant now, Effects effects) {
 		this.peers.updateNodes(all.nodes(), now);
 		if (!this.introduced) {
@@ -400,7 +403,8 @@
 		}
 	}
 
-	// Versions only go up within one life of the process, whatever the store shows.
+	// Versions only increase within one incarnation of the process, whatever the store
+	// returns.
 	private void applyConfiguration(Configuration read, Instant now, Effects effects) {
 		long version = this.configuration.map(Configuration::version).orElse(Long.MIN_VALUE);
 		if (read.version() <= version) {
@@ -437,11 +441,11 @@
 	}
 
 	/**
-	 * Pause between two reads of the store that bring changes. A node that reads for
-	 * others reads often, because callers wait for the repair of groups; one that is told
-	 * nothing reads less often the more nodes there are, so that all together read about
-	 * as often as few do.
-	 * @param now the present time
+	 * Returns the pause between two reads of the store that return changes. The reader
+	 * and the node that controls the groups read often, because callers wait for the
+	 * repair of groups. A node that receives no updates reads less often the more nodes
+	 * there are, so that a large cluster reads about as often as a small one.
+	 * @param now the current time
 	 * @return the pause
 	 */
 	public Duration readPause(Instant now) {
@@ -455,8 +459,8 @@
 	}
 
 	/**
-	 * Whether another node reads the store for this one.
-	 * @param now the present time
+	 * Returns whether another node reads the store for this one.
+	 * @param now the current time
 	 * @return true if this node need not read
 	 */
 	public boolean followsReader(Instant now) {
@@ -464,7 +468,7 @@
 	}
 
 	/**
-	 * Counts the requests without a final answer.
+	 * Returns the number of requests without a final answer.
 	 * @return the number of requests
 	 */
 	public long requestsActive() {
@@ -472,7 +476,7 @@
 	}
 
 	/**
-	 * Counts the targets that this node believes in.
+	 * Returns the number of targets that this node knows.
 	 * @return the number of targets
 	 */
 	public long targetsKnown() {
@@ -480,7 +484,7 @@
 	}
 
 	/**
-	 * Counts the nodes that were heard lately, this one with them.
+	 * Returns the number of live nodes at the last count, including this one.
 	 * @return the number of nodes
 	 */
 	public long liveNodes() {
@@ -488,15 +492,16 @@
 	}
 
 	/**
-	 * The version of the configuration in force.
-	 * @return the version, 0 before there is one
+	 * Returns the version of the configuration in effect.
+	 * @return the version, 0 before the first configuration
 	 */
 	public long configurationVersion() {
 		return this.configuration.map(Configuration::version).orElse(0L);
 	}
 
 	/**
-	 * Whether the store answered the last call for targets.
+	 * Returns whether the store answered the last call for targets, from this node or
+	 * from the reader that it follows.
 	 * @return true if it did
 	 */
 	public boolean isStoreReachable() {
--- a/src/main/java/sycamorehill/logic/entry/LoadAggregation.java
+++ b/src/main/java/sycamorehill/logic/entry/LoadAggregation.java
@@ -16,27 +16,30 @@
 import sycamorehill.model.serving.NodeRecord;
 
 /**
- * Tells loads among many nodes: the node that passes on the store's news to a data centre
- * adds up the loads of all nodes there, and tells each of them the sum of the others. A
- * node then takes some messages a second and not some dozens, each of which wakes it.
+ * Exchanges loads in a large cluster. In each data centre, the node that distributes
+ * store updates is the aggregator: it adds up the loads of all nodes there, and sends
+ * each of them the sum of the others. A node then receives a few messages per second
+ * instead of dozens, each of which wakes it up.
  */
 final class LoadAggregation {
 
-	/** A load report is out of date after about as long as an answer's first half. */
+	/** A load report is out of date after about half the duration of an answer. */
 	private static final Duration MINIMUM_SEND_INTERVAL = Duration.ofMillis(500);
 
-	/** Messages a second that the node which adds up takes, at most. */
+	/** Maximum number of messages that the aggregator receives per second. */
 	private static final int MAXIMUM_MESSAGES_PER_SECOND = 100;
 
-	/** Two messages of a node may be lost before it is not counted. */
+	/**
+	 * Validity of received loads in send intervals: two messages of a node may be lost.
+	 */
 	private static final int VALID_SEND_INTERVALS = 3;
 
-	/** What a node told is good for this long at least: a weak VM may be late. */
+	/** Minimum validity of received loads: a slow VM may send late. */
 	private static final Duration MINIMUM_VALIDITY = Duration.ofMillis(1000);
 
 	/**
-	 * Other data centres are told once in so many times: each has targets of its own,
-	 * which its nodes prefer.
+	 * Number of local sends per send to other data centres: each data centre has its own
+	 * targets, which its nodes prefer.
 	 */
 	private static final int SENDS_PER_REMOTE_SEND = 2;
 
@@ -68,9 +71,9 @@
 	}
 
 	/**
-	 * Takes the loads of one node.
-	 * @param loads what it told
-	 * @param now the present time
+	 * Records the loads of one node.
+	 * @param loads the node's message
+	 * @param now the current time
 	 */
 	void handleMessage(NodeMessage.Loads loads, Instant now) {
 		if (loads.dataCentre().equals(this.localDataCentre)) {
@@ -79,13 +82,13 @@
 	}
 
 	/**
-	 * Takes sums, if they come from the node that adds up for this one, or of another
-	 * data centre to be passed on. A node that reads the store for itself for a moment
-	 * adds up as well, but hears nobody.
-	 * @param added what was told
-	 * @param stopping whether this node ends
-	 * @param now the present time
-	 * @return true if the sums count
+	 * Records the sums of other data centres, if the message comes from this node's
+	 * aggregator, or if this node is the aggregator and relays them. A node that reads
+	 * the store for itself for a moment also adds up loads, but receives none.
+	 * @param added the message with the sums
+	 * @param stopping whether this node is stopping
+	 * @param now the current time
+	 * @return true if the sums are valid for this node
 	 */
 	boolean handleMessage(NodeMessage.LoadsAdded added, boolean stopping, Instant now) {
 		Optional<String> aggregator = aggregator(stopping, now);
@@ -101,18 +104,18 @@
 		return true;
 	}
 
-	// Few nodes tell each other at once. Without news of the store nobody knows who adds
-	// up, and each node tells the others again.
+	// In a small cluster, nodes send their loads to each other directly. Without store
+	// updates, no node knows the aggregator, and all nodes send directly again.
 	private Optional<String> aggregator(boolean stopping, Instant now) {
 		return this.peers.isSmallCluster() ? Optional.empty()
 				: this.relay.distributor(now).filter((node) -> !stopping || !node.equals(this.self));
 	}
 
 	/**
-	 * Whether the loads are to be told.
-	 * @param stopping whether this node ends
-	 * @param now the present time
-	 * @return true if it is time
+	 * Returns whether this node has to send its loads now.
+	 * @param stopping whether this node is stopping
+	 * @param now the current time
+	 * @return true if a message is due
 	 */
 	boolean isSendDue(boolean stopping, Instant now) {
 		if (aggregator(stopping, now).isEmpty()) {
@@ -134,11 +137,11 @@
 	}
 
 	/**
-	 * Tells this node's loads.
+	 * Sends this node's loads.
 	 * @param loads this node's loads
-	 * @param stopping whether this node ends
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param stopping whether this node is stopping
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void send(NodeMessage.Loads loads, boolean stopping, Instant now, Effects effects) {
 		aggregator(stopping, now).ifPresentOrElse((node) -> sendToAggregator(node, loads, now, effects),
@@ -180,7 +183,7 @@
 		return new LoadSum(this.self, this.localDataCentre, this.localLoads.size() + 1, requests);
 	}
 
-	// A node counts its own requests as they are at present.
+	// A node adds its own current requests itself.
 	private Map<TargetName, Integer> withoutLoadsOf(Map<TargetName, Integer> all, String node) {
 		Map<TargetName, Integer> others = new HashMap<>(all);
 		Optional.ofNullable(this.localLoads.get(node))
@@ -191,10 +194,10 @@
 	}
 
 	/**
-	 * What a node of the own data centre told last.
+	 * Holds the last loads received from a node of the local data centre.
 	 *
-	 * @param requests its requests by target
-	 * @param receivedAt when it was heard
+	 * @param requests its number of requests by target
+	 * @param receivedAt when they were received
 	 */
 	private record ReceivedLoads(Map<TargetName, Integer> requests, Instant receivedAt) {
 	}
--- a/src/main/java/sycamorehill/logic/entry/PeerNodes.java
+++ b/src/main/java/sycamorehill/logic/entry/PeerNodes.java
@@ -20,37 +20,43 @@
 import sycamorehill.model.serving.NodeRecord;
 
 /**
- * The other entry nodes: where they are, and which of them were heard lately.
+ * Holds the other entry nodes: their addresses, and when their last messages arrived.
  */
 final class PeerNodes {
 
-	/** A node that was not heard for so long is not counted: few nodes tell 25 times. */
+	/**
+	 * A node that sends nothing for this long is not live: in a small cluster, a live one
+	 * sends 25 messages.
+	 */
 	private static final Duration MINIMUM_LIVENESS_TIMEOUT = Duration.ofSeconds(5);
 
-	/** Messages of a node that may be lost in a row before it is not counted. */
+	/**
+	 * Number of consecutive messages of a node that may be lost while it counts as live.
+	 */
 	private static final int MAXIMUM_MISSED_MESSAGES = 2;
 
 	/**
-	 * What a node told of the store is good for so long: few nodes tell it five times a
-	 * second, many tell half of the others within it.
+	 * How long a node's report on the store is valid: in a small cluster, nodes report it
+	 * five times a second; in a large one, they report it to half of the others within
+	 * this time.
 	 */
 	private static final Duration STORE_STATUS_VALIDITY = Duration.ofMillis(1500);
 
-	/** A load report is out of date after about as long as an event takes. */
+	/** A load report is out of date after about the duration of an event. */
 	private static final Duration MINIMUM_LOAD_INTERVAL = Duration.ofMillis(200);
 
 	/**
-	 * Messages about loads that a node takes in a second, at most: small VMs have little
-	 * processor time and bandwidth beside their callers'.
+	 * Maximum number of load messages that a node receives per second: small VMs have
+	 * little processor time and bandwidth besides those that their callers need.
 	 */
 	private static final int MAXIMUM_LOAD_MESSAGES_PER_SECOND = 60;
 
-	/** Other nodes that may all be told at the shortest pause. */
+	/** Number of peers up to which all receive loads at the minimum interval. */
 	private static final int MAXIMUM_PEERS_OF_SMALL_CLUSTER = 12;
 
 	/**
-	 * Nodes of other data centres are told once in so many times: each data centre has
-	 * targets of its own, which its nodes prefer.
+	 * Number of sends within the data centre per send to other data centres: each data
+	 * centre has its own targets, which its nodes prefer.
 	 */
 	private static final int SENDS_PER_REMOTE_SEND = 5;
 
@@ -82,10 +88,10 @@
 	}
 
 	/**
-	 * Takes all nodes that the store shows. A node that is missing there stays while it
-	 * is heard: the list may be older than its start.
-	 * @param listed the nodes
-	 * @param now the present time
+	 * Replaces the peers by all nodes that the store lists. A missing node stays as long
+	 * as its messages arrive: the list may be older than its start.
+	 * @param listed the listed nodes
+	 * @param now the current time
 	 */
 	void updateNodes(List<NodeRecord> listed, Instant now) {
 		Set<String> names = listed.stream().map(NodeRecord::name).collect(Collectors.toSet());
@@ -131,12 +137,13 @@
 	}
 
 	/**
-	 * Whether a duty that one node has for others is rather a node's than another's. It
-	 * takes processor time and bandwidth, of which small VMs have just enough for their
-	 * callers; among equals names decide.
-	 * @param node a node, maybe this one
+	 * Returns whether a node takes precedence over another one for a duty that one node
+	 * performs for others. Such a duty takes processor time and bandwidth, of which small
+	 * VMs have just enough for their callers, so nodes with a larger processor share take
+	 * precedence; between equal ones, names decide.
+	 * @param node a node, possibly this one
 	 * @param other another node
-	 * @return true if the first goes before the other
+	 * @return true if the first takes precedence over the other
 	 */
 	boolean takesPrecedence(String node, String other) {
 		int comparison = Double.compare(processor(other), processor(node));
@@ -152,9 +159,9 @@
 	}
 
 	/**
-	 * Whether the loads are to be told.
-	 * @param now the present time
-	 * @return true if it is time
+	 * Returns whether this node has to send its loads to its peers now.
+	 * @param now the current time
+	 * @return true if a message is due
 	 */
 	boolean isLoadSendDue(Instant now) {
 		boolean minimumElapsed = !now.isBefore(this.loadsSentAt.plus(MINIMUM_LOAD_INTERVAL));
@@ -176,7 +183,7 @@
 	}
 
 	/**
-	 * Where the other nodes of the own data centre take messages.
+	 * Returns the addresses of the other nodes of the local data centre.
 	 * @return their addresses
 	 */
 	List<Address> localAddresses() {
@@ -188,7 +195,7 @@
 	}
 
 	/**
-	 * The other nodes of the own data centre.
+	 * Returns the names of the other nodes of the local data centre.
 	 * @return their names
 	 */
 	List<String> localNames() {
@@ -196,10 +203,11 @@
 	}
 
 	/**
-	 * Tells the loads to the nodes whose turn it is.
+	 * Sends the loads to the peers in the local data centre, or to all peers in a small
+	 * cluster and when those in other data centres are due.
 	 * @param loads the loads
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void sendLoads(NodeMessage.Loads loads, Instant now, Effects effects) {
 		this.loadsSentAt = now;
@@ -213,9 +221,10 @@
 	}
 
 	/**
-	 * Counts the nodes that live, this one with them: those that are heard, and for a
-	 * data centre whose nodes are counted by one of them, those that it counts.
-	 * @param now the present time
+	 * Returns the number of live nodes, including this one. Nodes are live if their
+	 * messages arrive; for a data centre whose aggregator reports a count, that count
+	 * applies.
+	 * @param now the current time
 	 * @return the number of nodes
 	 */
 	int countLiveNodes(Instant now) {
@@ -236,10 +245,11 @@
 	}
 
 	/**
-	 * The other nodes that share what one target takes. Of few nodes, each of which is
-	 * heard, those that live; many nodes would be taken for gone because they tell
-	 * others.
-	 * @param now the present time
+	 * Returns the peers that share the rate limit of one target. In a small cluster,
+	 * where each node receives messages from every other one, these are the live peers.
+	 * In a large cluster, they are all peers, because those that send their messages to
+	 * other nodes would seem to have failed.
+	 * @param now the current time
 	 * @return the nodes
 	 */
 	List<NodeRecord> sharingNodes(Instant now) {
@@ -251,11 +261,12 @@
 	}
 
 	/**
-	 * Whether no node reaches the store, as far as is heard: at least half of the nodes
-	 * have said so lately, and none has said that it does. Nodes that are cut off
-	 * together hear fewer.
-	 * @param now the present time
-	 * @return true if the store is away for all
+	 * Returns whether no node reaches the store, according to the messages received: at
+	 * least half of the nodes, including this one, have reported so recently, and none
+	 * has reported that it reaches the store. Nodes that are partitioned together receive
+	 * fewer reports.
+	 * @param now the current time
+	 * @return true if the store is unreachable for all nodes
 	 */
 	boolean isStoreUnreachableForAll(Instant now) {
 		Instant since = now.minus(STORE_STATUS_VALIDITY);
@@ -267,7 +278,7 @@
 	}
 
 	/**
-	 * Counts the nodes that are entered, this one with them.
+	 * Returns the number of registered nodes, including this one.
 	 * @return the number of nodes
 	 */
 	int countKnownNodes() {
@@ -279,8 +290,9 @@
 		return last != null && since.isBefore(last);
 	}
 
-	// Many nodes tell those of other data centres rarely. Nodes that are not counted
-	// would leave the others too large a part of the retry budget.
+	// In a large cluster, nodes rarely send to other data centres. If nodes weren't
+	// counted for this reason, the others would use too large a share of the retry
+	// budget.
 	private Duration livenessTimeout() {
 		Duration proportional = loadInterval()
 			.multipliedBy((long) SENDS_PER_REMOTE_SEND * (MAXIMUM_MISSED_MESSAGES + 1));
@@ -289,9 +301,9 @@
 	}
 
 	/**
-	 * Tells the nodes of the own data centre.
-	 * @param message what to tell
-	 * @param effects collects what is wanted
+	 * Sends a message to the peers in the local data centre.
+	 * @param message the message
+	 * @param effects receives the resulting effects
 	 */
 	void sendToLocalPeers(NodeMessage message, Effects effects) {
 		List<Address> addresses = localAddresses();
@@ -301,13 +313,14 @@
 	}
 
 	/**
-	 * Tells one or two nodes of each other data centre, which pass it on there: of those
-	 * that were heard lately the one that goes before the others, and the one that told
-	 * last what it reads, which takes its place if it has failed. A node that has just
-	 * begun to read may have heard none of them.
-	 * @param message what to tell
-	 * @param now the present time
-	 * @param effects collects what is wanted
+	 * Sends a message to one or two nodes of each other data centre, which relay it
+	 * there: the one that takes precedence among those whose messages arrived recently,
+	 * and the one that sent the last store update, which replaces the first if that has
+	 * failed. A node that has just begun to read may have received messages from none of
+	 * them.
+	 * @param message the message
+	 * @param now the current time
+	 * @param effects receives the resulting effects
 	 */
 	void sendToRelays(NodeMessage message, Instant now, Effects effects) {
 		List<Address> relays = relayAddresses(now);
@@ -317,9 +330,8 @@
 	}
 
 	/**
-	 * Where the nodes of other data centres take messages that pass on there what they
-	 * are told.
-	 * @param now the present time
+	 * Returns the addresses of the nodes of other data centres that relay messages there.
+	 * @param now the current time
 	 * @return their addresses
 	 */
 	List<Address> relayAddresses(Instant now) {
@@ -355,10 +367,10 @@
 	}
 
 	/**
-	 * Tells one node.
+	 * Sends a message to one node, if it is known.
 	 * @param node the node's name
-	 * @param message what to tell
-	 * @param effects collects what is wanted
+	 * @param message the message
+	 * @param effects receives the resulting effects
 	 */
 	void sendTo(String node, NodeMessage message, Effects effects) {
 		Optional.ofNullable(this.nodes.get(node))
@@ -366,29 +378,29 @@
 	}
 
 	/**
-	 * What another node told of the store.
+	 * Holds another node's last report on the store.
 	 *
-	 * @param reached whether it reaches the store
-	 * @param receivedAt when it was heard
+	 * @param reached whether the node reaches the store
+	 * @param receivedAt when the message was received
 	 */
 	private record StoreStatus(boolean reached, Instant receivedAt) {
 	}
 
 	/**
-	 * A node that told what it reads for its data centre. It counts until the one that it
-	 * stands for is known to be gone.
+	 * Identifies the node of a data centre that last sent a store update. It is used
+	 * until the node that it replaces is known to have failed.
 	 *
-	 * @param node its name
-	 * @param receivedAt when it was heard
+	 * @param node the node's name
+	 * @param receivedAt when the message was received
 	 */
 	private record Relay(String node, Instant receivedAt) {
 	}
 
 	/**
-	 * How many nodes of a data centre live, as one of them counts.
+	 * Holds the number of live nodes of a data centre, as counted by one of them.
 	 *
-	 * @param nodes their number
-	 * @param receivedAt when it was heard
+	 * @param nodes the number of nodes
+	 * @param receivedAt when the message was received
 	 */
 	private record NodeCount(int nodes, Instant receivedAt) {
 	}
--- a/src/main/java/sycamorehill/logic/entry/SilenceReports.java
+++ b/src/main/java/sycamorehill/logic/entry/SilenceReports.java
@@ -8,19 +8,20 @@
 import sycamorehill.model.identity.TargetName;
 
 /**
- * Which targets several nodes have found silent, at the node that controls the groups.
+ * Collects reports of silent targets at the node that controls the groups, and confirms a
+ * silence that two nodes report.
  *
- * Each of many nodes has few streams with a target, or none. One that has none would go
- * on giving it requests, which wait there in vain, and would resume streams there that
- * another node has just taken away. One node's word is not enough: the link between it
- * and the target may be cut while all others are served.
+ * In a large cluster, each node has few streams with a target, or none. A node that has
+ * none would keep sending it requests, which wait there in vain, and would resume streams
+ * there that another node has just moved away. The report of one node is not enough: the
+ * link between it and the target may be broken while all others are served.
  */
 final class SilenceReports {
 
-	/** Reports of two nodes within this time are of the same silence. */
+	/** Reports of two nodes within this time concern the same silence. */
 	private static final Duration CONFIRMATION_WINDOW = Duration.ofSeconds(1);
 
-	/** A silence that was confirmed is not told again for so long. */
+	/** A confirmed silence is not confirmed again for this long. */
 	private static final Duration REPEAT_SUPPRESSION_TIME = Duration.ofSeconds(2);
 
 	private final Map<TargetName, Report> reports = new HashMap<>();
@@ -28,11 +29,11 @@
 	private final Map<TargetName, Instant> confirmedAt = new HashMap<>();
 
 	/**
-	 * Takes a report.
+	 * Records a report.
 	 * @param node the node that found the target silent
 	 * @param target the target
-	 * @param now the present time
-	 * @return whether all nodes are to be told
+	 * @param now the current time
+	 * @return true if the report confirms the silence, so that all nodes must be informed
 	 */
 	boolean recordReport(String node, TargetName target, Instant now) {
 		this.confirmedAt.values().removeIf((at) -> now.isAfter(at.plus(REPEAT_SUPPRESSION_TIME)));
@@ -50,10 +51,10 @@
 	}
 
 	/**
-	 * The first report of a silence.
+	 * Holds the first report of a silence.
 	 *
-	 * @param node who found it
-	 * @param receivedAt when it was heard
+	 * @param node the node that found the target silent
+	 * @param receivedAt when the report was received
 	 */
 	private record Report(String node, Instant receivedAt) {
 	}
--- a/src/main/java/sycamorehill/logic/entry/StartupRequestQueue.java
+++ b/src/main/java/sycamorehill/logic/entry/StartupRequestQueue.java
@@ -10,25 +10,25 @@
 import sycamorehill.model.serving.CallerRequest;
 
 /**
- * Requests that came before this node had read its configuration and targets. Both are
- * there sooner than a caller that is refused comes back. When all nodes start at once,
- * callers reach nodes that are not ready.
+ * Holds requests that arrived before this node had read its configuration and targets.
+ * Both are available sooner than a refused caller would retry. When all nodes start at
+ * once, callers reach nodes that are not ready.
  */
 final class StartupRequestQueue {
 
-	/** Longer than a start takes; a request that waited so long is refused. */
+	/** Longer than a start takes; a request that has waited this long is refused. */
 	private static final Duration MAXIMUM_WAIT = Duration.ofMillis(800);
 
-	/** Requests kept; their bodies lie in memory. */
+	/** Bounds the memory that the bodies of queued requests occupy. */
 	private static final int MAXIMUM_REQUESTS = 300;
 
 	private final Map<Long, QueuedRequest> waiting = new LinkedHashMap<>();
 
 	/**
-	 * Keeps a request.
+	 * Queues a request.
 	 * @param request the request
-	 * @param now the present time
-	 * @return false if too many wait already
+	 * @param now the current time
+	 * @return false if the queue is full
 	 */
 	boolean add(CallerRequest request, Instant now) {
 		if (this.waiting.size() >= MAXIMUM_REQUESTS) {
@@ -43,10 +43,10 @@
 	}
 
 	/**
-	 * Takes the requests that need not or must not wait any longer.
-	 * @param initialized whether configuration and targets are there
-	 * @param now the present time
-	 * @return the requests in the order in which they came
+	 * Removes the requests that need not or must not wait any longer.
+	 * @param initialized whether no request needs to wait for configuration and targets
+	 * @param now the current time
+	 * @return the removed requests in order of arrival
 	 */
 	List<QueuedRequest> takeDue(boolean initialized, Instant now) {
 		List<QueuedRequest> due = new ArrayList<>(this.waiting.values());
@@ -56,10 +56,10 @@
 	}
 
 	/**
-	 * A request that waits.
+	 * Holds a request and its time of arrival.
 	 *
 	 * @param request the request
-	 * @param arrivedAt when it came
+	 * @param arrivedAt when it arrived
 	 */
 	record QueuedRequest(CallerRequest request, Instant arrivedAt) {
 	}
--- a/src/main/java/sycamorehill/logic/entry/StoreRelay.java
+++ b/src/main/java/sycamorehill/logic/entry/StoreRelay.java
@@ -11,41 +11,43 @@
 import sycamorehill.model.serving.TargetChange;
 
 /**
- * Lets one node read the store for all others, so that calls to the store don't grow with
- * the nodes.
+ * Lets one node read the store for all others, so that the number of calls to the store
+ * doesn't grow with the number of nodes.
  *
- * Each node reads for itself until it hears of a node that goes before it; the first of
- * all living nodes hears nobody and reads on. It tells each change, and several times a
- * second how far it has come, to the nodes of its data centre and to one node of each
- * other data centre, which passes it on there. Each message tells how long ago the store
- * answered, so that the time for which its word is good does not begin anew at each node
- * on the way. A node whose news is out of date reads for itself again, whatever the
- * cause.
+ * Each node reads for itself until it receives an update from a node that takes
+ * precedence over it. The first of all live nodes in this order receives none and keeps
+ * reading: it is the reader. It sends each change, and several times a second its
+ * progress, to the nodes of its data centre and to one or two nodes of each other data
+ * centre, which relay them there. Each update states how long ago the store answered, so
+ * that its validity does not begin again at each node on the way. A node whose last
+ * update has expired reads for itself again, whatever the cause.
  */
 final class StoreRelay {
 
-	/** Pause between two messages while nothing changes; two of them may be lost. */
+	/** Interval between two updates while nothing changes; two of them may be lost. */
 	static final Duration UPDATE_INTERVAL = Duration.ofMillis(250);
 
 	/**
-	 * What the store answered is good for so long, whoever tells it. A change must be
-	 * followed within 2 s of the store's knowing it: the rest is for a call of one's own,
-	 * and for a connection to a target that was chosen just before.
+	 * How long an answer of the store is valid if a node of the local data centre sends
+	 * it. A change must take effect within 2 s after it is stored: the rest is for a call
+	 * of this node itself, and for a connection to a target that was selected just
+	 * before.
 	 */
 	static final Duration LOCAL_UPDATE_VALIDITY = Duration.ofMillis(1400);
 
 	/**
-	 * The same for what a node of another data centre tells: a node that passes it on
-	 * reads for itself before those that it tells would.
+	 * How long an answer of the store is valid if a node of another data centre sends it.
+	 * It expires earlier, so that a relay reads for itself before the nodes that it sends
+	 * to would.
 	 */
 	static final Duration REMOTE_UPDATE_VALIDITY = Duration.ofMillis(1250);
 
-	/** Longest time that a call of the node that reads waits for a change. */
+	/** Maximum time that a call of the reader waits in the store for a change. */
 	static final Duration LONG_POLL_WAIT = Duration.ofMillis(500);
 
 	/**
-	 * A node tells how far it has come only for so long after the store answered it: if
-	 * the store stops answering it alone, others read instead.
+	 * How long after an answer of the store a node sends its progress: if the store stops
+	 * answering only this node, others read instead.
 	 */
 	static final Duration OWN_READ_VALIDITY = Duration.ofMillis(900);
 
@@ -80,8 +82,8 @@
 	}
 
 	/**
-	 * Whether another node reads for this one.
-	 * @param now the present time
+	 * Returns whether another node reads the store for this one.
+	 * @param now the current time
 	 * @return true if this node need not read
 	 */
 	boolean followsReader(Instant now) {
@@ -89,8 +91,9 @@
 	}
 
 	/**
-	 * Whether this node passes on to its data centre what a node of another one reads.
-	 * @param now the present time
+	 * Returns whether this node relays updates of a node in another data centre to its
+	 * own data centre.
+	 * @param now the current time
 	 * @return true if it does
 	 */
 	boolean isRelay(Instant now) {
@@ -98,9 +101,9 @@
 	}
 
 	/**
-	 * The node that tells this one's data centre the news of the store.
-	 * @param now the present time
-	 * @return its name, maybe this node's; none while each node reads for itself
+	 * Returns the node that distributes store updates in this node's data centre.
+	 * @param now the current time
+	 * @return its name, possibly this node's; empty while each node reads for itself
 	 */
 	Optional<String> distributor(Instant now) {
 		if (followsReader(now) && this.source.local) {
@@ -110,8 +113,8 @@
 	}
 
 	/**
-	 * The node whose news this one goes by.
-	 * @param now the present time
+	 * Returns the node whose reads this one relies on.
+	 * @param now the current time
 	 * @return its name; this node's own name while it reads for itself
 	 */
 	String source(Instant now) {
@@ -119,7 +122,7 @@
 	}
 
 	/**
-	 * Notes the configuration in force.
+	 * Records the configuration in effect.
 	 * @param version its version
 	 */
 	void recordAppliedConfiguration(long version) {
@@ -127,17 +130,17 @@
 	}
 
 	/**
-	 * Notes that the store answered a call for the configuration.
-	 * @param now the present time
+	 * Records that the store answered a call for the configuration.
+	 * @param now the current time
 	 */
 	void recordConfigurationRead(Instant now) {
 		this.configurationReadAt = now;
 	}
 
 	/**
-	 * Notes that all targets were read. What changed since the last read is not known.
+	 * Records that all targets were read. The changes since the last read are not known.
 	 * @param listRevision the revision of the list
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	void recordTargetList(long listRevision, Instant now) {
 		this.revision = listRevision;
@@ -146,11 +149,11 @@
 	}
 
 	/**
-	 * Notes changes that this node has read.
-	 * @param batch what was read
-	 * @param now the present time
-	 * @return what to tell the others; without changes it says only how far this node has
-	 * come
+	 * Records changes that this node has read.
+	 * @param batch the changes
+	 * @param now the current time
+	 * @return the update for the other nodes; without changes it reports only this node's
+	 * progress
 	 */
 	NodeMessage.StoreNews recordTargetChanges(ChangeBatch batch, Instant now) {
 		this.revision = batch.revision();
@@ -175,16 +178,20 @@
 		return (older != Instant.MIN) ? Duration.between(older, now) : OWN_READ_VALIDITY;
 	}
 
-	/** Notes that the store did not answer this node: it has nothing to tell. */
+	/**
+	 * Records that the store did not answer this node, which has no updates to send then.
+	 */
 	void recordReadFailure() {
 		this.targetsReadAt = Instant.MIN;
 	}
 
 	/**
-	 * Whether this node reads for others. They rest from calls of both kinds, so a call
-	 * that hangs must keep it from telling, though the other kind is answered.
-	 * @param now the present time
-	 * @return true if nobody reads for this node and the store answers both its calls
+	 * Returns whether this node is the reader for others. The others make neither kind of
+	 * call, so a call that hangs must keep this node from sending updates, even if calls
+	 * of the other kind are answered.
+	 * @param now the current time
+	 * @return true if no node reads for this one and the store answers both kinds of
+	 * calls
 	 */
 	boolean isReader(Instant now) {
 		return !followsReader(now) && isRecent(this.targetsReadAt, now) && isRecent(this.configurationReadAt, now);
@@ -199,9 +206,9 @@
 	}
 
 	/**
-	 * What the others are told while nothing changes.
-	 * @param now the present time
-	 * @return how far this node has come
+	 * Creates the update that is sent while nothing changes.
+	 * @param now the current time
+	 * @return an update that reports this node's progress
 	 */
 	NodeMessage.StoreNews createProgressUpdate(Instant now) {
 		return createUpdate(this.changeRevision, this.revision, List.of(), now);
@@ -212,10 +219,10 @@
 	}
 
 	/**
-	 * Takes what another node has read.
-	 * @param update what it told
-	 * @param now the present time
-	 * @return what follows from it
+	 * Handles an update from another node.
+	 * @param update the update
+	 * @param now the current time
+	 * @return what to do with it
 	 */
 	UpdateResult handleUpdate(NodeMessage.StoreNews update, Instant now) {
 		boolean local = update.dataCentre().equals(this.dataCentre);
@@ -239,9 +246,9 @@
 		return new UpdateResult(true, configuration, false, apply, relayed);
 	}
 
-	// A node that takes over reading tells what changed last before it did. If it told
-	// too low a revision, a node that missed that change would take it as known, and go
-	// on giving work to a target that has left.
+	// A new reader reports the revision of the last change before it began. If that
+	// revision were too low, a node that missed the change would consider it known, and
+	// keep sending requests to a target that has left.
 	private void advanceRevisions(NodeMessage.StoreNews update) {
 		if (this.revision < update.revision()) {
 			this.revision = update.revision();
@@ -250,9 +257,10 @@
 		this.changeRevision = Math.max(this.changeRevision, changed);
 	}
 
-	// Of several nodes that read, the one that goes before the others reads on. The own
-	// data centre goes before others, so that one node of each hears them. A node that
-	// the store does not answer takes news from anybody.
+	// If several nodes read, the one that takes precedence keeps reading. The local data
+	// centre takes precedence over others, so that one node of each data centre receives
+	// remote updates. A node that the store does not answer accepts updates from any
+	// node.
 	private boolean acceptsUpdateFrom(String sender, boolean local, Instant now) {
 		if (!followsReader(now)) {
 			return !isReader(now) || this.takesPrecedence.test(sender, this.self);
@@ -268,11 +276,11 @@
 	}
 
 	/**
-	 * The node that reads for this one.
+	 * Identifies the node that reads for this one.
 	 *
 	 * @param node its name
-	 * @param local whether it is of the same data centre
-	 * @param answeredAt when the store answered what it told last
+	 * @param local whether it is in the same data centre
+	 * @param answeredAt when the store gave the answer that the last update is based on
 	 */
 	private record Source(String node, boolean local, Instant answeredAt) {
 
@@ -283,23 +291,23 @@
 	}
 
 	/**
-	 * Changes of targets as they were read.
+	 * Holds changes of targets as read from the store.
 	 *
-	 * @param since the revision after which they were asked for
-	 * @param revision the revision that they lead to
-	 * @param changes the changes in their order
+	 * @param since the revision after which changes were requested
+	 * @param revision the revision after the changes
+	 * @param changes the changes in order
 	 */
 	record ChangeBatch(long since, long revision, List<TargetChange> changes) {
 	}
 
 	/**
-	 * What follows from another node's news.
+	 * Describes what to do with another node's update.
 	 *
-	 * @param accepted whether this node goes by it
-	 * @param readConfiguration whether there is a newer configuration to be read
+	 * @param accepted whether this node follows its sender
+	 * @param readConfiguration whether a newer configuration must be read
 	 * @param readTargets whether changes were missed and must be read
-	 * @param applyChanges whether the changes told are the next ones
-	 * @param relayedUpdate what the other nodes of the data centre are told
+	 * @param applyChanges whether the changes in the update are the next ones to apply
+	 * @param relayedUpdate the update to send to the other nodes of the data centre
 	 */
 	record UpdateResult(boolean accepted, boolean readConfiguration, boolean readTargets, boolean applyChanges,
 			Optional<NodeMessage.StoreNews> relayedUpdate) {
--- a/src/main/java/sycamorehill/logic/entry/StoreUpdateLog.java
+++ b/src/main/java/sycamorehill/logic/entry/StoreUpdateLog.java
@@ -10,7 +10,7 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Logs when a node learns what the store shows, and from whom.
+ * Logs when this node receives changes of the store, and from which node.
  */
 final class StoreUpdateLog {
 
@@ -31,10 +31,11 @@
 	}
 
 	/**
-	 * Logs the targets that leave, before the directory takes the changes.
-	 * @param changes what the store shows
-	 * @param now the present time
-	 * @param effects collects the lines
+	 * Logs the targets that begin to leave. Must be called before the directory applies
+	 * the changes.
+	 * @param changes the changes of the store
+	 * @param now the current time
+	 * @param effects receives the log lines
 	 */
 	void logLeavingTargets(List<TargetChange> changes, Instant now, Effects effects) {
 		for (TargetChange change : changes) {
@@ -48,8 +49,8 @@
 
 	/**
 	 * Logs a change of the node that reads the store for this one.
-	 * @param now the present time
-	 * @param effects collects the lines
+	 * @param now the current time
+	 * @param effects receives the log lines
 	 */
 	void logReaderChange(Instant now, Effects effects) {
 		String source = this.relay.source(now);
--- a/src/main/java/sycamorehill/logic/entry/package-info.java
+++ b/src/main/java/sycamorehill/logic/entry/package-info.java
@@ -1,4 +1,5 @@
 /**
- * One reducer for an entry node: composes the directory, the requests and the groups.
+ * The reducer of an entry node, which combines the directory, the requests and the
+ * groups.
  */
 package sycamorehill.logic.entry;
--- a/src/test/java/sycamorehill/logic/directory/TargetDirectoryTests.java
+++ b/src/test/java/sycamorehill/logic/directory/TargetDirectoryTests.java
@@ -14,7 +14,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Which targets are believed in while the store is away.
+ * Tests which targets the directory keeps, in particular while the store is unreachable.
  */
 class TargetDirectoryTests {
 
@@ -26,9 +26,9 @@
 
 	private final TargetEntry two = ServingSamples.plain("two");
 
-	// The store is away long enough for all entries to lapse. When it is back it
-	// shows none: live targets enter themselves again within 2 s, and callers must
-	// not notice.
+	// The store is unreachable for so long that all entries expire, and lists none when
+	// it is reachable again. Live targets register again within 2 s, and callers must not
+	// notice.
 	@Test
 	void aStoreOutageNeverEmptiesTheDirectory() {
 		this.directory.recordStoreContact(true, this.start);
@@ -42,7 +42,8 @@
 		assertThat(this.directory.all()).containsExactly(this.one);
 	}
 
-	// A target that said it was leaving is gone when its entry goes, outage or not.
+	// A target that announced its leaving is removed with its entry, even during a store
+	// outage.
 	@Test
 	void aLeavingTargetIsNotKept() {
 		this.directory.replaceAll(List.of(ServingSamples.leaving(this.one)), this.start);
@@ -60,8 +61,9 @@
 		assertThat(this.directory.find(TargetName.of("one"))).isEmpty();
 	}
 
-	// An entry goes without notice: the target is none to use, and its last word is kept
-	// for those that know more of it. One that said it was leaving is no riddle.
+	// An entry is removed without notice: the target receives no requests, but its last
+	// entry is kept for code that knows more about it. That of a target that announced
+	// its leaving is not.
 	@Test
 	void theLastEntryOfAVanishedTargetIsKeptForTenSeconds() {
 		this.directory.recordStoreContact(true, this.start);
--- a/src/test/java/sycamorehill/logic/entry/EntryReducerTests.java
+++ b/src/test/java/sycamorehill/logic/entry/EntryReducerTests.java
@@ -16,7 +16,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * An entry node as a whole.
+ * Tests an entry node as a whole.
  */
 class EntryReducerTests {
 
@@ -39,8 +39,8 @@
 		return effects.stream().anyMatch(EntryEffect.StartAttempt.class::isInstance);
 	}
 
-	// A node is told to stop and goes on taking what the balancer still sends. A
-	// stream that comes seconds later would be cut off when the process ends: it is
+	// A node is asked to stop and keeps accepting what the load balancer still sends. A
+	// stream that arrives seconds later would be aborted when the process exits, so it is
 	// refused as not run.
 	@Test
 	void aStoppingNodeAcceptsRequestsOnlyAsLongAsItCanFinishThem() {
@@ -54,7 +54,8 @@
 				&& answer.retryAfter().isPresent());
 	}
 
-	// The store forgets and shows an older version for a moment: routes don't go back.
+	// The store loses its latest writes and returns an older version for a moment: the
+	// newer routes stay in effect.
 	@Test
 	void theConfigurationVersionNeverDecreases() {
 		assertThat(accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(4)), 10))
@@ -79,9 +80,9 @@
 				(effect) -> effect instanceof EntryEffect.Tell tell && tell.message() instanceof NodeMessage.Loads);
 	}
 
-	// All nodes start at once after a loss of power, and callers reach this one 0.2 s
-	// before it has read its configuration. Refused, they came back 0.3 to 0.8 s
-	// later, if at all, and were late in any case.
+	// All nodes start at once after a power failure, and callers reach this one 0.2 s
+	// before it has read its configuration. Refused callers retry 0.3 to 0.8 s later, if
+	// at all, and are late in any case.
 	@Test
 	void aRequestThatArrivesBeforeTheConfigurationIsServedOnceItIsRead() {
 		EntryReducer fresh = EntryReducer.of(ServingSamples.settings("one"), "one#2", new Random(1), this.start);
@@ -94,8 +95,8 @@
 		assertThat(listed).contains(new EntryEffect.BoundRequest(1, Duration.ofMillis(5750)));
 	}
 
-	// The store is away when the node starts: nobody knows for how long, so the caller is
-	// told at once. One that waited is not kept longer than a start takes.
+	// The store is unreachable when the node starts, nobody knows for how long, so
+	// callers are refused at once. A queued request waits no longer than a start takes.
 	@Test
 	void aRequestDoesNotWaitForAnUnreachableStore() {
 		EntryReducer fresh = EntryReducer.of(ServingSamples.settings("one"), "one#2", new Random(1), this.start);
--- a/src/test/java/sycamorehill/logic/entry/ManyNodesTests.java
+++ b/src/test/java/sycamorehill/logic/entry/ManyNodesTests.java
@@ -32,8 +32,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Forty nodes in two data centres, whose messages all arrive at once unless a node is
- * down. All names of the north go before those of the south.
+ * Tests forty nodes in two data centres, whose messages all arrive at once unless a node
+ * is down or messages are lost on purpose. All nodes of the north take precedence over
+ * those of the south.
  */
 class ManyNodesTests {
 
@@ -48,10 +49,13 @@
 
 	private static final long FIRST_REVISION = 100;
 
-	/** Time in which a leaving target, or a change of the configuration, is followed. */
+	/**
+	 * Time in which a leaving notice of a target, or a change of the configuration, must
+	 * take effect.
+	 */
 	private static final Duration MAXIMUM_CHANGE_DELAY = Duration.ofSeconds(2);
 
-	/** A request that was given a target reaches it this much later at most. */
+	/** Maximum time from the selection of a target until the request reaches it. */
 	private static final Duration MAXIMUM_CONNECT_TIME = Duration.ofMillis(300);
 
 	private static final TargetName TARGET = TargetName.of("p1");
@@ -76,7 +80,7 @@
 
 	private int configurationsRead;
 
-	/** When the calls to the store of nodes that read are answered. */
+	/** When the store answers the pending calls of the nodes that read. */
 	private final Map<String, Instant> nextReads = new HashMap<>();
 
 	private final Map<String, Long> revisionsRead = new HashMap<>();
@@ -85,7 +89,7 @@
 
 	private long newestConfiguration = 1;
 
-	/** Nodes that know that a target leaves. */
+	/** Nodes that have logged the leaving notice of a target. */
 	private final Set<String> notifiedNodes = new HashSet<>();
 
 	private final Set<String> targetsUnanswered = new HashSet<>();
@@ -140,7 +144,7 @@
 		return !this.down.contains(node) && this.random.nextDouble() >= this.lossShare;
 	}
 
-	// A text is its version's number here.
+	// The text of a configuration is its version number here.
 	private void handleConfigurationEffects(String node, List<EntryEffect> effects) {
 		for (EntryEffect effect : effects) {
 			if (effect instanceof EntryEffect.TellConfiguration tell) {
@@ -162,9 +166,8 @@
 		}
 	}
 
-	// Nodes look at different moments, and begin then to read if nobody feeds them. A
-	// call
-	// to the store is answered when something is new, or after its wait.
+	// Nodes tick at different moments, and begin to read then if they follow no reader.
+	// The store answers a call when something is new, or after its wait.
 	private void run(Duration time) {
 		for (Instant end = this.now.plus(time); this.now.isBefore(end); this.now = this.now.plus(STEP)) {
 			int number = 0;
@@ -229,9 +232,9 @@
 		return sums;
 	}
 
-	// Each message wakes a node, and what a wake-up costs is the same for a sum of twenty
-	// nodes and for the loads of one. With loads told by each to each, forty nodes take
-	// thirty messages a second and more.
+	// Each message wakes a node up, which costs the same for a sum of twenty nodes as for
+	// the loads of one. If all nodes sent their loads to each other, each of forty nodes
+	// would receive thirty messages a second and more.
 	@Test
 	void aNodeReceivesFewLoadMessagesInALargeCluster() {
 		run(Duration.ofSeconds(15));
@@ -244,8 +247,8 @@
 		}
 	}
 
-	// A node that were told its own requests as those of others would count them twice,
-	// and keep away from the targets that it uses.
+	// A node that received its own requests as those of others would count them twice,
+	// and avoid the targets that it uses.
 	@Test
 	void aNodeReceivesTheRequestsOfAllOthersButNotItsOwn() {
 		run(Duration.ofSeconds(5));
@@ -263,16 +266,16 @@
 			.allMatch((sum) -> sum.requests().equals(Map.of(TARGET, 2)));
 	}
 
-	// The retry budget is shared out among the nodes that live. Nodes that no more hear
-	// each other must not take each other for gone.
+	// The retry budget is divided among the live nodes. Nodes that no longer receive
+	// messages from each other must not consider each other as failed.
 	@Test
 	void allNodesCountAsLiveThoughFewSendDirectly() {
 		run(Duration.ofSeconds(40));
 		assertThat(this.nodes.values()).allMatch((node) -> node.liveNodes() == NODES);
 	}
 
-	// The node that adds up loses power. Until another one passes on the news of the
-	// store, nodes would choose targets without knowing what others do there.
+	// The aggregator loses power. Until another node distributes the store updates, nodes
+	// select targets without knowing the load that others put on them.
 	@Test
 	void anotherNodeAggregatesSoonAfterTheFirstFails() {
 		run(Duration.ofSeconds(5));
@@ -286,8 +289,8 @@
 		}
 	}
 
-	// The store answers nobody: there is no news and no node that is known to add up.
-	// Nodes tell each other directly then, and know that the store is away for all.
+	// The store answers no node, so there are no updates and no known aggregator. Nodes
+	// then send their loads directly, and know that the store is unreachable for all.
 	@Test
 	void nodesSendLoadsDirectlyWhileTheStoreIsUnreachable() {
 		run(Duration.ofSeconds(5));
@@ -301,9 +304,9 @@
 			.hasSizeGreaterThan(NODES);
 	}
 
-	// An operator changes the configuration. With each node reading it, 40 calls to the
-	// store come at once for each version. The node that reads tells it on, within its
-	// data centre and to the other one.
+	// An operator changes the configuration. If each node read it, the store would
+	// receive 40 calls at once for each version. The reader sends it to its data centre
+	// and to the other one.
 	@Test
 	void aConfigurationTakesEffectEverywhereWithOneRead() {
 		run(Duration.ofSeconds(15));
@@ -313,7 +316,8 @@
 		assertThat(this.configurationsRead).isZero();
 	}
 
-	// A leaving target gets new work, because the node that reads is no more answered.
+	// The store stops answering the reader just before a target announces its leaving.
+	// The other nodes must learn of it in time, or the target receives new requests.
 	@ParameterizedTest
 	@ValueSource(
 			ints = { 5010, 5410, 5510, 5910, 6010, 6410, 6510, 6910, 7010, 7410, 7510, 7910, 8010, 8410, 8510, 8910 })
@@ -338,7 +342,7 @@
 				this.nodes.keySet().stream().filter((node) -> !this.targetsUnanswered.contains(node)).toList());
 	}
 
-	// The reader's call for configurations hangs, while it goes on reading targets.
+	// The reader's call for configurations hangs, while it keeps reading targets.
 	@Test
 	void aConfigurationTakesEffectThoughTheReadersCallForItHangs() {
 		run(Duration.ofSeconds(5));
--- a/src/test/java/sycamorehill/logic/entry/PeerNodesTests.java
+++ b/src/test/java/sycamorehill/logic/entry/PeerNodesTests.java
@@ -17,7 +17,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Which nodes are told of loads, how often, and which of them count.
+ * Tests which nodes receive loads, how often, and which nodes count as live.
  */
 class PeerNodesTests {
 
@@ -64,8 +64,9 @@
 		assertThat(countMessagesSent(createPeers(6, 3), Duration.ofSeconds(10))).isEqualTo(5 * 5 * 10);
 	}
 
-	// With each node telling each other five times a second, 91 nodes take 450 messages a
-	// second each, and small VMs spend a tenth of their processor on them.
+	// If each of 91 nodes sent to each other five times a second, each would receive 450
+	// messages a second, and small VMs would spend a tenth of their processor time on
+	// them.
 	@Test
 	void manyNodesReceiveNoMoreMessagesThanFew() {
 		for (int nodes : new int[] { 30, 91, 410 }) {
@@ -74,17 +75,18 @@
 		}
 	}
 
-	// All 410 nodes live and tell each other rarely. If a node took those that it has not
-	// heard for 5 s as gone, it would use their part of the retry budget as well.
+	// All 410 nodes are live and rarely send to each other. If a node considered those
+	// that sent nothing for 5 s as failed, it would use their share of the retry budget
+	// as well.
 	@Test
 	void nodesThatSendRarelyCountAsLive() {
 		assertThat(createPeers(410, 4).countLiveNodes(START.plusSeconds(20))).isEqualTo(410);
 		assertThat(createPeers(6, 3).countLiveNodes(START.plusSeconds(6))).isEqualTo(1);
 	}
 
-	// The store is away for all: the controller may go on. It may not if one node
-	// reaches the store, because that one can take the lease; nor if it hears so few
-	// nodes that it may be the one that is cut off.
+	// If the store is unreachable for all, the controller may continue. It may not if one
+	// node reaches the store, because that one can acquire the lease; nor if it receives
+	// messages from so few nodes that it may be partitioned itself.
 	@Test
 	void theStoreIsUnreachableForAllOnlyIfMostReportItAndNoneReachesIt() {
 		PeerNodes peers = createPeers(6, 3);
--- a/src/test/java/sycamorehill/logic/entry/SharedLimitTests.java
+++ b/src/test/java/sycamorehill/logic/entry/SharedLimitTests.java
@@ -31,8 +31,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Nodes of two data centres that send requests to a target in need, "p1", and to a sound
- * one. Messages between them are late and some are lost.
+ * Tests nodes of two data centres that send requests to a rate-limited target, "p1", and
+ * to a healthy one. Messages between the nodes are delayed, and some are lost.
  */
 class SharedLimitTests {
 
@@ -40,12 +40,12 @@
 
 	private static final Duration STEP = Duration.ofMillis(10);
 
-	/** From here on a node that was told must keep to the limit. */
+	/** Time after receiving the limit from which a node must keep to it. */
 	private static final Duration COMPLIANCE_DELAY = Duration.ofMillis(500);
 
 	private static final Duration WINDOW = Duration.ofSeconds(4);
 
-	/** A limit is judged from here on. */
+	/** Time after a limit is set from which the requests of all nodes must keep to it. */
 	private static final Duration MEASUREMENT_DELAY = Duration.ofSeconds(3);
 
 	private static final double ALLOWED_FACTOR = 1.5;
@@ -63,10 +63,10 @@
 
 	private final Map<String, Instant> firstLimitReceivedAt = new HashMap<>();
 
-	/** When the target in need got a request of a node that must keep to its limit. */
+	/** When the limited target was sent requests by nodes that must keep to its limit. */
 	private final List<Instant> countedRequests = new ArrayList<>();
 
-	/** Nodes that gave the target a request. */
+	/** Nodes that sent the limited target a request. */
 	private final Set<String> nodesUsingLimitedTarget = new HashSet<>();
 
 	private final Set<String> down = new HashSet<>();
@@ -144,7 +144,7 @@
 					start.attempt(), new AttemptEnd.Delivered(200, Duration.ZERO))));
 	}
 
-	// Each node gets a request each 100 ms, and looks around as often.
+	// Each node receives a request and a tick each 100 ms.
 	private void run(Duration time) {
 		for (Instant end = this.now.plus(time); this.now.isBefore(end); this.now = this.now.plus(STEP)) {
 			deliver();
@@ -187,7 +187,8 @@
 		return (int) (ALLOWED_FACTOR * perSecond * WINDOW.toSeconds()) + ALLOWED_EXTRA_REQUESTS;
 	}
 
-	// Each node keeps to the limit by itself, and all together send many times as much.
+	// If each node kept to the limit only by itself, all together would send many times
+	// as much.
 	@ParameterizedTest
 	@CsvSource({ "3,0", "3,0.3", "6,0.5", "6,1.1", "6,1.4", "9,1", "9,5", "20,0.4", "20,1.4", "20,12", "67,1", "67,8" })
 	void allNodesTogetherKeepToTheLimit(int number, double perSecond) {
@@ -203,7 +204,7 @@
 			.isGreaterThan((int) (perSecond * 30 / 2));
 	}
 
-	// The limit is forgotten by each node at the same moment, and all send at once.
+	// If all nodes discarded the limit at the same moment, all would send at once.
 	@Test
 	void aTargetWithALimitOfZeroIsProbedByFewNodes() {
 		start(20);
@@ -215,7 +216,7 @@
 			.isLessThanOrEqualTo(ALLOWED_EXTRA_REQUESTS);
 	}
 
-	// The limit named next is lower, and nodes go on by the one before.
+	// The target reports a lower limit: nodes must not keep applying the one before.
 	@Test
 	void allNodesFollowALowerLimit() {
 		start(6);
@@ -228,7 +229,8 @@
 		assertThat(maximumInWindow(loweredAt.plus(MEASUREMENT_DELAY))).isLessThanOrEqualTo(allowedInWindow(2));
 	}
 
-	// A target that is in need no more stands idle, because few nodes ask it.
+	// A target that reports no limit any more must not stay idle because few nodes send
+	// it requests.
 	@Test
 	void allNodesUseATargetAgainOnceItReportsNoLimit() {
 		start(20);
@@ -242,8 +244,8 @@
 		assertThat(this.countedRequests.size() - before).isGreaterThan(200);
 	}
 
-	// Nobody asks the target for a while, all nodes forget its limit, and all ask at
-	// once.
+	// No node sends requests to the target for a while. If all nodes discarded its limit
+	// meanwhile, all would send at once afterwards.
 	@Test
 	void aLimitStaysInEffectWhileThereAreNoRequests() {
 		this.answerTime = Duration.ofMillis(500);
@@ -259,7 +261,7 @@
 		assertThat(maximumInWindow(resumedAt)).isLessThanOrEqualTo(allowedInWindow(1));
 	}
 
-	// Some nodes are not told that a limit is over, and leave a sound target alone.
+	// A node that does not learn the end of a limit would keep avoiding a healthy target.
 	@Test
 	void allNodesLearnTheEndOfALimitDespiteLostMessages() {
 		this.lossShare = 0.3;
@@ -274,7 +276,8 @@
 		assertThat(this.nodesUsingLimitedTarget).containsAll(this.nodes.keySet());
 	}
 
-	// Callers of nodes that don't share the target are served by the others.
+	// Requests at nodes without a share of the limited target are served by the other
+	// target.
 	@Test
 	void noRequestIsRefusedWhileAnotherTargetServes() {
 		start(6);
@@ -285,7 +288,7 @@
 		assertThat(this.refusals).isZero();
 	}
 
-	// A node that shared the target ends, and its part is used by nobody for good.
+	// Nodes with a share of the limit fail: their shares must not stay unused for good.
 	@Test
 	void theShareOfAFailedNodeIsUsedByOthers() {
 		start(6);
@@ -300,11 +303,11 @@
 	}
 
 	/**
-	 * What a node is given later.
+	 * Holds an event that a node receives later.
 	 *
-	 * @param at when
+	 * @param at when the node receives it
 	 * @param node the node
-	 * @param event what
+	 * @param event the event
 	 */
 	private record ScheduledEvent(Instant at, String node, EntryEvent event) {
 	}
--- a/src/test/java/sycamorehill/logic/entry/SilenceReportsTests.java
+++ b/src/test/java/sycamorehill/logic/entry/SilenceReportsTests.java
@@ -9,7 +9,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * When all nodes are told that a target is silent.
+ * Tests when a silent target is confirmed, so that all nodes are informed.
  */
 class SilenceReportsTests {
 
@@ -23,7 +23,7 @@
 		return this.reports.recordReport(node, HEAD, this.start.plusMillis(millis));
 	}
 
-	// The link between one node and a target is cut, and all other nodes are served.
+	// The link between one node and a target is broken, while all other nodes are served.
 	@Test
 	void reportsOfASingleNodeConfirmNothing() {
 		assertThat(recordReport("one", 0)).isFalse();
@@ -32,8 +32,8 @@
 		assertThat(recordReport("two", 4500)).isFalse();
 	}
 
-	// A group lost a member: seventy nodes report it within a moment, and all are told
-	// once.
+	// A group loses a member: seventy nodes report it within a moment, and all must be
+	// informed once.
 	@Test
 	void twoNodesConfirmASilenceOnce() {
 		assertThat(recordReport("one", 0)).isFalse();
--- a/src/test/java/sycamorehill/logic/entry/StoreRelayTests.java
+++ b/src/test/java/sycamorehill/logic/entry/StoreRelayTests.java
@@ -25,8 +25,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * One node of a data centre reads the store for the others: node "b" here, which has read
- * revision 100 itself.
+ * Tests how one node reads the store for the others. The node under test is "b", which
+ * has read revision 100 itself.
  */
 class StoreRelayTests {
 
@@ -64,7 +64,7 @@
 				Duration.ZERO);
 	}
 
-	// The store answers a node that reads each half second.
+	// The store answers the reader at least each half second.
 	private static NodeMessage.StoreNews agedByLongPoll(NodeMessage.StoreNews update) {
 		return aged(update, StoreRelay.LONG_POLL_WAIT);
 	}
@@ -93,8 +93,9 @@
 		return updates;
 	}
 
-	// 70 nodes each asked the store for changes twice a second, and read every change.
-	// Node "a" reads for all: "b" takes over each change in its order and asks nothing.
+	// If each of 70 nodes read the store, each would call it twice a second and read
+	// every change. Node "a" reads for all: "b" applies each change in order and makes no
+	// calls.
 	@Test
 	void appliesChangesFromTheReader() {
 		List<EntryEffect> effects = receive(changes("a", 100, 103, "p2"), 500);
@@ -106,8 +107,9 @@
 		assertThat(this.node.targetsKnown()).isEqualTo(3);
 	}
 
-	// The reading node dies, or is cut off from the others: a leaving target must get no
-	// new work 2 s after the store knew of it, so each node reads for itself within 1 s.
+	// The reader fails or is partitioned from the others. A leaving target must receive
+	// no new requests 2 s after the store has its notice, so each node reads for itself
+	// within 1 s.
 	@Test
 	void readsForItselfSoonAfterTheReaderFails() {
 		receive(agedByLongPoll(progress("a", 100, 102)), 500);
@@ -115,7 +117,7 @@
 		assertThat(followsReader(1400)).isFalse();
 	}
 
-	// A datagram with a change is lost. The next message says that there was one.
+	// A datagram with a change is lost. The next update shows that there was one.
 	@Test
 	void readsMissedChanges() {
 		receive(changes("a", 100, 103, "p2"), 500);
@@ -128,10 +130,10 @@
 			.noneMatch(EntryEffect.ReadTargets.class::isInstance);
 	}
 
-	// The store's revision goes on with the writes of others, while no target
-	// changes. The next change is read after a later revision than this node was told
-	// of: nothing is missing, and each of 70 nodes asked the store in vain at each
-	// change.
+	// The revision of the store increases with other writes while no target changes, so
+	// the next change follows a later revision than this node has received. No change is
+	// missing: if nodes took this for a gap, each of 70 nodes would read the store in
+	// vain at each change.
 	@Test
 	void appliesAChangeAfterRevisionsWithoutTargetChanges() {
 		NodeMessage.StoreNews later = new NodeMessage.StoreNews("a", NORTH, 5, 90, 140, 143, List.of(change("p2")),
@@ -141,8 +143,8 @@
 		assertThat(this.node.targetsKnown()).isEqualTo(2);
 	}
 
-	// This node has read for itself up to the middle of what it is told: applied once
-	// more, an older entry would follow a newer one.
+	// This node has itself read part of the changes in an update. If it applied them
+	// again, an older entry would replace a newer one.
 	@Test
 	void doesNotApplyPartlyReadChanges() {
 		accept(new EntryEvent.TargetsChanged(List.of(change("p2")), 100, 102), 400);
@@ -157,8 +159,9 @@
 		assertThat(this.node.targetsKnown()).isEqualTo(2);
 	}
 
-	// All nodes start at once and read. The first of them by name goes on; "b" goes on
-	// beside "c", tells it of each change, and rests when it hears "a".
+	// All nodes start at once and read. The first of them by name keeps reading: "b"
+	// keeps reading despite "c", sends it each change, and stops when it receives updates
+	// from "a".
 	@Test
 	void theNodeWithPrecedenceReadsForTheOthers() {
 		receive(changes("c", 100, 103, "p2"), 100);
@@ -171,8 +174,8 @@
 		assertThat(sentUpdates(accept(new EntryEvent.Ticked(), 1200))).isEmpty();
 	}
 
-	// The store turns this node away and serves the others: it takes what it can get, and
-	// tells nothing itself.
+	// The store refuses this node and serves the others. The node accepts updates from
+	// any of them, and sends none itself.
 	@Test
 	void aNodeThatCannotReachTheStoreAcceptsUpdatesFromAnyNode() {
 		accept(new EntryEvent.DirectoryNotReached(), 100);
@@ -208,8 +211,9 @@
 				new NodeRecord("s3", Address.of("127.0.0.1", 7203), SOUTH, 0.5))), 0);
 	}
 
-	// Five data centres each read every change: five times the calls. One node reads for
-	// all; "b" hears it for its data centre and passes on what it hears.
+	// If each of five data centres had a reader, there would be five times as many calls.
+	// One node reads for all; "b" receives its updates for its data centre and relays
+	// them.
 	@Test
 	void relaysUpdatesOfAnotherDataCentre() {
 		List<EntryEffect> effects = receive(updateFromSouth("a", 103), 100);
@@ -219,8 +223,9 @@
 		assertThat(sentUpdates(accept(new EntryEvent.Ticked(), 600))).isEmpty();
 	}
 
-	// "b" missed a message of the other data centre. What it passed on would have the
-	// same gap, and each node of its data centre would read: it reads, and tells them.
+	// "b" missed an update from the other data centre. If it relayed the next one, that
+	// would have the same gap, and each node of its data centre would read. Instead, "b"
+	// reads and sends them the changes.
 	@Test
 	void relaysWhatItReadAfterAGap() {
 		assertThat(sentUpdates(receive(new NodeMessage.StoreNews("a", SOUTH, 5, 102, 102, 104, List.of(change("p3")),
@@ -231,8 +236,8 @@
 			.hasSize(1);
 	}
 
-	// Two nodes of a data centre would both pass news on, and each change would come
-	// twice.
+	// Otherwise two nodes of a data centre would relay updates, and each change would
+	// arrive twice.
 	@Test
 	void aLocalReaderTakesPrecedenceOverARemoteOne() {
 		receive(progress("a", 100, 102), 50);
@@ -240,7 +245,7 @@
 		assertThat(this.node.targetsKnown()).isEqualTo(1);
 	}
 
-	// Another data centre is cut off from the store and still believes an older state.
+	// Another data centre is partitioned from the store and still has an older state.
 	@Test
 	void ignoresAnOlderStateOfAnotherDataCentre() {
 		NodeMessage.StoreNews older = new NodeMessage.StoreNews("a", SOUTH, 4, 90, 90, 95, List.of(change("p9")),
@@ -250,8 +255,8 @@
 		assertThat(this.node.configurationVersion()).isEqualTo(5);
 	}
 
-	// The other data centre is cut off from this one. "b" reads again before the nodes
-	// that it tells have missed it.
+	// The other data centre is partitioned from this one. "b" reads again before the
+	// updates that it sent to its own nodes expire.
 	@Test
 	void readsForItsDataCentreSoonAfterTheRemoteReaderFails() {
 		receive(agedByLongPoll(updateFromSouth("a", 103)), 500);
@@ -262,8 +267,8 @@
 			.contains(progress("b", 103, 104));
 	}
 
-	// Small VMs have just enough processor time and bandwidth for their callers: of the
-	// other data centre the first of the strong ones is told.
+	// Small VMs have just enough processor time and bandwidth for their callers, so the
+	// update goes to the node of the other data centre with the largest processor share.
 	@Test
 	void sendsToTheRemoteNodeWithTheMostProcessors() {
 		listWithSouth();
@@ -272,7 +277,8 @@
 					Address.of("127.0.0.1", 7202));
 	}
 
-	// "s2" has failed, and nobody told "b". "s3" reads for its data centre and says so.
+	// "s2" has failed, and "b" does not know it. "s3" reads for its data centre and sends
+	// updates.
 	@Test
 	void sendsToTheRemoteNodeThatReplacesAFailedRelay() {
 		listWithSouth();
@@ -281,9 +287,9 @@
 			.contains(Address.of("127.0.0.1", 7203));
 	}
 
-	// "a" told "b" of a change at 103 and "c" did not hear it. Then "a" ends and "b"
-	// reads: it must not let "c" believe that nothing has changed since 100, or "c" goes
-	// on giving work to a target that has left.
+	// "b" received a change at 103 from "a", and "c" did not. Then "a" fails and "b"
+	// reads. If its updates said that nothing has changed since 100, "c" would keep
+	// sending requests to a target that has left.
 	@Test
 	void aNewReaderReportsTheLastChangeItReceived() {
 		receive(changes("a", 100, 103, "p2"), 500);
@@ -293,8 +299,8 @@
 			.containsExactly(progress("b", 103, 105));
 	}
 
-	// The text of a configuration was lost on its way: the node would go by the version
-	// before for good. It reads the store when it is told of the version once more.
+	// The text of a configuration is lost. To avoid keeping the previous version for
+	// good, the node reads the store when the version is announced again.
 	@Test
 	void readsANewerConfigurationWhoseTextDoesNotArrive() {
 		NodeMessage.StoreNews newer = new NodeMessage.StoreNews("a", NORTH, 6, 100, 103, 103, List.of(),
@@ -306,8 +312,8 @@
 			.noneMatch(EntryEffect.ReadConfiguration.class::isInstance);
 	}
 
-	// A node that stops does not lead the others: they would notice its end only after
-	// it.
+	// A stopping node does not read for others: they would notice its exit only
+	// afterwards.
 	@Test
 	void aStoppingNodeSendsNoUpdates() {
 		accept(new EntryEvent.StopOrdered(), 100);
@@ -327,8 +333,9 @@
 		assertThat(StoreRelay.OWN_READ_VALIDITY).isLessThan(StoreRelay.REMOTE_UPDATE_VALIDITY);
 	}
 
-	// Each of 95 nodes read each of 18 versions in the store, most of them twice. A node
-	// takes the text that another one tells, once, and never an older one.
+	// If nodes applied no received texts, each of 95 nodes would read each of 18 versions
+	// in the store, most of them twice. A node applies the text that another one sends,
+	// once, and never an older one.
 	@Test
 	void appliesTheReceivedTextOfANewerConfiguration() {
 		assertThat(receiveConfiguration(6, 100)).contains(new EntryEffect.TakeConfiguration("text of 6"));
@@ -343,8 +350,8 @@
 				millis);
 	}
 
-	// The node that reads for the others tells them each version; one that is told
-	// passes it on only if its data centre hears the news from it.
+	// The reader sends each version to the others. A node that receives it relays it only
+	// if its data centre receives store updates from that node.
 	@Test
 	void sendsAConfigurationThatItReadsForOthers() {
 		accept(new EntryEvent.TargetsChanged(List.of(), 100, 100), 100);
@@ -356,7 +363,8 @@
 			.noneMatch(EntryEffect.TellConfiguration.class::isInstance);
 	}
 
-	// The call for the configuration hangs, and the others would rest from it for ever.
+	// The call for the configuration hangs. If this node kept sending updates, the others
+	// would never make that call.
 	@Test
 	void sendsNoUpdatesOnceTheStoreAnswersOnlyCallsForTargets() {
 		assertThat(sentUpdates(accept(new EntryEvent.TargetsChanged(List.of(), 100, 101), 800))).isNotEmpty();
@@ -366,7 +374,8 @@
 		assertThat(sentUpdates(accept(new EntryEvent.Ticked(), 1450))).isEmpty();
 	}
 
-	// What the reader knew 0.8 s ago counts as new once more, at each node on the way.
+	// An answer that the reader got 0.8 s ago must not count as new again at each node on
+	// the way.
 	@Test
 	void theValidityOfAnUpdateBeginsWithTheAnswerOfTheStore() {
 		receive(aged(updateFromSouth("a", 103), Duration.ofMillis(800)), 500);
@@ -374,7 +383,7 @@
 		assertThat(followsReader(950)).isFalse();
 	}
 
-	// A relay that passed news on as its own would make it new again.
+	// A relay that sent received updates as its own reads would reset their age.
 	@Test
 	void relayedUpdatesKeepTheirAgeAndOwnUpdatesHaveThatOfTheOlderAnswer() {
 		assertThat(sentAges(receive(aged(updateFromSouth("a", 103), Duration.ofMillis(800)), 500)))
@@ -393,8 +402,8 @@
 			.toList();
 	}
 
-	// Work reaches a target that left, and nobody can tell which nodes knew, and from
-	// whom.
+	// Requests reach a target that has left. The log must show which nodes knew of it,
+	// and from which node.
 	@Test
 	void logsTheSourceOfALeavingNotice() {
 		TargetEntry leaving = ServingSamples.leaving(ServingSamples.plain("p1"));
