--- a/src/main/java/sycamorehill/logic/entry/EntryReducer.java
+++ b/src/main/java/sycamorehill/logic/entry/EntryReducer.java
@@ -317,8 +317,8 @@
 			this.relay.recordConfigurationRead(now);
 			applyConfiguration(read.configuration(), now, effects);
 		}
-		else if (event instanceof EntryEvent.ConfigurationHeard heard) {
-			applyConfiguration(heard.configuration(), now, effects);
+		else if (event instanceof EntryEvent.ConfigurationHeard received) {
+			applyConfiguration(received.configuration(), now, effects);
 		}
 		else if (event instanceof EntryEvent.TargetsListed all) {
 			this.targetsListed = true;
--- a/src/main/java/sycamorehill/logic/entry/PeerNodes.java
+++ b/src/main/java/sycamorehill/logic/entry/PeerNodes.java
@@ -131,8 +131,8 @@
 		else if (message instanceof NodeMessage.Introduction introduction) {
 			add(introduction.node(), now);
 		}
-		else if (message instanceof NodeMessage.StoreNews news) {
-			this.relays.put(news.dataCentre(), new Relay(news.sender(), now));
+		else if (message instanceof NodeMessage.StoreNews update) {
+			this.relays.put(update.dataCentre(), new Relay(update.sender(), now));
 		}
 	}
 
--- a/src/test/java/sycamorehill/logic/entry/EntryReducerTests.java
+++ b/src/test/java/sycamorehill/logic/entry/EntryReducerTests.java
@@ -77,7 +77,7 @@
 	void sendsItsLoadsToTheOtherNodes() {
 		accept(new EntryEvent.NodesListed(List.of(ServingSamples.node("two", 7100))), 100);
 		assertThat(accept(new EntryEvent.Ticked(), 400)).anyMatch(
-				(effect) -> effect instanceof EntryEffect.Tell tell && tell.message() instanceof NodeMessage.Loads);
+				(effect) -> effect instanceof EntryEffect.Tell send && send.message() instanceof NodeMessage.Loads);
 	}
 
 	// All nodes start at once after a power failure, and callers reach this one 0.2 s
--- a/src/test/java/sycamorehill/logic/entry/ManyNodesTests.java
+++ b/src/test/java/sycamorehill/logic/entry/ManyNodesTests.java
@@ -118,10 +118,10 @@
 	private List<EntryEffect> accept(String node, EntryEvent event) {
 		List<EntryEffect> effects = this.nodes.get(node).accept(event, this.now);
 		for (EntryEffect effect : effects) {
-			if (effect instanceof EntryEffect.Tell tell) {
-				tell.nodes().stream().map(this.names::get).filter(this::isDelivered).forEach((to) -> {
-					this.receivedMessages.computeIfAbsent(to, (name) -> new ArrayList<>()).add(tell.message());
-					accept(to, new EntryEvent.MessageHeard(tell.message()));
+			if (effect instanceof EntryEffect.Tell send) {
+				send.nodes().stream().map(this.names::get).filter(this::isDelivered).forEach((to) -> {
+					this.receivedMessages.computeIfAbsent(to, (name) -> new ArrayList<>()).add(send.message());
+					accept(to, new EntryEvent.MessageHeard(send.message()));
 				});
 			}
 		}
@@ -147,13 +147,13 @@
 	// The text of a configuration is its version number here.
 	private void handleConfigurationEffects(String node, List<EntryEffect> effects) {
 		for (EntryEffect effect : effects) {
-			if (effect instanceof EntryEffect.TellConfiguration tell) {
-				tell.nodes()
+			if (effect instanceof EntryEffect.TellConfiguration send) {
+				send.nodes()
 					.stream()
 					.map(this.names::get)
 					.filter(this::isDelivered)
 					.forEach((to) -> accept(to, new EntryEvent.MessageHeard(
-							new NodeMessage.ConfigurationTold(node, tell.version(), "" + tell.version()))));
+							new NodeMessage.ConfigurationTold(node, send.version(), "" + send.version()))));
 			}
 			else if (effect instanceof EntryEffect.TakeConfiguration take) {
 				accept(node,
--- a/src/test/java/sycamorehill/logic/entry/SharedLimitTests.java
+++ b/src/test/java/sycamorehill/logic/entry/SharedLimitTests.java
@@ -107,8 +107,8 @@
 
 	private void accept(String node, EntryEvent event) {
 		for (EntryEffect effect : this.nodes.get(node).accept(event, this.now)) {
-			if (effect instanceof EntryEffect.Tell tell) {
-				tell.nodes().forEach((to) -> deliverLater(this.names.get(to), tell.message()));
+			if (effect instanceof EntryEffect.Tell send) {
+				send.nodes().forEach((to) -> deliverLater(this.names.get(to), send.message()));
 			}
 			else if (effect instanceof EntryEffect.StartAttempt start) {
 				handleStartedAttempt(node, start);
@@ -164,7 +164,7 @@
 	private void deliver() {
 		while (!this.scheduledEvents.isEmpty() && !this.scheduledEvents.peek().at().isAfter(this.now)) {
 			ScheduledEvent next = this.scheduledEvents.poll();
-			if (next.event() instanceof EntryEvent.TargetTold told && told.limit().isPresent()) {
+			if (next.event() instanceof EntryEvent.TargetTold report && report.limit().isPresent()) {
 				this.firstLimitReceivedAt.putIfAbsent(next.node(), this.now);
 			}
 			if (!this.down.contains(next.node())) {
--- a/src/test/java/sycamorehill/logic/entry/StoreRelayTests.java
+++ b/src/test/java/sycamorehill/logic/entry/StoreRelayTests.java
@@ -86,7 +86,7 @@
 	private static List<NodeMessage.StoreNews> sentUpdates(List<EntryEffect> effects) {
 		List<NodeMessage.StoreNews> updates = new ArrayList<>();
 		for (EntryEffect effect : effects) {
-			if (effect instanceof EntryEffect.Tell tell && tell.message() instanceof NodeMessage.StoreNews update) {
+			if (effect instanceof EntryEffect.Tell send && send.message() instanceof NodeMessage.StoreNews update) {
 				updates.add(aged(update, Duration.ZERO));
 			}
 		}
@@ -199,8 +199,8 @@
 		return effects.stream()
 			.filter(EntryEffect.Tell.class::isInstance)
 			.map(EntryEffect.Tell.class::cast)
-			.filter((tell) -> tell.message() instanceof NodeMessage.StoreNews)
-			.flatMap((tell) -> tell.nodes().stream())
+			.filter((send) -> send.message() instanceof NodeMessage.StoreNews)
+			.flatMap((send) -> send.nodes().stream())
 			.toList();
 	}
 
@@ -270,7 +270,7 @@
 	// Small VMs have just enough processor time and bandwidth for their callers, so the
 	// update goes to the node of the other data centre with the largest processor share.
 	@Test
-	void sendsToTheRemoteNodeWithTheMostProcessors() {
+	void sendsToTheRemoteNodeWithTheLargestProcessorShare() {
 		listWithSouth();
 		assertThat(receivers(accept(new EntryEvent.TargetsChanged(List.of(change("p2")), 100, 103), 100)))
 			.containsExactlyInAnyOrder(Address.of("127.0.0.1", 7101), Address.of("127.0.0.1", 7103),
@@ -356,8 +356,8 @@
 	void sendsAConfigurationThatItReadsForOthers() {
 		accept(new EntryEvent.TargetsChanged(List.of(), 100, 100), 100);
 		assertThat(accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(6)), 200))
-			.anyMatch((effect) -> effect instanceof EntryEffect.TellConfiguration tell && tell.version() == 6
-					&& tell.nodes().contains(Address.of("127.0.0.1", 7103)));
+			.anyMatch((effect) -> effect instanceof EntryEffect.TellConfiguration send && send.version() == 6
+					&& send.nodes().contains(Address.of("127.0.0.1", 7103)));
 		receive(progress("a", 100, 100), 300);
 		assertThat(accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(7)), 400))
 			.noneMatch(EntryEffect.TellConfiguration.class::isInstance);
