--- a/src/main/java/sycamorehill/logic/entry/EntryReducer.java
+++ b/src/main/java/sycamorehill/logic/entry/EntryReducer.java
@@ -8,8 +8,8 @@
 
 import sycamorehill.logic.Effects;
 import sycamorehill.logic.directory.TargetDirectory;
-import sycamorehill.logic.dispatch.RequestDesk;
-import sycamorehill.logic.layout.GroupControl;
+import sycamorehill.logic.dispatch.RequestDispatcher;
+import sycamorehill.logic.layout.GroupController;
 import sycamorehill.model.identity.TargetName;
 import sycamorehill.model.log.LogEvent;
 import sycamorehill.model.serving.CallerRequest;
@@ -55,9 +55,9 @@
 
 	private final TargetDirectory directory = TargetDirectory.create();
 
-	private final RequestDesk requests;
+	private final RequestDispatcher requests;
 
-	private final GroupControl groups;
+	private final GroupController groups;
 
 	private final PeerNodes peers;
 
@@ -96,8 +96,8 @@
 		this.storeUpdateLog = StoreUpdateLog.of(settings.nodeName(), this.relay, this.directory);
 		this.configurationDistribution = ConfigurationDistribution.of(settings.nodeName(), this.peers, this.relay);
 		this.loadAggregation = LoadAggregation.of(settings.record(), this.peers, this.relay);
-		this.requests = RequestDesk.of(settings, this.directory, random);
-		this.groups = GroupControl.of(settings, this.directory, self, started);
+		this.requests = RequestDispatcher.of(settings, this.directory, random);
+		this.groups = GroupController.of(settings, this.directory, self, started);
 	}
 
 	/**
@@ -153,7 +153,7 @@
 		}
 		boolean mayWait = !isInitialized() && this.storeReachable;
 		if (!mayWait || !this.startupRequests.add(request, now)) {
-			this.requests.arrived(request, now, now, effects);
+			this.requests.handleRequest(request, now, now, effects);
 		}
 	}
 
@@ -164,7 +164,7 @@
 	private void releaseStartupRequests(Instant now, Effects effects) {
 		for (StartupRequestQueue.QueuedRequest request : this.startupRequests
 			.takeDue(isInitialized() || !this.storeReachable, now)) {
-			this.requests.arrived(request.request(), request.arrivedAt(), now, effects);
+			this.requests.handleRequest(request.request(), request.arrivedAt(), now, effects);
 		}
 	}
 
@@ -174,20 +174,20 @@
 			return;
 		}
 		this.peers.handleMessage(message, now);
-		this.requests.heard(message, now, effects);
+		this.requests.handleMessage(message, now, effects);
 		if (message instanceof NodeMessage.Loads loads) {
 			this.loadAggregation.handleMessage(loads, now);
 			return;
 		}
 		if (message instanceof NodeMessage.Silence silence) {
-			this.groups.suspect(silence.target(), now, effects);
+			this.groups.checkMembers(silence.target(), now, effects);
 			recordSilenceReport(silence.sender(), silence.target(), now, effects);
 		}
 		else if (message instanceof NodeMessage.SilenceConfirmed confirmed) {
-			this.requests.silentElsewhere(confirmed.target(), now, effects);
+			this.requests.handleReportedSilence(confirmed.target(), now, effects);
 		}
 		else if (message instanceof NodeMessage.GroupEnded ended) {
-			this.requests.groupEnded(ended.head(), ended.group(), ended.epoch(), now, effects);
+			this.requests.handleGroupEnded(ended.head(), ended.group(), ended.epoch(), now, effects);
 		}
 		else if (message instanceof NodeMessage.StoreNews update) {
 			handleStoreUpdate(update, now, effects);
@@ -200,7 +200,7 @@
 			removeTargets(this.directory.apply(observed.changes(), now), effects);
 		}
 		else if (message instanceof NodeMessage.LeaseGivenUp release) {
-			this.groups.leaseGivenUp(release.holder(), this.relay.followsReader(now), now);
+			this.groups.handleLeaseReleased(release.holder(), this.relay.followsReader(now), now);
 		}
 	}
 
@@ -211,7 +211,7 @@
 		}
 		this.storeUpdateLog.logReaderChange(now, effects);
 		recordStoreContact(true, now, effects);
-		update.lease().ifPresent((lease) -> this.groups.leaseHeard(lease, now, effects));
+		update.lease().ifPresent((lease) -> this.groups.handleLeaseUpdate(lease, now, effects));
 		if (result.applyChanges()) {
 			this.storeUpdateLog.logLeavingTargets(update.changes(), now, effects);
 			removeTargets(this.directory.apply(update.changes(), now), effects);
@@ -241,13 +241,13 @@
 	private void recordSilenceReport(String node, TargetName target, Instant now, Effects effects) {
 		if (this.groups.controls(now) && this.silenceReports.recordReport(node, target, now)) {
 			effects.add(new EntryEffect.TellAll(new NodeMessage.SilenceConfirmed(this.settings.nodeName(), target)));
-			this.requests.silentElsewhere(target, now, effects);
+			this.requests.handleReportedSilence(target, now, effects);
 		}
 	}
 
 	private void handleSilence(TargetName target, Instant now, Effects effects) {
-		this.requests.silent(target, now, effects);
-		this.groups.suspect(target, now, effects);
+		this.requests.handleSilentTarget(target, now, effects);
+		this.groups.checkMembers(target, now, effects);
 		recordSilenceReport(this.settings.nodeName(), target, now, effects);
 		this.groups.controller()
 			.ifPresent((node) -> this.peers.sendTo(node, new NodeMessage.Silence(this.settings.nodeName(), target),
@@ -256,32 +256,32 @@
 
 	private void sendLoads(Instant now, Effects effects) {
 		NodeMessage.Loads loads = new NodeMessage.Loads(this.settings.nodeName(), this.settings.dataCentre(),
-				this.storeReachable, this.requests.inFlight());
+				this.storeReachable, this.requests.inFlightByTarget());
 		this.loadAggregation.send(loads, this.stopRequestedAt != null, now, effects);
 		this.liveNodes = this.peers.countLiveNodes(now);
-		this.requests.nodes(this.liveNodes, this.peers.sharingNodes(now), now, effects);
+		this.requests.updateNodes(this.liveNodes, this.peers.sharingNodes(now), now, effects);
 	}
 
 	private boolean handleRequestEvent(EntryEvent event, Instant now, Effects effects) {
 		if (event instanceof EntryEvent.RequestArrived arrived) {
-			this.groups.trafficSeen(now);
+			this.groups.recordTraffic(now);
 			handleRequest(arrived.request(), now, effects);
 		}
 		else if (event instanceof EntryEvent.AnswerBegun begun) {
-			this.requests.begun(begun.number(), now);
+			this.requests.handleFirstEvent(begun.number(), now);
 		}
 		else if (event instanceof EntryEvent.AttemptEnded ended) {
-			this.requests.ended(ended.number(), ended.attempt(), ended.end(), now, effects);
+			this.requests.handleAttemptEnd(ended.number(), ended.attempt(), ended.end(), now, effects);
 		}
 		else if (event instanceof EntryEvent.CallerGone gone) {
 			this.startupRequests.remove(gone.number());
-			this.requests.callerGone(gone.number(), now, effects);
+			this.requests.handleCallerDisconnected(gone.number(), now, effects);
 		}
 		else if (event instanceof EntryEvent.TimedOut timedOut) {
-			this.requests.timedOut(timedOut.number(), now, effects);
+			this.requests.handleTimeout(timedOut.number(), now, effects);
 		}
 		else if (event instanceof EntryEvent.TargetTold received) {
-			this.requests.told(received, now, effects);
+			this.requests.handleTargetReport(received, now, effects);
 		}
 		else if (event instanceof EntryEvent.TargetSilent silent) {
 			handleSilence(silent.target(), now, effects);
@@ -294,16 +294,16 @@
 
 	private boolean handleGroupEvent(EntryEvent event, Instant now, Effects effects) {
 		if (event instanceof EntryEvent.OrderAnswered answered) {
-			this.groups.orderAnswered(answered.target(), answered.order(), answered.answer(), now, effects);
+			this.groups.handleCommandAnswer(answered.target(), answered.order(), answered.answer(), now, effects);
 		}
 		else if (event instanceof EntryEvent.ReportRead read) {
-			this.groups.reportRead(read.target(), read.report(), now, effects);
+			this.groups.handleReport(read.target(), read.report(), now, effects);
 		}
 		else if (event instanceof EntryEvent.ReportFailed failed) {
-			this.groups.reportFailed(failed.target(), failed.answer(), now, effects);
+			this.groups.handleReportFailure(failed.target(), failed.answer(), now, effects);
 		}
 		else if (event instanceof EntryEvent.LeaseAnswered answered) {
-			this.groups.leaseAnswered(answered.answer(), now, effects);
+			this.groups.handleLeaseAnswer(answered.answer(), now, effects);
 		}
 		else {
 			return false;
@@ -344,7 +344,7 @@
 			return;
 		}
 		else if (event instanceof EntryEvent.SettingsRead read) {
-			this.requests.settings(read.settings());
+			this.requests.updateSettings(read.settings());
 			effects.log(LogEvent.SETTINGS_RELOADED, "node=" + read.settings().nodeName());
 		}
 		else if (event instanceof EntryEvent.StopOrdered) {
@@ -378,7 +378,7 @@
 
 	private void tickGroups(Instant now, Effects effects) {
 		boolean storeUnreachableForAll = !this.storeReachable && this.peers.isStoreUnreachableForAll(now);
-		this.groups.tick(new GroupControl.Sight(this.configuration, this.requests::requests,
+		this.groups.tick(new GroupController.NodeStatus(this.configuration, this.requests::countRequests,
 				this.relay.followsReader(now), storeUnreachableForAll), now, effects);
 	}
 
