--- a/src/main/java/sycamorehill/logic/directory/GroupView.java
+++ b/src/main/java/sycamorehill/logic/directory/GroupView.java
@@ -74,8 +74,8 @@
 	/**
 	 * Returns whether the group accepts requests. A vanished member may only be
 	 * partitioned from the store, so it does not count as lost; if it is lost, the group
-	 * stops making progress and is disbanded. A vanished head may be leaving and receives
-	 * no new requests.
+	 * stalls and is disbanded. A vanished head may be leaving and receives no new
+	 * requests.
 	 * @return true if all members are ready, and the head is open and has not vanished
 	 */
 	public boolean serving() {
