--- a/src/main/java/sycamorehill/entry/EntryMetrics.java
+++ b/src/main/java/sycamorehill/entry/EntryMetrics.java
@@ -32,8 +32,8 @@
 	private final CollectorRegistry collectors = new CollectorRegistry();
 
 	private EntryMetrics(EntryReducer reducer) {
-		gauge("requests.active", reducer::requestsActive);
-		gauge("targets.known", reducer::targetsKnown);
+		gauge("requests.active", reducer::activeRequests);
+		gauge("targets.known", reducer::knownTargets);
 		gauge("nodes.living", reducer::liveNodes);
 		gauge("configuration.version", reducer::configurationVersion);
 		gauge("store.reached", () -> reducer.isStoreReachable() ? 1 : 0);
--- a/src/main/java/sycamorehill/entry/EntryNode.java
+++ b/src/main/java/sycamorehill/entry/EntryNode.java
@@ -161,7 +161,7 @@
 
 	private FeedReader.Pace pace(Duration longestWait) {
 		Instant now = this.clock.instant();
-		return new FeedReader.Pace(longestWait, this.reducer.readPause(now), this.reducer.followsReader(now));
+		return new FeedReader.Pace(longestWait, this.reducer.readPause(now), this.reducer.receivesStoreUpdates(now));
 	}
 
 	// Of two nodes that start at once, the one that lists after the other was entered
--- a/src/main/java/sycamorehill/logic/entry/EntryReducer.java
+++ b/src/main/java/sycamorehill/logic/entry/EntryReducer.java
@@ -200,7 +200,7 @@
 			removeTargets(this.directory.apply(observed.changes(), now), effects);
 		}
 		else if (message instanceof NodeMessage.LeaseGivenUp release) {
-			this.groups.handleLeaseReleased(release.holder(), this.relay.followsReader(now), now);
+			this.groups.handleLeaseReleased(release.holder(), this.relay.receivesStoreUpdates(now), now);
 		}
 	}
 
@@ -334,7 +334,7 @@
 		}
 		else if (event instanceof EntryEvent.DirectoryNotReached) {
 			this.relay.recordReadFailure();
-			recordStoreContact(this.relay.followsReader(now), now, effects);
+			recordStoreContact(this.relay.receivesStoreUpdates(now), now, effects);
 		}
 		else if (event instanceof EntryEvent.NodesListed all) {
 			handleNodeList(all, now, effects);
@@ -379,7 +379,7 @@
 	private void tickGroups(Instant now, Effects effects) {
 		boolean storeUnreachableForAll = !this.storeReachable && this.peers.isStoreUnreachableForAll(now);
 		this.groups.tick(new GroupController.NodeStatus(this.configuration, this.requests::countRequests,
-				this.relay.followsReader(now), storeUnreachableForAll), now, effects);
+				this.relay.receivesStoreUpdates(now), storeUnreachableForAll), now, effects);
 	}
 
 	private void tick(Instant now, Effects effects) {
@@ -463,15 +463,15 @@
 	 * @param now the current time
 	 * @return true if this node need not read
 	 */
-	public boolean followsReader(Instant now) {
-		return this.relay.followsReader(now);
+	public boolean receivesStoreUpdates(Instant now) {
+		return this.relay.receivesStoreUpdates(now);
 	}
 
 	/**
 	 * Returns the number of requests without a final answer.
 	 * @return the number of requests
 	 */
-	public long requestsActive() {
+	public long activeRequests() {
 		return this.requests.activeRequests();
 	}
 
@@ -479,7 +479,7 @@
 	 * Returns the number of targets that this node knows.
 	 * @return the number of targets
 	 */
-	public long targetsKnown() {
+	public long knownTargets() {
 		return this.directory.all().size();
 	}
 
--- a/src/main/java/sycamorehill/logic/entry/StartupRequestQueue.java
+++ b/src/main/java/sycamorehill/logic/entry/StartupRequestQueue.java
@@ -44,13 +44,13 @@
 
 	/**
 	 * Removes the requests that need not or must not wait any longer.
-	 * @param initialized whether no request needs to wait for configuration and targets
+	 * @param releaseAll whether no request needs to wait for configuration and targets
 	 * @param now the current time
 	 * @return the removed requests in order of arrival
 	 */
-	List<QueuedRequest> takeDue(boolean initialized, Instant now) {
+	List<QueuedRequest> takeDue(boolean releaseAll, Instant now) {
 		List<QueuedRequest> due = new ArrayList<>(this.waiting.values());
-		due.removeIf((queued) -> !initialized && now.isBefore(queued.arrivedAt().plus(MAXIMUM_WAIT)));
+		due.removeIf((queued) -> !releaseAll && now.isBefore(queued.arrivedAt().plus(MAXIMUM_WAIT)));
 		due.forEach((queued) -> remove(queued.request().number()));
 		return due;
 	}
--- a/src/main/java/sycamorehill/logic/entry/StoreRelay.java
+++ b/src/main/java/sycamorehill/logic/entry/StoreRelay.java
@@ -86,7 +86,7 @@
 	 * @param now the current time
 	 * @return true if this node need not read
 	 */
-	boolean followsReader(Instant now) {
+	boolean receivesStoreUpdates(Instant now) {
 		return this.source.answeredAt != Instant.MIN && now.isBefore(this.source.validUntil());
 	}
 
@@ -97,7 +97,7 @@
 	 * @return true if it does
 	 */
 	boolean isRelay(Instant now) {
-		return followsReader(now) && !this.source.local;
+		return receivesStoreUpdates(now) && !this.source.local;
 	}
 
 	/**
@@ -106,7 +106,7 @@
 	 * @return its name, possibly this node's; empty while each node reads for itself
 	 */
 	Optional<String> distributor(Instant now) {
-		if (followsReader(now) && this.source.local) {
+		if (receivesStoreUpdates(now) && this.source.local) {
 			return Optional.of(this.source.node);
 		}
 		return (isRelay(now) || isReader(now)) ? Optional.of(this.self) : Optional.empty();
@@ -118,7 +118,7 @@
 	 * @return its name; this node's own name while it reads for itself
 	 */
 	String source(Instant now) {
-		return followsReader(now) ? this.source.node : this.self;
+		return receivesStoreUpdates(now) ? this.source.node : this.self;
 	}
 
 	/**
@@ -194,7 +194,8 @@
 	 * calls
 	 */
 	boolean isReader(Instant now) {
-		return !followsReader(now) && isRecent(this.targetsReadAt, now) && isRecent(this.configurationReadAt, now);
+		return !receivesStoreUpdates(now) && isRecent(this.targetsReadAt, now)
+				&& isRecent(this.configurationReadAt, now);
 	}
 
 	private static boolean isRecent(Instant readAt, Instant now) {
@@ -262,7 +263,7 @@
 	// remote updates. A node that the store does not answer accepts updates from any
 	// node.
 	private boolean acceptsUpdateFrom(String sender, boolean local, Instant now) {
-		if (!followsReader(now)) {
+		if (!receivesStoreUpdates(now)) {
 			return !isReader(now) || this.takesPrecedence.test(sender, this.self);
 		}
 		if (local != this.source.local) {
--- a/src/test/java/sycamorehill/logic/entry/ManyNodesTests.java
+++ b/src/test/java/sycamorehill/logic/entry/ManyNodesTests.java
@@ -188,7 +188,7 @@
 	}
 
 	private void startOrStopReading(String node) {
-		if (this.nodes.get(node).followsReader(this.now)) {
+		if (this.nodes.get(node).receivesStoreUpdates(this.now)) {
 			this.nextReads.remove(node);
 		}
 		else {
--- a/src/test/java/sycamorehill/logic/entry/StoreRelayTests.java
+++ b/src/test/java/sycamorehill/logic/entry/StoreRelayTests.java
@@ -79,8 +79,8 @@
 		return new TargetChange(entry.name(), Optional.of(entry));
 	}
 
-	private boolean followsReader(long millis) {
-		return this.node.followsReader(this.start.plusMillis(millis));
+	private boolean receivesStoreUpdates(long millis) {
+		return this.node.receivesStoreUpdates(this.start.plusMillis(millis));
 	}
 
 	private static List<NodeMessage.StoreNews> sentUpdates(List<EntryEffect> effects) {
@@ -101,10 +101,10 @@
 		List<EntryEffect> effects = receive(changes("a", 100, 103, "p2"), 500);
 		assertThat(effects).contains(new EntryEffect.TargetsKnown(103))
 			.noneMatch(EntryEffect.ReadTargets.class::isInstance);
-		assertThat(this.node.targetsKnown()).isEqualTo(2);
-		assertThat(followsReader(1300)).isTrue();
+		assertThat(this.node.knownTargets()).isEqualTo(2);
+		assertThat(receivesStoreUpdates(1300)).isTrue();
 		assertThat(receive(changes("a", 103, 107, "p3"), 1000)).contains(new EntryEffect.TargetsKnown(107));
-		assertThat(this.node.targetsKnown()).isEqualTo(3);
+		assertThat(this.node.knownTargets()).isEqualTo(3);
 	}
 
 	// The reader fails or is partitioned from the others. A leaving target must receive
@@ -113,8 +113,8 @@
 	@Test
 	void readsForItselfSoonAfterTheReaderFails() {
 		receive(agedByLongPoll(progress("a", 100, 102)), 500);
-		assertThat(followsReader(1300)).isTrue();
-		assertThat(followsReader(1400)).isFalse();
+		assertThat(receivesStoreUpdates(1300)).isTrue();
+		assertThat(receivesStoreUpdates(1400)).isFalse();
 	}
 
 	// A datagram with a change is lost. The next update shows that there was one.
@@ -123,7 +123,7 @@
 		receive(changes("a", 100, 103, "p2"), 500);
 		assertThat(receive(changes("a", 105, 108, "p4"), 600)).contains(new EntryEffect.ReadTargets(),
 				new EntryEffect.TargetsKnown(103));
-		assertThat(this.node.targetsKnown()).isEqualTo(2);
+		assertThat(this.node.knownTargets()).isEqualTo(2);
 		assertThat(receive(progress("a", 108, 110), 950)).contains(new EntryEffect.ReadTargets());
 		accept(new EntryEvent.TargetsChanged(List.of(change("p3"), change("p4")), 103, 110), 960);
 		assertThat(receive(progress("a", 108, 112), 1300)).contains(new EntryEffect.TargetsKnown(112))
@@ -140,7 +140,7 @@
 				Optional.empty(), Duration.ZERO);
 		assertThat(receive(later, 500)).contains(new EntryEffect.TargetsKnown(143))
 			.noneMatch(EntryEffect.ReadTargets.class::isInstance);
-		assertThat(this.node.targetsKnown()).isEqualTo(2);
+		assertThat(this.node.knownTargets()).isEqualTo(2);
 	}
 
 	// This node has itself read part of the changes in an update. If it applied them
@@ -149,14 +149,14 @@
 	void doesNotApplyPartlyReadChanges() {
 		accept(new EntryEvent.TargetsChanged(List.of(change("p2")), 100, 102), 400);
 		assertThat(receive(changes("a", 100, 103, "p3"), 500)).contains(new EntryEffect.ReadTargets());
-		assertThat(this.node.targetsKnown()).isEqualTo(2);
+		assertThat(this.node.knownTargets()).isEqualTo(2);
 	}
 
 	@Test
 	void ignoresKnownChanges() {
 		receive(changes("a", 100, 103, "p2"), 500);
 		assertThat(receive(changes("a", 100, 103, "p2"), 510)).noneMatch(EntryEffect.ReadTargets.class::isInstance);
-		assertThat(this.node.targetsKnown()).isEqualTo(2);
+		assertThat(this.node.knownTargets()).isEqualTo(2);
 	}
 
 	// All nodes start at once and read. The first of them by name keeps reading: "b"
@@ -165,8 +165,8 @@
 	@Test
 	void theNodeWithPrecedenceReadsForTheOthers() {
 		receive(changes("c", 100, 103, "p2"), 100);
-		assertThat(followsReader(110)).isFalse();
-		assertThat(this.node.targetsKnown()).isEqualTo(1);
+		assertThat(receivesStoreUpdates(110)).isFalse();
+		assertThat(this.node.knownTargets()).isEqualTo(1);
 		assertThat(sentUpdates(accept(new EntryEvent.TargetsChanged(List.of(change("p2")), 100, 103), 200)))
 			.containsExactly(changes("b", 100, 103, "p2"));
 		assertThat(sentUpdates(accept(new EntryEvent.Ticked(), 600))).containsExactly(progress("b", 103, 103));
@@ -183,7 +183,7 @@
 		assertThat(sentUpdates(accept(new EntryEvent.Ticked(), 700))).isEmpty();
 		receive(agedByLongPoll(changes("c", 100, 103, "p2")), 800);
 		assertThat(this.node.isStoreReachable()).isTrue();
-		assertThat(this.node.targetsKnown()).isEqualTo(2);
+		assertThat(this.node.knownTargets()).isEqualTo(2);
 		accept(new EntryEvent.DirectoryNotReached(), 900);
 		assertThat(this.node.isStoreReachable()).isTrue();
 		accept(new EntryEvent.DirectoryNotReached(), 1800);
@@ -217,8 +217,8 @@
 	@Test
 	void relaysUpdatesOfAnotherDataCentre() {
 		List<EntryEffect> effects = receive(updateFromSouth("a", 103), 100);
-		assertThat(followsReader(110)).isTrue();
-		assertThat(this.node.targetsKnown()).isEqualTo(2);
+		assertThat(receivesStoreUpdates(110)).isTrue();
+		assertThat(this.node.knownTargets()).isEqualTo(2);
 		assertThat(sentUpdates(effects)).containsExactly(changes("b", 100, 103, "p2"));
 		assertThat(sentUpdates(accept(new EntryEvent.Ticked(), 600))).isEmpty();
 	}
@@ -242,7 +242,7 @@
 	void aLocalReaderTakesPrecedenceOverARemoteOne() {
 		receive(progress("a", 100, 102), 50);
 		assertThat(sentUpdates(receive(updateFromSouth("a", 103), 100))).isEmpty();
-		assertThat(this.node.targetsKnown()).isEqualTo(1);
+		assertThat(this.node.knownTargets()).isEqualTo(1);
 	}
 
 	// Another data centre is partitioned from the store and still has an older state.
@@ -251,7 +251,7 @@
 		NodeMessage.StoreNews older = new NodeMessage.StoreNews("a", SOUTH, 4, 90, 90, 95, List.of(change("p9")),
 				Optional.empty(), Duration.ZERO);
 		assertThat(receive(older, 100)).noneMatch(EntryEffect.ReadTargets.class::isInstance);
-		assertThat(this.node.targetsKnown()).isEqualTo(1);
+		assertThat(this.node.knownTargets()).isEqualTo(1);
 		assertThat(this.node.configurationVersion()).isEqualTo(5);
 	}
 
@@ -260,8 +260,8 @@
 	@Test
 	void readsForItsDataCentreSoonAfterTheRemoteReaderFails() {
 		receive(agedByLongPoll(updateFromSouth("a", 103)), 500);
-		assertThat(followsReader(1200)).isTrue();
-		assertThat(followsReader(1300)).isFalse();
+		assertThat(receivesStoreUpdates(1200)).isTrue();
+		assertThat(receivesStoreUpdates(1300)).isFalse();
 		accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(5)), 1305);
 		assertThat(sentUpdates(accept(new EntryEvent.TargetsChanged(List.of(), 103, 104), 1310)))
 			.contains(progress("b", 103, 104));
@@ -379,8 +379,8 @@
 	@Test
 	void theValidityOfAnUpdateBeginsWithTheAnswerOfTheStore() {
 		receive(aged(updateFromSouth("a", 103), Duration.ofMillis(800)), 500);
-		assertThat(followsReader(940)).isTrue();
-		assertThat(followsReader(950)).isFalse();
+		assertThat(receivesStoreUpdates(940)).isTrue();
+		assertThat(receivesStoreUpdates(950)).isFalse();
 	}
 
 	// A relay that sent received updates as its own reads would reset their age.
