--- a/src/main/java/sycamorehill/logic/admission/AdmissionForecast.java
+++ b/src/main/java/sycamorehill/logic/admission/AdmissionForecast.java
@@ -11,13 +11,14 @@
 import sycamorehill.model.ticket.WorkspaceItem;
 
 /**
- * When a request that arrives now would begin.
+ * Predicts when a request that arrives now would start.
  *
- * @param queueWait wait behind the others of its service
- * @param limitWait wait for its workspace's limit
- * @param firstToken time from its sending to its first token
- * @param idle whether nothing is in flight: then it is tried whatever was measured before
- * @param now the time
+ * @param queueWait the wait behind the other requests of the service
+ * @param limitWait the wait for the workspace's rate limit
+ * @param firstToken the time from sending the request to its first token
+ * @param idle whether nothing is in flight; a request is then admitted regardless of
+ * earlier latencies
+ * @param now the current time
  */
 record AdmissionForecast(Duration queueWait, Duration limitWait, Duration firstToken, boolean idle, Instant now) {
 
@@ -30,7 +31,7 @@
 		double ahead = load.queue().requestsAhead(workspace.name(), Math.max(1, workspace.weight()));
 		double requestRate = entry.account().usable().requests();
 		double missingRequests = entry.meter().waiting() + 1 - entry.meter().requestLevel();
-		// A share of 0 may mean that loans are on their way: it waits for them.
+		// The share can be 0 while loans are on their way, so the request waits for them.
 		Duration limitWait = (requestRate > 0 && missingRequests > 0)
 				? Duration.ofMillis((long) (missingRequests / requestRate * MILLISECONDS_PER_SECOND)) : Duration.ZERO;
 		Duration firstToken = (ahead > 0) ? load.estimate().upperBound(now) : load.estimate().baseline();
--- a/src/main/java/sycamorehill/logic/admission/AdmissionReducer.java
+++ b/src/main/java/sycamorehill/logic/admission/AdmissionReducer.java
@@ -17,7 +17,8 @@
 import sycamorehill.model.request.AttemptResult;
 
 /**
- * Limits, queues and early refusal.
+ * Admits requests: enforces limits, keeps queues and refuses early what can't be served
+ * in time.
  */
 public final class AdmissionReducer implements Reducer<AdmissionState> {
 
--- a/src/main/java/sycamorehill/logic/admission/AdmissionState.java
+++ b/src/main/java/sycamorehill/logic/admission/AdmissionState.java
@@ -14,23 +14,25 @@
 import sycamorehill.model.identity.WorkspaceName;
 
 /**
- * State of the part: limits, queues and early refusal.
+ * The admission state of a node.
  *
- * @param services load by service
- * @param waiting requests that wait
- * @param departures waiting requests by when they are refused at the latest
- * @param flights requests admitted and not finished
- * @param attempts attempts sent whose first token is awaited
- * @param limits workspace limits
- * @param stopFrom from when a stopping node refuses requests
- * @param nextPlace numbers the requests that wait
+ * @param services the load by service
+ * @param waiting the waiting requests
+ * @param departures the latest times at which waiting requests are refused, earliest
+ * first
+ * @param flights the requests that were admitted and have not finished
+ * @param attempts the attempts whose first token has not arrived
+ * @param limits the workspace limits
+ * @param stopFrom when a stopping node starts to refuse requests, empty if it is not
+ * stopping
+ * @param nextPlace the number of the next request that waits
  */
 public record AdmissionState(PMap<ServiceName, ServiceLoad> services, PMap<RequestIdentifier, WaitingRequest> waiting,
 		PSortedSet<WaitDeadline> departures, PMap<RequestIdentifier, AdmittedRequest> flights,
 		PMap<AttemptIdentifier, SentAttempt> attempts, LimitState limits, Optional<Instant> stopFrom, long nextPlace) {
 
 	/**
-	 * The state of a fresh node.
+	 * Returns the state of a node that has just started.
 	 * @return the state before the first event
 	 */
 	public static AdmissionState initial() {
@@ -78,10 +80,10 @@
 	}
 
 	/**
-	 * A waiting request's last moment.
+	 * The latest time at which a waiting request is refused.
 	 *
-	 * @param at the moment
-	 * @param number tells requests of the same moment apart
+	 * @param at the time
+	 * @param number the number in the queue, which orders requests with the same time
 	 * @param request the request
 	 */
 	record WaitDeadline(Instant at, long number, RequestIdentifier request) implements Comparable<WaitDeadline> {
@@ -95,19 +97,19 @@
 	}
 
 	/**
-	 * A request that was admitted.
+	 * A request that was admitted and has not finished.
 	 *
-	 * @param workspace whose it is
-	 * @param service what it asked for
-	 * @param tokens tokens that were admitted for its answer
+	 * @param workspace the workspace that sent it
+	 * @param service the requested service
+	 * @param tokens the tokens that were admitted for its answer
 	 */
 	record AdmittedRequest(WorkspaceName workspace, ServiceName service, int tokens) {
 	}
 
 	/**
-	 * An attempt whose first token is awaited.
+	 * An attempt whose first token has not arrived.
 	 *
-	 * @param service what it asked for
+	 * @param service the requested service
 	 * @param at when it was sent
 	 */
 	record SentAttempt(ServiceName service, Instant at) {
--- a/src/main/java/sycamorehill/logic/admission/AdmissionStep.java
+++ b/src/main/java/sycamorehill/logic/admission/AdmissionStep.java
@@ -26,11 +26,12 @@
 import sycamorehill.model.ticket.WorkspaceItem;
 
 /**
- * One step of admission: takes requests in, lets them go on in fair turns, and refuses
- * those that can't be served in time.
+ * Handles one event for the admission state. It queues requests, admits them by fair
+ * queueing and refuses those that can't be served in time.
  */
 final class AdmissionStep {
 
+	/** A request counts as recent for its timeout divided by this number. */
 	private static final int RECENT_ARRIVAL_DIVISOR = 4;
 
 	private final NodeView view;
@@ -72,7 +73,7 @@
 	}
 
 	/**
-	 * Takes a request in, or refuses it at once.
+	 * Queues a request, or refuses it at once.
 	 * @param request the request
 	 */
 	void handleArrival(RequestDescription request) {
@@ -103,7 +104,7 @@
 	}
 
 	/**
-	 * Lets waiting requests of a service go on while there is room.
+	 * Admits waiting requests of a service while its concurrency limit has capacity.
 	 * @param service the service
 	 */
 	void admitWaiting(ServiceName service) {
@@ -134,7 +135,7 @@
 	}
 
 	/**
-	 * Refuses what has waited to its last moment and lets the others go on.
+	 * Refuses the requests whose wait has reached its end and admits others.
 	 */
 	void handleTick() {
 		while (!this.state.departures().isEmpty() && !this.state.departures().first().at().isAfter(this.now)) {
@@ -152,7 +153,7 @@
 	}
 
 	/**
-	 * Forgets a request that still waits.
+	 * Removes a request that is still waiting.
 	 * @param request the request
 	 */
 	void removeWaiting(RequestIdentifier request) {
@@ -163,9 +164,9 @@
 	}
 
 	/**
-	 * Frees what a finished request held.
+	 * Releases the capacity that a finished request occupied.
 	 * @param request the request
-	 * @param tokens tokens that it generated
+	 * @param tokens the number of tokens that it generated
 	 */
 	void handleFinished(RequestIdentifier request, int tokens) {
 		AdmittedRequest admitted = this.state.flights().get(request);
@@ -216,15 +217,16 @@
 	}
 
 	private boolean canMeetDeadline(WaitingRequest waiting, ServiceLoad load) {
-		// An estimate that stays too high would refuse everything, and nothing would ever
-		// be measured again to lower it: while nothing is in flight, the next goes on.
+		// While nothing is in flight, the next request is admitted whatever the estimate.
+		// An estimate that stays too high would otherwise refuse every request, and no
+		// new measurement could lower it.
 		return load.inFlight() == 0
 				|| !this.now.plus(load.estimate().upperBound(this.now)).isAfter(waiting.request().deadline());
 	}
 
-	// Latency that is high for a moment is no reason to refuse what has just come: the
-	// estimate falls while nothing is sent. It would hit small workspaces hardest, whose
-	// requests never wait behind their own.
+	// A short latency spike is no reason to refuse a request that has just arrived,
+	// because the estimate falls while nothing is sent. Refusing it would hit small
+	// workspaces hardest, whose requests never wait behind their own.
 	private boolean arrivedRecently(WaitingRequest waiting) {
 		Duration timeout = Duration.between(waiting.arrivedAt(), waiting.request().deadline());
 		return this.now.isBefore(waiting.arrivedAt().plus(timeout.dividedBy(RECENT_ARRIVAL_DIVISOR)));
@@ -259,8 +261,9 @@
 	}
 
 	/**
-	 * Lets the workspaces go on that were lent something.
-	 * @param loans what was lent
+	 * Lets the workspaces that received a loan take part again, and admits their
+	 * requests.
+	 * @param loans the amounts that were lent
 	 */
 	void releaseAndAdmit(List<WorkspaceShare> loans) {
 		for (ServiceName service : List.copyOf(this.state.services().keySet())) {
--- a/src/main/java/sycamorehill/logic/admission/ConcurrencyLimit.java
+++ b/src/main/java/sycamorehill/logic/admission/ConcurrencyLimit.java
@@ -6,28 +6,29 @@
 import sycamorehill.model.policy.AdmissionPolicy;
 
 /**
- * How many requests of one service this node has in flight at once. Immutable.
+ * Limits how many requests of one service this node has in flight at once.
+ * Implementations are immutable.
  */
 public interface ConcurrencyLimit {
 
 	/**
-	 * The present limit.
-	 * @return the most requests in flight
+	 * Returns the current limit.
+	 * @return the maximum number of requests in flight
 	 */
 	int limit();
 
 	/**
-	 * Takes one measured latency in.
-	 * @param latency time from the sending to the first token
-	 * @param inFlight requests in flight when it was measured
-	 * @param now the time
-	 * @return the limit after it
+	 * Adds a measured latency.
+	 * @param latency the time from sending the request to its first token
+	 * @param inFlight the number of requests in flight when it was measured
+	 * @param now the current time
+	 * @return the updated limit
 	 */
 	ConcurrencyLimit withSample(Duration latency, int inFlight, Instant now);
 
 	/**
-	 * A limit that never changes.
-	 * @param limit the limit
+	 * Creates a limit that never changes.
+	 * @param limit the maximum number of requests in flight
 	 * @return the limit
 	 */
 	static ConcurrencyLimit fixed(int limit) {
@@ -35,9 +36,10 @@
 	}
 
 	/**
-	 * The limit that follows how much slower than at rest the first tokens come.
-	 * @param policy its bounds
-	 * @return the limit before anything was measured
+	 * Creates a limit that adapts to the ratio of the current first-token latency to the
+	 * latency at low load.
+	 * @param policy the policy with the bounds of the limit
+	 * @return the limit before the first measurement
 	 */
 	static ConcurrencyLimit gradient(AdmissionPolicy policy) {
 		return GradientLimit.of(policy);
@@ -46,7 +48,7 @@
 	/**
 	 * A limit that never changes.
 	 *
-	 * @param limit the limit
+	 * @param limit the maximum number of requests in flight
 	 */
 	record Fixed(int limit) implements ConcurrencyLimit {
 
--- a/src/main/java/sycamorehill/logic/admission/Coordinators.java
+++ b/src/main/java/sycamorehill/logic/admission/Coordinators.java
@@ -14,11 +14,11 @@
 import sycamorehill.model.membership.LiveNodes;
 
 /**
- * Which node of each data centre brings lenders and borrowers of a workspace's limits
- * together, by rendezvous hashing. Two nodes that both think it is them do no harm: a
- * coordinator has no right to any share but what is lent to it.
+ * Selects, by rendezvous hashing, the node of each data centre that coordinates the loans
+ * of a workspace's limits. Two nodes that both take themselves for the coordinator do no
+ * harm, because a coordinator may only use or lend what it owns or was lent.
  *
- * @param byDataCentre live nodes that take duties
+ * @param byDataCentre the live nodes that take duties, by data centre
  */
 record Coordinators(Map<DataCentreName, List<NodeIdentity>> byDataCentre) {
 
@@ -34,10 +34,10 @@
 	}
 
 	/**
-	 * The coordinator of a workspace in a data centre.
+	 * Returns the coordinator of a workspace in a data centre.
 	 * @param workspace the workspace
 	 * @param dataCentre the data centre
-	 * @return the node, empty if none is known to live
+	 * @return the node, empty if no live node is known there
 	 */
 	Optional<NodeIdentity> coordinator(WorkspaceName workspace, DataCentreName dataCentre) {
 		NodeIdentity best = null;
@@ -57,10 +57,10 @@
 	}
 
 	/**
-	 * The coordinators of a workspace in the other data centres.
+	 * Returns the coordinators of a workspace in the other data centres.
 	 * @param workspace the workspace
 	 * @param excluded the data centre to leave out
-	 * @return one node for each data centre with live nodes
+	 * @return one node for each other data centre that has live nodes
 	 */
 	List<NodeIdentity> inOtherDataCentres(WorkspaceName workspace, DataCentreName excluded) {
 		return this.byDataCentre.keySet()
--- a/src/main/java/sycamorehill/logic/admission/FairQueue.java
+++ b/src/main/java/sycamorehill/logic/admission/FairQueue.java
@@ -13,19 +13,20 @@
 import sycamorehill.model.identity.WorkspaceName;
 
 /**
- * The requests that wait for one service, shared out between workspaces by start-time
- * fair queueing: the workspace whose next request has the earliest virtual start goes
- * first, and each request moves its workspace's next start on by its cost over the
- * workspace's weight. A workspace that was idle starts at the present virtual time, so it
- * can't save up.
+ * Queues the waiting requests of one service and divides its capacity between workspaces
+ * by start-time fair queueing. The workspace whose next request has the earliest virtual
+ * start goes first. Each admitted request advances its workspace's virtual start by the
+ * request's cost divided by the workspace's weight. A workspace that was idle starts at
+ * the current virtual time, so it can't save up capacity.
  *
- * @param flows the workspaces with a virtual start of their own
- * @param order workspaces with waiting requests, by virtual start
- * @param loads workspaces with waiting requests, by weighted waiting cost
- * @param held workspaces that wait for their limit; they are not in the order
- * @param weight sum of the weights of the workspaces with waiting requests
- * @param virtualTime virtual start of the request admitted last
- * @param size requests that wait
+ * @param flows the workspaces that have waiting requests or a virtual start in the future
+ * @param order the workspaces with waiting requests that are not held, by virtual start
+ * @param loads the workspaces with waiting requests, by waiting cost divided by weight
+ * @param held the workspaces that wait for capacity in their limit; they are left out of
+ * the order
+ * @param weight the sum of the weights of the workspaces with waiting requests
+ * @param virtualTime the latest virtual start of an admitted request
+ * @param size the number of waiting requests
  */
 record FairQueue(PMap<WorkspaceName, Flow> flows, PSortedSet<WorkspaceRank> order, PSortedSet<WorkspaceRank> loads,
 		PSet<WorkspaceName> held, double weight, double virtualTime, int size) {
@@ -38,7 +39,7 @@
 	 * Adds a request.
 	 * @param waiting the request
 	 * @param weight the weight of its workspace
-	 * @return the queue
+	 * @return the updated queue
 	 */
 	FairQueue plus(WaitingRequest waiting, int weight) {
 		Flow flow = this.flows.getOrDefault(waiting.workspace(), Flow.idle());
@@ -49,9 +50,9 @@
 	}
 
 	/**
-	 * Takes a request out that does not go on to a target.
+	 * Removes a request without admitting it.
 	 * @param waiting the request
-	 * @return the queue
+	 * @return the updated queue
 	 */
 	FairQueue minus(WaitingRequest waiting) {
 		Flow flow = this.flows.get(waiting.workspace());
@@ -63,9 +64,9 @@
 	}
 
 	/**
-	 * Takes a request out that is admitted.
+	 * Removes a request that is admitted and charges its cost to its workspace.
 	 * @param waiting the first request of its workspace
-	 * @return the queue
+	 * @return the updated queue
 	 */
 	FairQueue admit(WaitingRequest waiting) {
 		Flow flow = this.flows.get(waiting.workspace());
@@ -75,18 +76,18 @@
 	}
 
 	/**
-	 * The first request of a workspace.
+	 * Returns the first request of a workspace that has waiting requests.
 	 * @param workspace the workspace
-	 * @return its request that waits longest by priority
+	 * @return the request with the earliest position
 	 */
 	WaitingRequest firstOf(WorkspaceName workspace) {
 		return this.flows.get(workspace).requests().firstEntry().getValue();
 	}
 
 	/**
-	 * The request to give up when there is no room: the last one of the workspace that
-	 * has the most waiting for its weight.
-	 * @return the request, if any waits
+	 * Returns the request to refuse when the queue is full: the last one of the workspace
+	 * with the highest waiting cost for its weight.
+	 * @return the request, empty if none is waiting
 	 */
 	Optional<WaitingRequest> lastOfMostLoaded() {
 		if (this.loads.isEmpty()) {
@@ -96,10 +97,10 @@
 	}
 
 	/**
-	 * How many requests go ahead of one that a workspace would add now.
+	 * Estimates how many requests precede one that a workspace would add now.
 	 * @param workspace the workspace
-	 * @param workspaceWeight its weight
-	 * @return the requests ahead of it, by fair shares
+	 * @param workspaceWeight the weight of the workspace
+	 * @return the number of requests ahead of it by fair queueing
 	 */
 	double requestsAhead(WorkspaceName workspace, int workspaceWeight) {
 		Flow flow = this.flows.getOrDefault(workspace, Flow.idle());
@@ -108,17 +109,17 @@
 	}
 
 	/**
-	 * The workspace whose turn it is.
-	 * @return the workspace, if any waits for nothing but its turn
+	 * Returns the workspace whose request is next.
+	 * @return the workspace, empty if every workspace with waiting requests is held
 	 */
 	Optional<WorkspaceName> nextWorkspace() {
 		return this.order.isEmpty() ? Optional.empty() : Optional.of(this.order.first().workspace());
 	}
 
 	/**
-	 * Leaves a workspace out until its limit has room again.
+	 * Holds a workspace back until its limit has capacity again.
 	 * @param workspace the workspace
-	 * @return the queue
+	 * @return the updated queue
 	 */
 	FairQueue hold(WorkspaceName workspace) {
 		WorkspaceRank rank = new WorkspaceRank(this.flows.get(workspace).start(), workspace);
@@ -127,9 +128,9 @@
 	}
 
 	/**
-	 * Lets a workspace take its turns again.
+	 * Lets a workspace that was held back take part again.
 	 * @param workspace the workspace
-	 * @return the queue
+	 * @return the updated queue
 	 */
 	FairQueue release(WorkspaceName workspace) {
 		if (!this.held.contains(workspace)) {
@@ -163,12 +164,12 @@
 	}
 
 	/**
-	 * One workspace's requests.
+	 * The waiting requests of one workspace.
 	 *
-	 * @param requests by place
-	 * @param start virtual start of the first
-	 * @param cost their cost together
-	 * @param weight the workspace's weight
+	 * @param requests the requests by position
+	 * @param start the virtual start of the first request
+	 * @param cost the sum of the costs of the requests
+	 * @param weight the weight of the workspace
 	 */
 	record Flow(TreePMap<WaitingRequest.QueuePosition, WaitingRequest> requests, double start, double cost,
 			int weight) {
@@ -188,9 +189,9 @@
 	}
 
 	/**
-	 * A workspace's place in an order.
+	 * The rank of a workspace in a sorted set.
 	 *
-	 * @param value what orders
+	 * @param value the sort key
 	 * @param workspace the workspace
 	 */
 	record WorkspaceRank(double value, WorkspaceName workspace) implements Comparable<WorkspaceRank> {
--- a/src/main/java/sycamorehill/logic/admission/GradientLimit.java
+++ b/src/main/java/sycamorehill/logic/admission/GradientLimit.java
@@ -6,17 +6,18 @@
 import sycamorehill.model.policy.AdmissionPolicy;
 
 /**
- * Follows the ratio of the latency at rest to the latency now: below the tolerance the
- * limit grows by a small queue's worth for each window, above it the limit shrinks with
- * the ratio.
+ * Adapts a concurrency limit to the ratio of the latency at low load to the current
+ * latency. While the latency is within the tolerance, the limit grows in each window by
+ * half its square root, which leaves room for a small queue. Beyond the tolerance, the
+ * limit shrinks in proportion to the ratio.
  *
- * @param policy bounds
+ * @param policy the policy with the bounds of the limit
  * @param exact the limit before rounding
- * @param atRest latency at rest in seconds: the smallest average of late, rising slowly
- * so that a slower fleet is learnt
- * @param sum latencies of this window in seconds
- * @param count how many
- * @param busiest most requests in flight in this window
+ * @param atRest the latency at low load in seconds: the lowest recent average. It rises
+ * slowly, so that the limit adapts to targets that have become slower
+ * @param sum the sum of the latencies of this window in seconds
+ * @param count the number of latencies of this window
+ * @param busiest the maximum number of requests in flight in this window
  * @param windowEnd when the window ends
  */
 record GradientLimit(AdmissionPolicy policy, double exact, double atRest, double sum, int count, int busiest,
@@ -26,8 +27,10 @@
 
 	private static final int MINIMUM_SAMPLES = 5;
 
+	/** Maximum growth of the latency at low load per window. */
 	private static final double BASELINE_GROWTH_FACTOR = 1.002;
 
+	/** Minimum fraction of the limit that remains after one window. */
 	private static final double MINIMUM_GRADIENT = 0.8;
 
 	private static final double NANOSECONDS_PER_SECOND = 1e9;
@@ -57,7 +60,8 @@
 		double gradient = Math.max(MINIMUM_GRADIENT,
 				Math.min(1, this.policy.latencyTolerance() * baseline / Math.max(average, 1e-9)));
 		double changed = this.exact;
-		// An idle node's latency says nothing about a higher limit: it grows only in use.
+		// The latency of an idle node does not show that a higher limit is safe, so the
+		// limit grows only while it is used.
 		if (gradient < 1) {
 			changed = this.exact * gradient;
 		}
--- a/src/main/java/sycamorehill/logic/admission/LatencyEstimate.java
+++ b/src/main/java/sycamorehill/logic/admission/LatencyEstimate.java
@@ -4,24 +4,28 @@
 import java.time.Instant;
 
 /**
- * How long the first token takes at the worst: the smoothed latency and some times its
- * smoothed deviation. While nothing is measured it falls back to the smoothed latency at
- * rest: an estimate above every deadline would refuse everything, nothing would be
- * measured again, and it would never fall.
+ * Estimates an upper bound of the time to the first token from the smoothed latency and
+ * its smoothed deviation. While no latency is measured, the bound decays to the latency
+ * at low load. A bound above every deadline would otherwise refuse all requests, and no
+ * new measurement could lower it.
  *
- * @param mean smoothed latency in seconds
- * @param deviation smoothed deviation in seconds
- * @param atRest smallest smoothed latency of late in seconds
- * @param measuredAt when it was measured last
+ * @param mean the smoothed latency in seconds
+ * @param deviation the smoothed deviation in seconds
+ * @param atRest the latency at low load in seconds: the lowest recent smoothed latency
+ * @param measuredAt the time of the last measurement
  */
 record LatencyEstimate(double mean, double deviation, double atRest, Instant measuredAt) {
 
+	/** Weight of a new sample in the smoothed values. */
 	private static final double SMOOTHING_GAIN = 0.05;
 
+	/** Number of deviations between the mean and the bound. */
 	private static final double DEVIATION_MULTIPLIER = 5;
 
+	/** Maximum growth of the latency at low load per sample. */
 	private static final double BASELINE_GROWTH_FACTOR = 1.0005;
 
+	/** Time constant of the decay while no latency is measured. */
 	private static final double DECAY_SECONDS = 0.5;
 
 	private static final double NANOSECONDS_PER_SECOND = 1e9;
@@ -42,17 +46,17 @@
 	}
 
 	/**
-	 * The latency at rest.
-	 * @return the smallest smoothed latency of late
+	 * Returns the latency at low load.
+	 * @return the lowest recent smoothed latency
 	 */
 	Duration baseline() {
 		return Duration.ofNanos((long) (this.atRest * NANOSECONDS_PER_SECOND));
 	}
 
 	/**
-	 * The latency that nearly all requests stay within.
-	 * @param now the time
-	 * @return the bound, zero before anything was measured
+	 * Returns a latency that nearly all requests stay below.
+	 * @param now the current time
+	 * @return the bound, zero before the first measurement
 	 */
 	Duration upperBound(Instant now) {
 		double margin = this.mean + DEVIATION_MULTIPLIER * this.deviation - this.atRest;
--- a/src/main/java/sycamorehill/logic/admission/LimitState.java
+++ b/src/main/java/sycamorehill/logic/admission/LimitState.java
@@ -16,20 +16,20 @@
 import sycamorehill.model.ticket.WorkspaceItem;
 
 /**
- * The workspace limits as this node holds them: an entry for each workspace that was
- * active of late.
+ * The workspace limits on this node, with an entry for each recently active workspace.
  * <p>
- * A node that restarts has forgotten what its earlier life lent, and the borrowers go on
- * using it: callers would get more than the limit for as long as the loans hold. So a
- * fresh node owns nothing until the longest loan that it could have made has ended.
+ * A restarted node does not know what its earlier incarnation lent, and the borrowers
+ * continue to use it. The callers would get more than the limit until those loans expire.
+ * A node therefore owns nothing until the longest loan of an earlier incarnation has
+ * expired.
  *
- * @param ownsFrom when the node's own part may be used
- * @param divisor what the limits are divided by for one node's own part, 0 if it owns
- * none
- * @param divisorOf the truth that the divisor was taken from
- * @param workspaces by name
- * @param asks when the asks of this life were sent, by number
- * @param lastAsk number of the last one
+ * @param ownsFrom when the node may start to use its owned share
+ * @param divisor the number of parts that each limit is divided into, one of which this
+ * node owns; 0 if it owns none
+ * @param divisorOf the number of the desired state that the divisor was computed from
+ * @param workspaces the entries by workspace
+ * @param asks the sending times of the recent asks of this incarnation, by number
+ * @param lastAsk the number of the last ask
  */
 record LimitState(Instant ownsFrom, int divisor, long divisorOf, PMap<WorkspaceName, WorkspaceEntry> workspaces,
 		PMap<Long, Instant> asks, long lastAsk) {
@@ -44,9 +44,10 @@
 	}
 
 	/**
-	 * Takes the truth in force in: counts the data centres that tickets name.
-	 * @param view what the other parts know
-	 * @return the state
+	 * Updates the divisor from the desired state in effect, by counting the data centres
+	 * that tickets name.
+	 * @param view the view of the node's other parts
+	 * @return the updated state
 	 */
 	LimitState withCurrentDivisor(NodeView view) {
 		Optional<Truth> truth = view.truth();
@@ -61,11 +62,11 @@
 	}
 
 	/**
-	 * The entry of a workspace, brought up to date.
+	 * Returns the entry of a workspace, updated to the current time.
 	 * @param workspace the workspace
-	 * @param now the time
-	 * @param view what the other parts know
-	 * @return the entry
+	 * @param now the current time
+	 * @param view the view of the node's other parts
+	 * @return the entry, a new one if the workspace has none
 	 */
 	WorkspaceEntry entry(WorkspaceName workspace, Instant now, NodeView view) {
 		WorkspaceEntry entry = this.workspaces.get(workspace);
@@ -98,10 +99,10 @@
 	}
 
 	/**
-	 * The whole limits of a workspace.
+	 * Returns the full limits of a workspace.
 	 * @param workspace the workspace
-	 * @param view what the other parts know
-	 * @return the limits, nothing if no ticket names the workspace
+	 * @param view the view of the node's other parts
+	 * @return the limits, all zero if no ticket names the workspace
 	 */
 	static ShareAmounts limits(WorkspaceName workspace, NodeView view) {
 		return view.truth()
@@ -112,13 +113,13 @@
 	}
 
 	/**
-	 * One workspace.
+	 * The limits of one workspace on this node.
 	 *
-	 * @param account this node's part of the limits
-	 * @param meter what is used and asked for here
-	 * @param wants what other nodes want and did not get
-	 * @param nextAsk when to ask others again
-	 * @param turn where the coordinator goes on asking
+	 * @param account the node's share of the limits
+	 * @param meter the usage and demand on this node
+	 * @param wants the outstanding asks of other nodes
+	 * @param nextAsk when this node may ask others again
+	 * @param turn the index of the node that the coordinator asks next
 	 */
 	record WorkspaceEntry(ShareAccount account, UsageMeter meter, OutstandingAsks wants, Instant nextAsk, int turn) {
 
--- a/src/main/java/sycamorehill/logic/admission/LoanSet.java
+++ b/src/main/java/sycamorehill/logic/admission/LoanSet.java
@@ -8,11 +8,11 @@
 import sycamorehill.model.peer.ShareAmounts;
 
 /**
- * The loans between this node and one other of one workspace's limits, by end. A newer
- * loan does not end the older ones, since its message may be lost: both sides count the
- * greatest of those that have not ended.
+ * The loans of one workspace's limits between this node and one other, in one direction.
+ * A newer loan does not replace the older ones, because its message can be lost. Both
+ * sides count the largest amounts among the loans that have not expired.
  *
- * @param loans the loans, the first to end first
+ * @param loans the loans in the order in which they were added
  */
 record LoanSet(PVector<Loan> loans) {
 
@@ -21,11 +21,11 @@
 	}
 
 	/**
-	 * Adds a loan and drops those that say nothing any more.
-	 * @param amounts what is lent
-	 * @param end when it ends
-	 * @param now the time
-	 * @return the loans
+	 * Adds a loan and drops those that have expired or no longer matter.
+	 * @param amounts the lent amounts
+	 * @param end when the loan expires
+	 * @param now the current time
+	 * @return the updated loans
 	 */
 	LoanSet plus(ShareAmounts amounts, Instant end, Instant now) {
 		PVector<Loan> kept = TreePVector.empty();
@@ -39,9 +39,9 @@
 	}
 
 	/**
-	 * What is lent until an instant at the least.
+	 * Returns the amounts that remain lent until after an instant.
 	 * @param instant the instant
-	 * @return the greatest loan that has not ended at it
+	 * @return the largest amounts among the loans that expire after it
 	 */
 	ShareAmounts outstandingAt(Instant instant) {
 		ShareAmounts greatest = ShareAmounts.NONE;
@@ -54,9 +54,9 @@
 	}
 
 	/**
-	 * When what is lent changes next.
-	 * @param now the time
-	 * @return the first end after now, or the far future
+	 * Returns when the lent amounts next change.
+	 * @param now the current time
+	 * @return the first expiry after now, {@link Instant#MAX} if no loan is left
 	 */
 	Instant nextEnd(Instant now) {
 		Instant next = Instant.MAX;
@@ -71,8 +71,8 @@
 	/**
 	 * One loan.
 	 *
-	 * @param amounts what is lent
-	 * @param end when it ends, on this node's clock
+	 * @param amounts the lent amounts
+	 * @param end when it expires, on this node's clock
 	 */
 	record Loan(ShareAmounts amounts, Instant end) {
 	}
--- a/src/main/java/sycamorehill/logic/admission/OutstandingAsks.java
+++ b/src/main/java/sycamorehill/logic/admission/OutstandingAsks.java
@@ -10,7 +10,7 @@
 import sycamorehill.model.peer.ShareAsk;
 
 /**
- * What other nodes have asked this one for, as their coordinator.
+ * The asks of other nodes that this node, as their coordinator, tries to satisfy.
  *
  * @param asked the last ask of each node
  */
@@ -25,9 +25,9 @@
 	}
 
 	/**
-	 * Drops what was not asked for again.
-	 * @param now the time
-	 * @return the wants that still hold
+	 * Drops the asks that were not repeated in time.
+	 * @param now the current time
+	 * @return the asks that are still valid
 	 */
 	OutstandingAsks withoutExpired(Instant now) {
 		PMap<NodeIdentity, OutstandingAsk> kept = this.asked;
@@ -40,8 +40,8 @@
 	}
 
 	/**
-	 * The sum of the wants.
-	 * @param withOtherDataCentres whether those of other data centres count
+	 * Returns the sum of the asked amounts.
+	 * @param withOtherDataCentres whether to include the asks of other data centres
 	 * @return the sum
 	 */
 	ShareAmounts total(boolean withOtherDataCentres) {
@@ -59,13 +59,13 @@
 	}
 
 	/**
-	 * One want.
+	 * An ask of one node.
 	 *
-	 * @param amounts what is wanted
-	 * @param number of the ask, for later answers to it
-	 * @param scope where it came from
-	 * @param until when it is forgotten unless asked again
-	 * @param answersLeft how often it may still be answered later
+	 * @param amounts the asked amounts
+	 * @param number the number of the ask, which further loans refer to
+	 * @param scope where the ask came from
+	 * @param until when the ask expires unless it is repeated
+	 * @param answersLeft how many further loans may still be sent for it
 	 */
 	record OutstandingAsk(ShareAmounts amounts, long number, ShareAsk.Scope scope, Instant until, int answersLeft) {
 
--- a/src/main/java/sycamorehill/logic/admission/RequestCheck.java
+++ b/src/main/java/sycamorehill/logic/admission/RequestCheck.java
@@ -13,20 +13,20 @@
 import sycamorehill.model.ticket.WorkspaceItem;
 
 /**
- * What must hold of a request before limits and queues are asked.
+ * The result of the checks that a request must pass before limits and queues apply.
  *
- * @param refusal why it is refused, empty if it passes
- * @param workspace whose it is, present if it passes
- * @param handling how often it may be sent
+ * @param refusal why the request is refused, empty if it passes
+ * @param workspace the workspace that sent the request, present if it passes
+ * @param handling how often the request may be sent to targets
  */
 record RequestCheck(Optional<Refusal> refusal, Optional<WorkspaceItem> workspace, Handling handling) {
 
 	private static final Duration NOT_READY_RETRY_AFTER = Duration.ofSeconds(1);
 
 	/**
-	 * Checks a request against the state in force.
+	 * Checks a request against the desired state in effect.
 	 * @param request the request
-	 * @param view what the other parts know
+	 * @param view the view of the node's other parts
 	 * @return the result
 	 */
 	static RequestCheck of(RequestDescription request, NodeView view) {
--- a/src/main/java/sycamorehill/logic/admission/ServiceLoad.java
+++ b/src/main/java/sycamorehill/logic/admission/ServiceLoad.java
@@ -8,16 +8,17 @@
 /**
  * The load of one service on this node.
  *
- * @param queue requests that wait
- * @param limit most requests in flight
- * @param inFlight requests in flight
- * @param estimate time to the first token
- * @param rate smoothed finished requests a second
- * @param rateAt when the rate was brought up to date
+ * @param queue the waiting requests
+ * @param limit the limit of requests in flight
+ * @param inFlight the number of requests in flight
+ * @param estimate the estimated time to the first token
+ * @param rate the smoothed number of requests that finish per second
+ * @param rateAt when the rate was last updated
  */
 record ServiceLoad(FairQueue queue, ConcurrencyLimit limit, int inFlight, LatencyEstimate estimate, double rate,
 		Instant rateAt) {
 
+	/** Time constant of the smoothed rate. */
 	private static final double RATE_SMOOTHING_SECONDS = 2;
 
 	private static final double NANOSECONDS_PER_SECOND = 1e9;
@@ -47,9 +48,9 @@
 	}
 
 	/**
-	 * How long a number of requests ahead take, by the rate of late.
-	 * @param ahead requests ahead
-	 * @return the wait, zero while nothing was measured
+	 * Estimates how long a number of requests take at the recent rate.
+	 * @param ahead the number of requests ahead
+	 * @return the wait, zero if no request has finished yet
 	 */
 	Duration estimatedWait(double ahead) {
 		if (this.rate <= 0 || ahead <= 0) {
--- a/src/main/java/sycamorehill/logic/admission/ShareAccount.java
+++ b/src/main/java/sycamorehill/logic/admission/ShareAccount.java
@@ -10,27 +10,31 @@
 import sycamorehill.model.peer.ShareAmounts;
 
 /**
- * This node's part of one workspace's limits: what it owns by right, what others lend it
- * and what it lends.
+ * This node's share of one workspace's limits: what it owns, what it borrows from other
+ * nodes and what it lends to them.
  * <p>
- * Why the sum over all nodes never exceeds the limit: the parts owned by right add up to
- * the limit at most. A loan of an amount is entered by the lender before it is sent, with
- * an end on the lender's clock that counts from the sending; the borrower enters the same
- * amount with an end that counts from before its ask was sent, and that is earlier by
- * what the two clocks may drift apart. So at any instant, each loan that a borrower
- * counts is counted by its lender, whatever messages were lost, delayed or doubled. A
- * node lends only what it has until the loan's end ({@link #lend}), so what it lends
- * never exceeds what it owns and borrows, and what it uses is the difference. Summed over
- * the nodes, what is borrowed cancels out against what is lent. A node that dies uses
- * nothing, and its loans go back when the lender's entry ends. A node that restarts has
- * forgotten what it lent: it owns nothing until its longest loan must have ended
- * ({@link LimitState}).
+ * The sum of the usable shares of all nodes never exceeds the limit, for these reasons:
+ * <ul>
+ * <li>The owned shares add up to at most the limit.</li>
+ * <li>A lender records a loan before it sends it, with an expiry that counts from the
+ * sending. The borrower records the same amounts with an expiry that counts from before
+ * it sent its ask, reduced by the possible drift between the two clocks. So whenever a
+ * borrower counts a loan, its lender counts it too, even if messages are lost, delayed or
+ * duplicated.</li>
+ * <li>A node lends only what it has until the loan expires ({@link #lend}). So it never
+ * lends more than it owns and borrows, and it uses only the difference. Over all nodes,
+ * the borrowed and the lent amounts cancel out.</li>
+ * <li>A crashed node uses nothing, and its loans return when the lender's records
+ * expire.</li>
+ * <li>A restarted node does not know what it lent, so it owns nothing until its longest
+ * loan has expired ({@link LimitState}).</li>
+ * </ul>
  *
- * @param owned by right
- * @param borrowed by lender
- * @param lent by borrower
- * @param usable cached difference
- * @param usableUntil when the cached difference changes by itself
+ * @param owned the share that the node owns without a loan
+ * @param borrowed the loans from other nodes, by lender
+ * @param lent the loans to other nodes, by borrower
+ * @param usable the cached usable share
+ * @param usableUntil when the cached usable share changes because a loan expires
  */
 record ShareAccount(ShareAmounts owned, PMap<NodeIncarnation, LoanSet> borrowed, PMap<NodeIncarnation, LoanSet> lent,
 		ShareAmounts usable, Instant usableUntil) {
@@ -48,12 +52,12 @@
 	}
 
 	/**
-	 * Enters a loan from another node.
-	 * @param lender who lends
-	 * @param amounts what
-	 * @param end when it ends here, counted from before the ask was sent
-	 * @param now the time
-	 * @return the account
+	 * Records a loan from another node.
+	 * @param lender the node that lends
+	 * @param amounts the lent amounts
+	 * @param end when the loan expires here, counted from before the ask was sent
+	 * @param now the current time
+	 * @return the updated account
 	 */
 	ShareAccount borrow(NodeIncarnation lender, ShareAmounts amounts, Instant end, Instant now) {
 		if (!end.isAfter(now)) {
@@ -64,11 +68,12 @@
 	}
 
 	/**
-	 * What can be lent to a node until an instant, beside what the others have.
-	 * @param borrower the node
-	 * @param end when the loan would end
-	 * @param now the time
-	 * @return what may be lent at the most
+	 * Returns what can be lent to a node until an instant, besides what is lent to other
+	 * nodes.
+	 * @param borrower the node that borrows
+	 * @param end when the loan would expire
+	 * @param now the current time
+	 * @return the maximum amounts that may be lent
 	 */
 	ShareAmounts lendable(NodeIncarnation borrower, Instant end, Instant now) {
 		ShareAmounts others = total(this.lent.minus(borrower), now);
@@ -76,12 +81,12 @@
 	}
 
 	/**
-	 * Enters a loan to another node.
-	 * @param borrower who borrows
-	 * @param amounts what, at most {@link #lendable}
-	 * @param end when it ends, counted from now
-	 * @param now the time
-	 * @return the account
+	 * Records a loan to another node.
+	 * @param borrower the node that borrows
+	 * @param amounts the lent amounts, at most {@link #lendable}
+	 * @param end when the loan expires, counted from now
+	 * @param now the current time
+	 * @return the updated account
 	 */
 	ShareAccount lend(NodeIncarnation borrower, ShareAmounts amounts, Instant end, Instant now) {
 		LoanSet loans = this.lent.getOrDefault(borrower, LoanSet.none()).plus(amounts, end, now);
@@ -89,27 +94,27 @@
 	}
 
 	/**
-	 * What a node has of this one's.
-	 * @param borrower the node
-	 * @param now the time
-	 * @return what it may count on now
+	 * Returns what is currently lent to a node.
+	 * @param borrower the node that borrows
+	 * @param now the current time
+	 * @return the amounts that the node may count
 	 */
 	ShareAmounts lentTo(NodeIncarnation borrower, Instant now) {
 		return this.lent.getOrDefault(borrower, LoanSet.none()).outstandingAt(now);
 	}
 
 	/**
-	 * What this node may use.
-	 * @param now the time
-	 * @return what it owns and borrows without what it lends
+	 * Returns what this node may use.
+	 * @param now the current time
+	 * @return the owned and borrowed amounts minus the lent ones
 	 */
 	ShareAmounts usableAt(Instant now) {
 		return now.isBefore(this.usableUntil) ? this.usable : of(this.owned, this.borrowed, this.lent, now).usable;
 	}
 
 	/**
-	 * Whether there are loans in either direction.
-	 * @param now the time
+	 * Returns whether there are loans in either direction.
+	 * @param now the current time
 	 * @return whether the account must be kept
 	 */
 	boolean holdsLoans(Instant now) {
--- a/src/main/java/sycamorehill/logic/admission/ShareExchange.java
+++ b/src/main/java/sycamorehill/logic/admission/ShareExchange.java
@@ -23,33 +23,44 @@
 import sycamorehill.model.policy.AdmissionPolicy;
 
 /**
- * How shares follow demand. A node that wants more than it owns asks its data centre's
- * coordinator; that one asks its data centre's nodes and the other data centres'
- * coordinators, and passes on what they lend. Everything is asked for again and again
- * while it is wanted, and lapses otherwise.
+ * Moves shares of workspace limits to the nodes that need them. A node whose demand
+ * exceeds its owned share asks the coordinator of its data centre. The coordinator asks
+ * the nodes of its data centre and the coordinators of the other data centres, and lends
+ * on what they lend to it. Asks are repeated while the demand lasts; asks and loans that
+ * are not renewed expire.
  */
 final class ShareExchange {
 
-	/** What two monotonic clocks may drift apart, as a part of the lease. */
+	/**
+	 * The possible drift between two monotonic clocks during a lease is the lease divided
+	 * by this number.
+	 */
 	private static final long CLOCK_DRIFT_DIVISOR = 100;
 
 	/**
-	 * How often one ask is answered after the first answer. Without a bound, two nodes
-	 * that each take the other for the coordinator would answer every loan with a loan,
-	 * and fill the network with messages.
+	 * The maximum number of loans for one ask after the first one. Without a bound, two
+	 * nodes that each take the other for the coordinator would answer every loan with a
+	 * loan and flood the network.
 	 */
 	private static final int MAXIMUM_FURTHER_LOANS = 4;
 
+	/** Maximum number of asks whose sending times are kept. */
 	private static final int MAXIMUM_RECENT_ASKS = 64;
 
-	/** A loan from a node's own part; what it carries is lent on for less. */
+	/**
+	 * Fraction of the share lease for a loan that a node makes from its owned share. The
+	 * coordinators lend such amounts on for shorter times.
+	 */
 	private static final double TO_NODE_LEASE_FRACTION = 1.0;
 
 	private static final double TO_DATA_CENTRE_LEASE_FRACTION = 0.75;
 
 	private static final double TO_COORDINATOR_LEASE_FRACTION = 0.5;
 
-	/** How much more is asked for in all than is wanted: some have nothing to spare. */
+	/**
+	 * How many times the shortfall is asked for in total, since some nodes have nothing
+	 * to spare.
+	 */
 	private static final double OVER_ASK_FACTOR = 2;
 
 	private final NodeView view;
@@ -70,11 +81,11 @@
 	}
 
 	/**
-	 * Asks for what is missing, and forgets workspaces that are idle.
-	 * @param state the limits
-	 * @param now the time
-	 * @param view what the other parts know
-	 * @return the limits after it and the messages
+	 * Asks for the shortfall of every workspace and drops the workspaces that are idle.
+	 * @param state the state of the limits
+	 * @param now the current time
+	 * @param view the view of the node's other parts
+	 * @return the updated state and the messages to send
 	 */
 	static Step<LimitState> tick(LimitState state, Instant now, NodeView view) {
 		if (state.workspaces().isEmpty()) {
@@ -86,13 +97,13 @@
 	}
 
 	/**
-	 * Lends what can be spared.
-	 * @param state the limits
-	 * @param now the time
-	 * @param view what the other parts know
-	 * @param borrower who asks
-	 * @param ask what for
-	 * @return the limits after it and the answer
+	 * Lends what can be spared to a node that asks.
+	 * @param state the state of the limits
+	 * @param now the current time
+	 * @param view the view of the node's other parts
+	 * @param borrower the node that asks
+	 * @param ask the ask
+	 * @return the updated state and the messages to send
 	 */
 	static Step<LimitState> handleAsk(LimitState state, Instant now, NodeView view, NodeIdentity borrower,
 			ShareAsk ask) {
@@ -110,19 +121,21 @@
 	}
 
 	/**
-	 * Enters what another node lends and passes it on to those who wait for it.
-	 * @param state the limits
-	 * @param now the time
-	 * @param view what the other parts know
-	 * @param lender who lends
-	 * @param loan what
-	 * @return the limits after it and what is passed on
+	 * Records a loan from another node and lends it on to the nodes whose asks are
+	 * outstanding.
+	 * @param state the state of the limits
+	 * @param now the current time
+	 * @param view the view of the node's other parts
+	 * @param lender the node that lends
+	 * @param loan the loan
+	 * @return the updated state and the messages to send
 	 */
 	static Step<LimitState> handleLoan(LimitState state, Instant now, NodeView view, NodeIdentity lender,
 			ShareLoan loan) {
 		Instant askedAt = state.asks().get(loan.number());
-		// A loan for an ask of this node's earlier life would count from a later ask of
-		// the same number, and so longer than its lender counts it.
+		// Ask numbers restart with each incarnation. A loan for an ask of an earlier
+		// incarnation would count from a later ask with the same number, and so would
+		// expire here after its lender's record.
 		if (askedAt == null || !loan.borrower().equals(view.self().incarnation())) {
 			return Step.of(state);
 		}
@@ -139,12 +152,12 @@
 	}
 
 	/**
-	 * Asks at once for what a workspace misses, unless it was just asked for.
-	 * @param state the limits
-	 * @param now the time
-	 * @param view what the other parts know
+	 * Asks at once for the shortfall of a workspace, unless an ask for it was just sent.
+	 * @param state the state of the limits
+	 * @param now the current time
+	 * @param view the view of the node's other parts
 	 * @param workspace the workspace
-	 * @return the limits after it and the messages
+	 * @return the updated state and the messages to send
 	 */
 	static Step<LimitState> askForShortfall(LimitState state, Instant now, NodeView view, WorkspaceName workspace) {
 		ShareExchange exchange = new ShareExchange(state, now, view);
@@ -264,9 +277,9 @@
 			.lentTo(borrower.incarnation(), this.now)
 			.min(want.amounts())
 			.min(lendable);
-		// Requests that run on a borrowed part of the in-flight limit can't be called
-		// back: while their node asks for it, it keeps it, or more would run than the
-		// limit.
+		// Requests that run on a borrowed share of the in-flight limit can't be recalled.
+		// The borrower keeps that share while it repeats its ask, or more requests would
+		// run than the limit allows.
 		ShareAmounts loan = new ShareAmounts(amounts.requests(), amounts.tokens(),
 				Math.max(amounts.inFlight(), alreadyLent.inFlight()));
 		if (loan.negligible()) {
--- a/src/main/java/sycamorehill/logic/admission/TicketedDataCentres.java
+++ b/src/main/java/sycamorehill/logic/admission/TicketedDataCentres.java
@@ -12,8 +12,8 @@
 import sycamorehill.model.ticket.Truth;
 
 /**
- * The data centres that tickets name. All nodes with the same truth find the same, cut
- * off or not.
+ * Collects the data centres that tickets name. All nodes with the same desired state get
+ * the same result, even when partitioned.
  */
 final class TicketedDataCentres {
 
--- a/src/main/java/sycamorehill/logic/admission/UsageMeter.java
+++ b/src/main/java/sycamorehill/logic/admission/UsageMeter.java
@@ -6,22 +6,26 @@
 import sycamorehill.model.peer.ShareAmounts;
 
 /**
- * What a workspace uses and asks for on this node. The two rates are token buckets that
- * may go into debt by one request, so that a share below one request a second is of use.
+ * The usage of a workspace's limits and the demand for them on this node. Both rates are
+ * token buckets. The request bucket holds at least one request, and the token bucket may
+ * go into debt by one request, so that a share below one request per second is still
+ * usable.
  *
- * @param requestLevel requests that may be admitted now
- * @param tokenLevel tokens that may be admitted now
- * @param inFlight requests in flight
- * @param waiting requests that wait
- * @param offered smoothed requests a second that callers send
- * @param offeredTokens smoothed tokens a second of them
- * @param updatedAt when levels and smoothed values were brought up to date
+ * @param requestLevel the number of requests that may be admitted now
+ * @param tokenLevel the number of tokens that may be admitted now, negative when in debt
+ * @param inFlight the number of requests in flight
+ * @param waiting the number of waiting requests
+ * @param offered the smoothed number of requests that callers send per second
+ * @param offeredTokens the smoothed number of tokens of those requests per second
+ * @param updatedAt when the levels and the smoothed values were last updated
  */
 record UsageMeter(double requestLevel, double tokenLevel, int inFlight, int waiting, double offered,
 		double offeredTokens, Instant updatedAt) {
 
+	/** Time constant of the smoothed rates. */
 	private static final double RATE_SMOOTHING_SECONDS = 1.0;
 
+	/** A full bucket holds what the share allows in this time. */
 	private static final double BURST_SECONDS = 0.5;
 
 	private static final double HEADROOM_FACTOR = 1.25;
@@ -61,8 +65,8 @@
 	}
 
 	/**
-	 * Whether the next request fits the share.
-	 * @param share the share
+	 * Returns whether the next request fits into the share.
+	 * @param share the usable share
 	 * @return whether it may be admitted
 	 */
 	boolean admits(ShareAmounts share) {
@@ -76,9 +80,9 @@
 	}
 
 	/**
-	 * Ends a request and gives back what it did not use.
-	 * @param unusedTokens tokens that were admitted but not generated
-	 * @return the meter
+	 * Ends a request and returns the tokens that it did not use.
+	 * @param unusedTokens the tokens that were admitted but not generated
+	 * @return the updated meter
 	 */
 	UsageMeter finish(double unusedTokens) {
 		return new UsageMeter(this.requestLevel, this.tokenLevel + unusedTokens, this.inFlight - 1, this.waiting,
@@ -86,8 +90,8 @@
 	}
 
 	/**
-	 * What the node could use of the limits.
-	 * @return the present demand with some headroom
+	 * Returns what the node could use of the limits.
+	 * @return the current demand with some headroom
 	 */
 	ShareAmounts demand() {
 		double backlogTokens = (this.offered > 0) ? this.waiting * this.offeredTokens / this.offered : 0;
@@ -98,10 +102,9 @@
 	}
 
 	/**
-	 * Whether nothing is lost by forgetting the meter: a fresh one starts with full
-	 * levels, so a node that forgot sooner would admit a request more each time than its
-	 * share.
-	 * @return whether it equals a fresh one
+	 * Returns whether the meter can be dropped without loss. A new meter starts with full
+	 * levels, so dropping one earlier would admit more than the share each time.
+	 * @return whether the meter is equivalent to a new one
 	 */
 	boolean idle() {
 		return this.inFlight == 0 && this.waiting == 0 && this.offered < 0.01 && this.requestLevel >= 1
--- a/src/main/java/sycamorehill/logic/admission/WaitingRequest.java
+++ b/src/main/java/sycamorehill/logic/admission/WaitingRequest.java
@@ -10,30 +10,30 @@
  * A request that waits to be admitted.
  *
  * @param request the request
- * @param handling how often it may be sent
- * @param workspace whose it is
- * @param place its place among those of its workspace
- * @param arrivedAt when it came
- * @param leaveBy when it is refused at the latest if it still waits
+ * @param handling how often the request may be sent to targets
+ * @param workspace the workspace that sent it
+ * @param place its position among the requests of its workspace
+ * @param arrivedAt when it arrived
+ * @param leaveBy when it is refused if it is still waiting
  */
 record WaitingRequest(RequestDescription request, Handling handling, WorkspaceName workspace, QueuePosition place,
 		Instant arrivedAt, Instant leaveBy) {
 
 	/**
-	 * Its part of the work: prompt and answer in tokens.
-	 * @return at least 1
+	 * Returns the cost of the request: the tokens of its prompt and its answer.
+	 * @return the cost in tokens, at least 1
 	 */
 	double cost() {
 		return Math.max(1, this.request.promptTokens() + this.request.maximumTokens());
 	}
 
 	/**
-	 * The order within a workspace. A lower priority counts as having come later: it
-	 * waits behind higher ones, but never behind those that come much later, so it can't
-	 * starve.
+	 * The position of a request within its workspace. A request of lower priority counts
+	 * as having arrived later. It waits behind requests of higher priority, but not
+	 * behind those that arrive much later, so it can't starve.
 	 *
-	 * @param countsFrom when it counts as having come
-	 * @param number tells requests of the same instant apart
+	 * @param countsFrom when the request counts as having arrived
+	 * @param number the number that orders requests with the same time
 	 */
 	record QueuePosition(Instant countsFrom, long number) implements Comparable<QueuePosition> {
 
--- a/src/main/java/sycamorehill/logic/admission/package-info.java
+++ b/src/main/java/sycamorehill/logic/admission/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Limits, queues and early refusal.
+ * Admits requests: limits, queues and early refusal.
  */
 package sycamorehill.logic.admission;
--- a/src/main/java/sycamorehill/logic/routing/PredictedLatencyChooser.java
+++ b/src/main/java/sycamorehill/logic/routing/PredictedLatencyChooser.java
@@ -12,10 +12,12 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * Chooses the least predicted time to the first token among the targets that were last
- * sent the prompt's prefix, some of the own data centre and some of the others, drawn at
- * random. Comparing all targets would send every node to the same one until the next
- * report: the reports lag, and a target that looks idle draws all of them at once.
+ * Chooses the target with the lowest predicted time to the first token. The candidates
+ * are the targets that last received the prompt's prefix, and random samples of the local
+ * and of the remote targets.
+ * <p>
+ * Comparing all targets would send every node to the same one until the next report:
+ * reports lag, and a target that looks idle would attract all requests at once.
  */
 final class PredictedLatencyChooser implements TargetChooser {
 
@@ -88,11 +90,13 @@
 	}
 
 	/**
-	 * Time to the first token by the load alone, without the target's own ratio.
+	 * Predicts the time to the first token from the load alone, without the target's
+	 * measured ratio.
 	 * @param target the target
-	 * @param context what the choice rests on
-	 * @param countsCachedPrefix whether what it has cached counts
-	 * @return seconds
+	 * @param context the context of the choice
+	 * @param countsCachedPrefix whether the prefix that the target probably has cached
+	 * shortens the prefill
+	 * @return the prediction in seconds
 	 */
 	static double predictFirstToken(ServingTarget target, RouteContext context, boolean countsCachedPrefix) {
 		RoutingPolicy policy = context.policy();
--- a/src/main/java/sycamorehill/logic/routing/PrefixTargets.java
+++ b/src/main/java/sycamorehill/logic/routing/PrefixTargets.java
@@ -11,10 +11,11 @@
 import sycamorehill.model.identity.TargetName;
 
 /**
- * Where this node last sent each prompt prefix: those targets most likely have it cached.
+ * Remembers to which targets this node last sent each prompt prefix. Those targets most
+ * likely have the prefix in their cache.
  *
- * @param homes by prefix hash
- * @param oldest the same prefixes, the longest unused first
+ * @param homes the targets by prefix hash
+ * @param oldest the same prefixes, least recently used first
  */
 record PrefixTargets(PMap<Long, RecentTargets> homes, PSortedSet<LastUse> oldest) {
 
@@ -45,11 +46,11 @@
 	}
 
 	/**
-	 * How many prefixes of a prompt a target probably has.
-	 * @param prefixes the prompt's, shortest first
+	 * Estimates how much of a prompt a target has in its cache.
+	 * @param prefixes the hashes of the prompt's prefixes, shortest first
 	 * @param target the target
-	 * @param notBefore older sends do not count
-	 * @return the longest prefix sent to it, in blocks
+	 * @param notBefore prefixes last sent at or before this instant do not count
+	 * @return the length in blocks of the longest prefix that was sent to the target
 	 */
 	int cachedBlocks(List<Long> prefixes, TargetName target, Instant notBefore) {
 		for (int blocks = prefixes.size(); blocks > 0; blocks--) {
@@ -62,9 +63,9 @@
 	}
 
 	/**
-	 * The targets that the longest remembered prefix was sent to.
-	 * @param prefixes the prompt's, shortest first
-	 * @return up to two targets
+	 * Returns the targets that last received the longest remembered prefix of a prompt.
+	 * @param prefixes the hashes of the prompt's prefixes, shortest first
+	 * @return the last target and the one before it, empty if no prefix is remembered
 	 */
 	List<TargetName> targetsOf(List<Long> prefixes) {
 		for (int blocks = prefixes.size(); blocks > 0; blocks--) {
@@ -77,11 +78,11 @@
 	}
 
 	/**
-	 * The last two targets that a prefix was sent to.
+	 * The last two targets that received a prefix.
 	 *
-	 * @param last the last one
-	 * @param other the one before, or the same
-	 * @param at when
+	 * @param last the most recent target
+	 * @param other the target before it, or the same one if there was no other
+	 * @param at when the prefix was last sent
 	 */
 	record RecentTargets(TargetName last, TargetName other, Instant at) {
 
@@ -92,10 +93,10 @@
 	}
 
 	/**
-	 * When a prefix was used last.
+	 * The time when a prefix was last sent, for eviction in this order.
 	 *
-	 * @param at when
-	 * @param prefix its hash
+	 * @param at when the prefix was last sent
+	 * @param prefix the hash of the prefix
 	 */
 	record LastUse(Instant at, long prefix) implements Comparable<LastUse> {
 
--- a/src/main/java/sycamorehill/logic/routing/RouteContext.java
+++ b/src/main/java/sycamorehill/logic/routing/RouteContext.java
@@ -11,12 +11,12 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * What a choice rests on beside the targets themselves.
+ * The context of one choice: everything that a chooser reads besides the targets.
  *
- * @param request the request
- * @param state what this node has under way
- * @param view what the other parts know
- * @param now the time
+ * @param request the request to route
+ * @param state the routing state of this node
+ * @param view the view of the node's other parts
+ * @param now the current time
  */
 public record RouteContext(RequestDescription request, RoutingState state, NodeView view, Instant now) {
 
@@ -33,19 +33,20 @@
 	}
 
 	/**
-	 * Requests at a target now.
+	 * Estimates the number of requests at a target.
 	 * @param target the target
-	 * @return the estimate
+	 * @return the requests running or queued there
 	 */
 	int estimatedRequests(ServingTarget target) {
 		return this.state.load(target.name()).estimatedRequests(observation(target));
 	}
 
 	/**
-	 * A random number that only this request draws.
-	 * @param draw tells the draws of one request apart
-	 * @param bound the number of possible results
-	 * @return from 0 to bound - 1
+	 * Returns a pseudorandom number that depends only on the node's seed, the request and
+	 * the draw. The bits are mixed as in SplitMix64.
+	 * @param draw the number of the draw, which distinguishes the draws for one request
+	 * @param bound the exclusive upper bound
+	 * @return a number from 0 to {@code bound - 1}
 	 */
 	int random(int draw, int bound) {
 		long mixed = this.state.seed() + this.request.identifier().number() * 0x9E3779B97F4A7C15L
--- a/src/main/java/sycamorehill/logic/routing/RoutingReducer.java
+++ b/src/main/java/sycamorehill/logic/routing/RoutingReducer.java
@@ -14,8 +14,8 @@
 import sycamorehill.model.request.AttemptResult;
 
 /**
- * Keeps what the choice of a target rests on: own requests at each target, how well
- * predictions held and where prefixes were sent.
+ * Maintains the data for choosing targets: the node's open requests at each target, the
+ * accuracy of the predictions and the targets of recent prefixes.
  */
 public final class RoutingReducer implements Reducer<RoutingState> {
 
--- a/src/main/java/sycamorehill/logic/routing/RoutingState.java
+++ b/src/main/java/sycamorehill/logic/routing/RoutingState.java
@@ -9,18 +9,18 @@
 import sycamorehill.model.identity.TargetName;
 
 /**
- * State of the part: the choice of a target.
+ * The routing state of a node.
  *
- * @param seed feeds the random choices
- * @param loads own requests by target
- * @param attempts open attempts
- * @param homes where prefixes were sent
+ * @param seed the seed of the random choices
+ * @param loads the node's own load on each target
+ * @param attempts the open attempts
+ * @param homes the targets that received recent prefixes
  */
 public record RoutingState(long seed, PMap<TargetName, TargetLoad> loads, PMap<AttemptIdentifier, OpenAttempt> attempts,
 		PrefixTargets homes) {
 
 	/**
-	 * The state of a fresh node.
+	 * Returns the state of a node that has just started.
 	 * @return the state before the first event
 	 */
 	public static RoutingState initial() {
@@ -46,11 +46,11 @@
 	/**
 	 * An open attempt.
 	 *
-	 * @param target where it runs
+	 * @param target the target that it was sent to
 	 * @param at when it was sent
-	 * @param predicted seconds to the first token that were predicted without the
-	 * target's own ratio
-	 * @param begun whether its first token was seen
+	 * @param predicted the predicted seconds to the first token, without the target's
+	 * measured ratio
+	 * @param begun whether its first token has arrived
 	 */
 	record OpenAttempt(TargetName target, Instant at, double predicted, boolean begun) {
 	}
--- a/src/main/java/sycamorehill/logic/routing/TargetChooser.java
+++ b/src/main/java/sycamorehill/logic/routing/TargetChooser.java
@@ -7,21 +7,21 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * A way of choosing a target.
+ * A strategy for choosing the target of a request.
  */
 @FunctionalInterface
 public interface TargetChooser {
 
 	/**
-	 * Chooses.
-	 * @param targets those that may be given the request
-	 * @param context what the choice rests on
-	 * @return the target, empty if there is none
+	 * Chooses a target.
+	 * @param targets the targets that may receive the request
+	 * @param context the context of the choice
+	 * @return the target, empty if there are no targets
 	 */
 	Optional<ServingTarget> choose(List<ServingTarget> targets, RouteContext context);
 
 	/**
-	 * Any target.
+	 * Creates a chooser that picks any target at random.
 	 * @return the chooser
 	 */
 	static TargetChooser random() {
@@ -30,7 +30,8 @@
 	}
 
 	/**
-	 * The one with fewer requests of two drawn at random.
+	 * Creates a chooser that draws two targets at random and picks the one with fewer
+	 * requests.
 	 * @return the chooser
 	 */
 	static TargetChooser twoChoices() {
@@ -46,7 +47,8 @@
 	}
 
 	/**
-	 * The one with the fewest requests of this node's own.
+	 * Creates a chooser that picks the target with the fewest open requests of this node.
+	 * Ties are broken at random.
 	 * @return the chooser
 	 */
 	static TargetChooser leastOutstanding() {
@@ -60,7 +62,8 @@
 	}
 
 	/**
-	 * The one with the least predicted time to the first token.
+	 * Creates a chooser that picks the target with the lowest predicted time to the first
+	 * token.
 	 * @return the chooser
 	 */
 	static TargetChooser lowestPredictedLatency() {
--- a/src/main/java/sycamorehill/logic/routing/TargetLoad.java
+++ b/src/main/java/sycamorehill/logic/routing/TargetLoad.java
@@ -11,20 +11,23 @@
 import sycamorehill.model.group.VmSight;
 
 /**
- * What this node itself has under way at one target, for what reports do not show yet.
+ * The load that this node puts on one target. It covers what the target's last report
+ * does not include yet.
  *
- * @param open when each open attempt was sent, by its number
- * @param closed when attempts sent earlier ended, of late
- * @param ratio smoothed measured over predicted time to the first token
- * @param duration smoothed seconds from sending to end
- * @param places requests that it ran at once when others queued, 0 while that was not
- * seen
+ * @param open the sending times of the open attempts, by attempt number
+ * @param closed the most recently closed attempts
+ * @param ratio the smoothed ratio of the measured to the predicted time to the first
+ * token
+ * @param duration the smoothed duration of whole attempts in seconds
+ * @param places the number of requests that the target ran when others were queued, 0 if
+ * it was never seen full
  */
 record TargetLoad(TreePMap<Long, Instant> open, PVector<ClosedAttempt> closed, double ratio, double duration,
 		int places) {
 
 	private static final int MAXIMUM_CLOSED_ATTEMPTS = 64;
 
+	/** Weight of a new measurement in the smoothed values. */
 	private static final double SMOOTHING_GAIN = 0.2;
 
 	private static final double MINIMUM_RATIO = 0.25;
@@ -64,9 +67,10 @@
 	}
 
 	/**
-	 * Requests at the target now: the report's, and this node's own changes since.
-	 * @param observation the last observation of its head
-	 * @return the estimate
+	 * Estimates the requests at the target: those in its report, corrected by the
+	 * attempts that this node has opened and closed since.
+	 * @param observation the last observation of the target's head
+	 * @return the estimate, at least the node's own open attempts
 	 */
 	int estimatedRequests(Optional<VmSight> observation) {
 		if (observation.isEmpty()) {
@@ -79,9 +83,10 @@
 	}
 
 	/**
-	 * Seconds that a request waits for a place: those ahead end one after another.
-	 * @param observation the last observation of its head
-	 * @return the wait, 0 while the target is not known to be full
+	 * Estimates how long a new request waits for a place if the requests ahead of it
+	 * finish one after another.
+	 * @param observation the last observation of the target's head
+	 * @return the wait in seconds, 0 while the target is not known to be full
 	 */
 	double estimatedWait(Optional<VmSight> observation) {
 		int capacity = observation.filter((found) -> found.report().queued() > 0)
@@ -113,10 +118,10 @@
 	}
 
 	/**
-	 * An attempt that ended.
+	 * An attempt that was closed.
 	 *
 	 * @param sentAt when it was sent
-	 * @param endedAt when it ended
+	 * @param endedAt when it was closed
 	 */
 	record ClosedAttempt(Instant sentAt, Instant endedAt) {
 	}
--- a/src/main/java/sycamorehill/logic/routing/package-info.java
+++ b/src/main/java/sycamorehill/logic/routing/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The choice of a target.
+ * Chooses the target of a request.
  */
 package sycamorehill.logic.routing;
--- a/src/test/java/sycamorehill/logic/admission/AdmissionHarness.java
+++ b/src/test/java/sycamorehill/logic/admission/AdmissionHarness.java
@@ -28,7 +28,7 @@
 import sycamorehill.model.ticket.ServiceItem;
 
 /**
- * Feeds one node's admission and keeps what it decided.
+ * Feeds events to the admission of one node and records its decisions.
  */
 final class AdmissionHarness {
 
--- a/src/test/java/sycamorehill/logic/admission/AdmissionReducerTests.java
+++ b/src/test/java/sycamorehill/logic/admission/AdmissionReducerTests.java
@@ -51,8 +51,8 @@
 	}
 
 	/**
-	 * Callers of a small workspace wait behind hundreds of requests of a large one that
-	 * came first.
+	 * Guards against a small workspace whose requests wait behind hundreds of earlier
+	 * ones of a large workspace.
 	 */
 	@Test
 	void aSmallWorkspaceGetsItsFairShareBesideALargeOne() {
@@ -64,8 +64,8 @@
 	}
 
 	/**
-	 * A large workspace fills the queue; a small one's request comes when it is full and
-	 * would be turned away by the other's load.
+	 * Guards against refusing the request of a small workspace because a large one has
+	 * filled the queue.
 	 */
 	@Test
 	void aFullQueueRefusesTheLastRequestOfTheMostLoadedWorkspace() {
@@ -86,8 +86,8 @@
 	}
 
 	/**
-	 * Requests of high priority come without end, and one of low priority behind them is
-	 * never served.
+	 * Guards against a request of low priority that is never served because requests of
+	 * high priority keep arriving.
 	 */
 	@Test
 	void aLowPriorityRequestIsServedBeforeMuchLaterHighPriorityOnes() {
@@ -126,8 +126,9 @@
 	}
 
 	/**
-	 * The targets were slow for a moment. Every request since is refused because the
-	 * latency measured then is longer than its deadline, and nothing measures it again.
+	 * Guards against a service that refuses every request after the targets were slow for
+	 * a moment: the measured latency exceeds the deadlines, and nothing is sent that
+	 * would measure it again.
 	 */
 	@Test
 	void anIdleServiceAdmitsARequestDespiteEarlierHighLatency() {
--- a/src/test/java/sycamorehill/logic/admission/FakeNodeView.java
+++ b/src/test/java/sycamorehill/logic/admission/FakeNodeView.java
@@ -28,7 +28,7 @@
 import sycamorehill.model.ticket.Truth;
 
 /**
- * What the other parts know, set by hand.
+ * A view of the node's other parts whose contents the test sets.
  */
 public final class FakeNodeView implements NodeView {
 
--- a/src/test/java/sycamorehill/logic/admission/LimitSharingSimulation.java
+++ b/src/test/java/sycamorehill/logic/admission/LimitSharingSimulation.java
@@ -35,8 +35,8 @@
 import sycamorehill.support.EventSchedule;
 
 /**
- * Several nodes' admission over a network that loses, delays and doubles messages, each
- * node with a clock of its own.
+ * Simulates the admission of several nodes over a network that loses, delays and
+ * duplicates messages. Each node has a clock of its own.
  */
 final class LimitSharingSimulation {
 
@@ -111,7 +111,7 @@
 			this.schedule.next().orElseThrow().run();
 		}
 		if (this.schedule.now().isBefore(end)) {
-			throw new IllegalStateException("the schedule stood still");
+			throw new IllegalStateException("simulated time did not advance");
 		}
 	}
 
@@ -122,7 +122,8 @@
 	}
 
 	/**
-	 * What all nodes may use now, with what an idle node owns.
+	 * Returns the sum of what all nodes may use now. A node without an entry for the
+	 * workspace counts as zero.
 	 */
 	ShareAmounts usableByAll() {
 		ShareAmounts sum = ShareAmounts.NONE;
@@ -216,7 +217,8 @@
 	}
 
 	private void deliver(SimulatedNode from, NodeIdentity sender, NodeIdentity to, PeerMessage message) {
-		// A late message may reach a later life of the same node under the same address.
+		// A late message can reach a later incarnation of the same node at the same
+		// address.
 		for (SimulatedNode node : this.nodes) {
 			if (node.alive && node.name().equals(to.incarnation().node()) && !partitioned(from, node)) {
 				apply(node, new PeerEvent.MessageReceived(sender, message));
@@ -229,7 +231,7 @@
 	}
 
 	/**
-	 * One node: its clock starts anywhere and runs up to 0.4 in 100 too fast or too slow.
+	 * A node whose clock starts at a random time and runs up to 0.4 % fast or slow.
 	 */
 	private final class SimulatedNode {
 
--- a/src/test/java/sycamorehill/logic/admission/RequestFixtures.java
+++ b/src/test/java/sycamorehill/logic/admission/RequestFixtures.java
@@ -19,7 +19,7 @@
 import sycamorehill.model.ticket.WorkspaceItem;
 
 /**
- * Requests, services and workspaces that the tests share.
+ * Requests, services and workspaces that several tests use.
  */
 public final class RequestFixtures {
 
--- a/src/test/java/sycamorehill/logic/admission/WorkspaceLimitTests.java
+++ b/src/test/java/sycamorehill/logic/admission/WorkspaceLimitTests.java
@@ -12,7 +12,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The parts of a workspace's limits that all nodes may use never add up to more than the
+ * Checks that the usable shares of a workspace's limits never add up to more than the
  * limits.
  */
 class WorkspaceLimitTests {
@@ -26,11 +26,11 @@
 	private static final int NODES = 2 * DATA_CENTRES;
 
 	/**
-	 * A workspace gets more than its limit for a while, and the others less. Demand moves
-	 * between nodes while messages are lost, late by seconds and doubled, nodes die and
-	 * come back under the same name, and a data centre is cut off. A share that the
-	 * borrower counts longer than the lender, or that a restarted lender forgot, would
-	 * show as a sum above the limit.
+	 * Guards against a workspace that temporarily gets more than its limit. Demand moves
+	 * between nodes while messages are lost, delayed by seconds and duplicated, nodes
+	 * crash and restart under the same name, and a data centre is partitioned. The sum
+	 * exceeds the limit if a borrower counts a loan longer than its lender, or if a
+	 * restarted lender has forgotten one.
 	 */
 	@Property(tries = 150, seed = "20")
 	void theSumOfSharesNeverExceedsTheLimit(@ForAll long seed) {
@@ -76,8 +76,9 @@
 	}
 
 	/**
-	 * A data centre is cut off and its callers go on calling. What the others lent
-	 * lapses; what its nodes own stays, so they are served at that rate and not refused.
+	 * Guards against refusing all requests in a partitioned data centre. The loans from
+	 * the others expire, but its nodes keep their owned shares and serve requests at that
+	 * rate.
 	 */
 	@Test
 	void aPartitionedDataCentreKeepsItsOwnedShare() {
--- a/src/test/java/sycamorehill/logic/routing/TargetChooserTests.java
+++ b/src/test/java/sycamorehill/logic/routing/TargetChooserTests.java
@@ -61,8 +61,9 @@
 	}
 
 	/**
-	 * A report says that a target is idle, and this node sends it one request after the
-	 * other until the next report: they all wait there, beside idle targets.
+	 * Guards against sending one request after another to a target whose last report
+	 * shows it idle. The requests would all wait there until the next report, beside idle
+	 * targets.
 	 */
 	@Test
 	void ownRequestsSinceTheReportCount() {
@@ -110,8 +111,9 @@
 	}
 
 	/**
-	 * A target answers eight times slower than its siblings with the same load. Without
-	 * its own ratio it draws as many requests as they do.
+	 * Guards against a slow target that receives as many requests as the others. It
+	 * answers eight times slower than they do under the same load, which only its own
+	 * ratio shows.
 	 */
 	@Test
 	void aTargetSlowerThanPredictedIsAvoided() {
@@ -138,8 +140,8 @@
 	}
 
 	/**
-	 * All callers share one long prefix. If it drew every request, one target would take
-	 * the whole load.
+	 * Guards against one target taking the whole load when all callers share a long
+	 * prefix.
 	 */
 	@Test
 	void aCachedPrefixDoesNotAttractRequestsToAnOverloadedTarget() {
