--- a/src/main/java/sycamorehill/logic/admission/AdmissionReducer.java
+++ b/src/main/java/sycamorehill/logic/admission/AdmissionReducer.java
@@ -86,13 +86,13 @@
 	private static Step<AdmissionState> handleNodeEvent(AdmissionStep step, Instant now, NodeEvent event,
 			NodeView view) {
 		if (event instanceof NodeEvent.Started) {
-			step.setState(step.state().withLimits(step.state().limits().started(now, view)));
+			step.setState(step.state().withLimits(step.state().limits().withOwnershipDelayed(now, view)));
 		}
 		else if (event instanceof NodeEvent.StopRequested) {
 			step.setState(step.state().withStopFrom(now.plus(view.policy().request().stopGrace())));
 		}
 		else if (event instanceof NodeEvent.Ticked) {
-			step.applyLimits(ShareExchange.tick(step.state().limits().withCurrentDivisor(view), now, view));
+			step.applyLimits(ShareExchange.handleTick(step.state().limits().withCurrentDivisor(view), now, view));
 			step.handleTick();
 		}
 		return step.result();
--- a/src/main/java/sycamorehill/logic/admission/AdmissionState.java
+++ b/src/main/java/sycamorehill/logic/admission/AdmissionState.java
@@ -57,9 +57,10 @@
 				this.nextPlace + 1);
 	}
 
-	AdmissionState withoutWaiting(WaitingRequest gone) {
-		WaitDeadline deadline = new WaitDeadline(gone.leaveBy(), gone.place().number(), gone.request().identifier());
-		return new AdmissionState(this.services, this.waiting.minus(gone.request().identifier()),
+	AdmissionState withoutWaiting(WaitingRequest removed) {
+		WaitDeadline deadline = new WaitDeadline(removed.leaveBy(), removed.place().number(),
+				removed.request().identifier());
+		return new AdmissionState(this.services, this.waiting.minus(removed.request().identifier()),
 				this.departures.minus(deadline), this.flights, this.attempts, this.limits, this.stopFrom,
 				this.nextPlace);
 	}
--- a/src/main/java/sycamorehill/logic/admission/LimitState.java
+++ b/src/main/java/sycamorehill/logic/admission/LimitState.java
@@ -38,7 +38,7 @@
 		return new LimitState(Instant.MAX, 0, -1, HashTreePMap.empty(), HashTreePMap.empty(), 0);
 	}
 
-	LimitState started(Instant now, NodeView view) {
+	LimitState withOwnershipDelayed(Instant now, NodeView view) {
 		return new LimitState(now.plus(view.policy().admission().shareLease()), this.divisor, this.divisorOf,
 				this.workspaces, this.asks, this.lastAsk);
 	}
@@ -70,8 +70,8 @@
 	 */
 	WorkspaceEntry entry(WorkspaceName workspace, Instant now, NodeView view) {
 		WorkspaceEntry entry = this.workspaces.get(workspace);
-		WorkspaceEntry known = (entry != null) ? entry : WorkspaceEntry.fresh(now);
-		return known.updatedTo(now, owned(workspace, now, view));
+		WorkspaceEntry current = (entry != null) ? entry : WorkspaceEntry.fresh(now);
+		return current.updatedTo(now, owned(workspace, now, view));
 	}
 
 	LimitState with(WorkspaceName workspace, WorkspaceEntry entry) {
--- a/src/main/java/sycamorehill/logic/admission/LoanSet.java
+++ b/src/main/java/sycamorehill/logic/admission/LoanSet.java
@@ -28,14 +28,14 @@
 	 * @return the updated loans
 	 */
 	LoanSet plus(ShareAmounts amounts, Instant end, Instant now) {
-		PVector<Loan> kept = TreePVector.empty();
+		PVector<Loan> remaining = TreePVector.empty();
 		for (Loan loan : this.loans) {
 			boolean dominated = !loan.end().isAfter(end) && loan.amounts().max(amounts).equals(amounts);
 			if (loan.end().isAfter(now) && !dominated) {
-				kept = kept.plus(loan);
+				remaining = remaining.plus(loan);
 			}
 		}
-		return new LoanSet(kept.plus(new Loan(amounts, end)));
+		return new LoanSet(remaining.plus(new Loan(amounts, end)));
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/admission/OutstandingAsks.java
+++ b/src/main/java/sycamorehill/logic/admission/OutstandingAsks.java
@@ -30,13 +30,13 @@
 	 * @return the asks that are still valid
 	 */
 	OutstandingAsks withoutExpired(Instant now) {
-		PMap<NodeIdentity, OutstandingAsk> kept = this.asked;
+		PMap<NodeIdentity, OutstandingAsk> remaining = this.asked;
 		for (var entry : this.asked.entrySet()) {
 			if (!entry.getValue().until().isAfter(now)) {
-				kept = kept.minus(entry.getKey());
+				remaining = remaining.minus(entry.getKey());
 			}
 		}
-		return (kept != this.asked) ? new OutstandingAsks(kept) : this;
+		return (remaining != this.asked) ? new OutstandingAsks(remaining) : this;
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/admission/ShareExchange.java
+++ b/src/main/java/sycamorehill/logic/admission/ShareExchange.java
@@ -87,7 +87,7 @@
 	 * @param view the view of the node's other parts
 	 * @return the updated state and the messages to send
 	 */
-	static Step<LimitState> tick(LimitState state, Instant now, NodeView view) {
+	static Step<LimitState> handleTick(LimitState state, Instant now, NodeView view) {
 		if (state.workspaces().isEmpty()) {
 			return Step.of(state);
 		}
@@ -209,7 +209,7 @@
 		NodeIdentity coordinator = coordinators.coordinator(workspace, self.dataCentre()).orElse(self);
 		int turn = entry.turn();
 		if (!coordinator.incarnation().equals(self.incarnation())) {
-			add(asks, coordinator, ShareAsk.Scope.TO_COORDINATOR, workspace, shortfall(workspace, entry, true));
+			addAsk(asks, coordinator, ShareAsk.Scope.TO_COORDINATOR, workspace, shortfall(workspace, entry, true));
 		}
 		else {
 			turn = askAsCoordinator(workspace, entry, coordinators, asks);
@@ -223,7 +223,7 @@
 		List<NodeIdentity> remoteCoordinators = coordinators.inOtherDataCentres(workspace, self.dataCentre());
 		ShareAmounts localShortfall = shortfall(workspace, entry, false);
 		for (NodeIdentity remote : remoteCoordinators) {
-			add(asks, remote, ShareAsk.Scope.TO_DATA_CENTRE, workspace,
+			addAsk(asks, remote, ShareAsk.Scope.TO_DATA_CENTRE, workspace,
 					localShortfall.times(askFraction(remoteCoordinators.size())));
 		}
 		List<NodeIdentity> nodes = new ArrayList<>(coordinators.nodes(self.dataCentre()));
@@ -232,7 +232,7 @@
 		ShareAmounts shortfallPerNode = shortfall(workspace, entry, true).times(askFraction(asked));
 		for (int index = 0; index < asked; index++) {
 			NodeIdentity node = nodes.get((entry.turn() + index) % nodes.size());
-			add(asks, node, ShareAsk.Scope.TO_NODE, workspace, shortfallPerNode);
+			addAsk(asks, node, ShareAsk.Scope.TO_NODE, workspace, shortfallPerNode);
 		}
 		return nodes.isEmpty() ? 0 : (entry.turn() + asked) % nodes.size();
 	}
@@ -241,7 +241,7 @@
 		return Math.min(1, OVER_ASK_FACTOR / Math.max(1, asked));
 	}
 
-	private static void add(Map<Recipient, List<WorkspaceShare>> asks, NodeIdentity to, ShareAsk.Scope scope,
+	private static void addAsk(Map<Recipient, List<WorkspaceShare>> asks, NodeIdentity to, ShareAsk.Scope scope,
 			WorkspaceName workspace, ShareAmounts amounts) {
 		if (!amounts.negligible()) {
 			asks.computeIfAbsent(new Recipient(to, scope), (recipient) -> new ArrayList<>())
--- a/src/main/java/sycamorehill/logic/admission/TicketedDataCentres.java
+++ b/src/main/java/sycamorehill/logic/admission/TicketedDataCentres.java
@@ -21,24 +21,24 @@
 	}
 
 	static PMap<DataCentreName, Boolean> of(Truth truth) {
-		PMap<DataCentreName, Boolean> named = TreePMap.empty();
+		PMap<DataCentreName, Boolean> dataCentres = TreePMap.empty();
 		for (ItemInForce found : truth.items().values()) {
-			named = named.plusAll(of(found.item()));
+			dataCentres = dataCentres.plusAll(of(found.item()));
 		}
-		return named;
+		return dataCentres;
 	}
 
 	private static PMap<DataCentreName, Boolean> of(Item item) {
-		PMap<DataCentreName, Boolean> named = TreePMap.empty();
+		PMap<DataCentreName, Boolean> dataCentres = TreePMap.empty();
 		if (item instanceof ModelGroupItem group) {
-			named = named.plus(group.dataCentre(), true);
+			dataCentres = dataCentres.plus(group.dataCentre(), true);
 		}
 		else if (item instanceof ServiceItem service) {
 			for (PlainTarget target : service.plainTargets()) {
-				named = named.plus(target.dataCentre(), true);
+				dataCentres = dataCentres.plus(target.dataCentre(), true);
 			}
 		}
-		return named;
+		return dataCentres;
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/routing/PredictedLatencyChooser.java
+++ b/src/main/java/sycamorehill/logic/routing/PredictedLatencyChooser.java
@@ -81,7 +81,7 @@
 
 	private static double score(ServingTarget target, RouteContext context, double meanRequests) {
 		RoutingPolicy policy = context.policy();
-		TargetLoad load = context.state().load(target.name());
+		TargetLoad load = context.state().loadOf(target.name());
 		boolean countsCachedPrefix = context.estimatedRequests(target) <= policy.affinityLoadBound() * meanRequests + 1;
 		double link = target.dataCentre().equals(context.dataCentre()) ? 0
 				: policy.linkCost().toNanos() / NANOSECONDS_PER_SECOND;
--- a/src/main/java/sycamorehill/logic/routing/RouteContext.java
+++ b/src/main/java/sycamorehill/logic/routing/RouteContext.java
@@ -38,7 +38,7 @@
 	 * @return the requests running or queued there
 	 */
 	int estimatedRequests(ServingTarget target) {
-		return this.state.load(target.name()).estimatedRequests(observation(target));
+		return this.state.loadOf(target.name()).estimatedRequests(observation(target));
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/routing/RoutingReducer.java
+++ b/src/main/java/sycamorehill/logic/routing/RoutingReducer.java
@@ -54,7 +54,7 @@
 		RouteContext context = new RouteContext(event.request(), state, view, now);
 		double predicted = PredictedLatencyChooser.predictFirstToken(event.target(), context, true);
 		OpenAttempt attempt = new OpenAttempt(event.target().name(), now, predicted, false);
-		TargetLoad load = state.load(event.target().name())
+		TargetLoad load = state.loadOf(event.target().name())
 			.withSent(event.attempt().number(), now, context.observation(event.target()));
 		PrefixTargets homes = state.homes()
 			.withSent(event.request().prefixHashes(), event.target().name(), now,
@@ -69,7 +69,7 @@
 		if (attempt == null || attempt.begun()) {
 			return state;
 		}
-		TargetLoad load = state.load(attempt.target())
+		TargetLoad load = state.loadOf(attempt.target())
 			.withMeasured(attempt.predicted(), secondsSinceSent(attempt, now));
 		OpenAttempt begun = new OpenAttempt(attempt.target(), attempt.at(), attempt.predicted(), true);
 		return state.withLoad(attempt.target(), load).withAttempts(state.attempts().plus(identifier, begun));
@@ -81,7 +81,7 @@
 			return state;
 		}
 		boolean whole = event.result() instanceof AttemptResult.Whole;
-		TargetLoad load = state.load(attempt.target())
+		TargetLoad load = state.loadOf(attempt.target())
 			.withEnded(event.attempt().number(), whole ? secondsSinceSent(attempt, now) : 0, now);
 		return state.withLoad(attempt.target(), load).withAttempts(state.attempts().minus(event.attempt()));
 	}
--- a/src/main/java/sycamorehill/logic/routing/RoutingState.java
+++ b/src/main/java/sycamorehill/logic/routing/RoutingState.java
@@ -27,7 +27,7 @@
 		return new RoutingState(0, HashTreePMap.empty(), HashTreePMap.empty(), PrefixTargets.none());
 	}
 
-	TargetLoad load(TargetName target) {
+	TargetLoad loadOf(TargetName target) {
 		return this.loads.getOrDefault(target, TargetLoad.none());
 	}
 
--- a/src/main/java/sycamorehill/logic/routing/TargetChooser.java
+++ b/src/main/java/sycamorehill/logic/routing/TargetChooser.java
@@ -56,7 +56,7 @@
 			int offset = targets.isEmpty() ? 0 : context.random(0, targets.size());
 			return targets.stream()
 				.min(Comparator
-					.comparingInt((ServingTarget target) -> context.state().load(target.name()).outstanding())
+					.comparingInt((ServingTarget target) -> context.state().loadOf(target.name()).outstanding())
 					.thenComparingInt((target) -> Math.floorMod(targets.indexOf(target) - offset, targets.size())));
 		};
 	}
--- a/src/test/java/sycamorehill/logic/admission/WorkspaceLimitTests.java
+++ b/src/test/java/sycamorehill/logic/admission/WorkspaceLimitTests.java
@@ -70,7 +70,7 @@
 	void aBusyNodeGetsMostOfTheLimitWhileTheOthersAreIdle() {
 		LimitSharingSimulation simulation = LimitSharingSimulation.create(DATA_CENTRES, 2, 1);
 		simulation.run(Duration.ofSeconds(3));
-		drive(simulation, 0, 60, Duration.ofSeconds(4));
+		sendRequests(simulation, 0, 60, Duration.ofSeconds(4));
 		assertThat(simulation.usable(0).requests())
 			.isGreaterThan(0.8 * LimitSharingSimulation.WORKSPACE.requestsPerSecond());
 	}
@@ -84,9 +84,9 @@
 	void aPartitionedDataCentreKeepsItsOwnedShare() {
 		LimitSharingSimulation simulation = LimitSharingSimulation.create(DATA_CENTRES, 2, 1);
 		simulation.run(Duration.ofSeconds(3));
-		drive(simulation, 0, 60, Duration.ofSeconds(3));
+		sendRequests(simulation, 0, 60, Duration.ofSeconds(3));
 		simulation.partition(0);
-		drive(simulation, 0, 60, Duration.ofSeconds(4));
+		sendRequests(simulation, 0, 60, Duration.ofSeconds(4));
 		assertThat(simulation.usable(0).requests()).isBetween(
 				0.9 * LimitSharingSimulation.WORKSPACE.requestsPerSecond() / DATA_CENTRES,
 				LimitSharingSimulation.WORKSPACE.requestsPerSecond() / DATA_CENTRES + ROUNDING);
@@ -100,7 +100,7 @@
 		assertThat(simulation.usable(0)).isEqualTo(ShareAmounts.NONE);
 	}
 
-	private static void drive(LimitSharingSimulation simulation, int node, int perSecond, Duration time) {
+	private static void sendRequests(LimitSharingSimulation simulation, int node, int perSecond, Duration time) {
 		long steps = time.dividedBy(STEP);
 		double due = 0;
 		for (long step = 0; step < steps; step++) {
