--- a/src/main/java/sycamorehill/logic/order/HeldOrder.java
+++ b/src/main/java/sycamorehill/logic/order/ActiveOrder.java
@@ -23,36 +23,36 @@
  * @param keptHere whether this node commits the claim itself because the keeper can't be
  * reached
  */
-record HeldOrder(OrderKey key, String mark, Optional<RequestDescription> request, Phase phase, Instant startedAt,
+record ActiveOrder(OrderKey key, String mark, Optional<RequestDescription> request, Phase phase, Instant startedAt,
 		int sends, Optional<Instant> dueAt, OrderStatus status, Optional<RecordedAnswer> answer, boolean keptHere) {
 
-	static HeldOrder waiting(RequestDescription request, Instant now) {
-		return new HeldOrder(request.orderKey().orElseThrow(), request.identifier().toString(), Optional.of(request),
+	static ActiveOrder awaitingClaim(RequestDescription request, Instant now) {
+		return new ActiveOrder(request.orderKey().orElseThrow(), request.identifier().toString(), Optional.of(request),
 				Phase.WAITING, now, 0, Optional.of(now), OrderStatus.CLAIMED, Optional.empty(), false);
 	}
 
-	static HeldOrder grantedTooLate(OrderKey key, String mark, Instant now) {
-		return new HeldOrder(key, mark, Optional.empty(), Phase.SETTLING, now, 0, Optional.of(now),
+	static ActiveOrder releasingLateGrant(OrderKey key, String mark, Instant now) {
+		return new ActiveOrder(key, mark, Optional.empty(), Phase.SETTLING, now, 0, Optional.of(now),
 				OrderStatus.RELEASED, Optional.empty(), false);
 	}
 
-	HeldOrder running() {
-		return new HeldOrder(this.key, this.mark, this.request, Phase.RUNNING, this.startedAt, 0, Optional.empty(),
+	ActiveOrder running() {
+		return new ActiveOrder(this.key, this.mark, this.request, Phase.RUNNING, this.startedAt, 0, Optional.empty(),
 				OrderStatus.CLAIMED, Optional.empty(), this.keptHere);
 	}
 
-	HeldOrder settling(OrderStatus ended, Optional<RecordedAnswer> recorded, Instant now) {
-		return new HeldOrder(this.key, this.mark, this.request, Phase.SETTLING, now, 0, Optional.of(now), ended,
+	ActiveOrder settling(OrderStatus outcome, Optional<RecordedAnswer> recorded, Instant now) {
+		return new ActiveOrder(this.key, this.mark, this.request, Phase.SETTLING, now, 0, Optional.of(now), outcome,
 				recorded, this.keptHere);
 	}
 
-	HeldOrder sent(Instant again) {
-		return new HeldOrder(this.key, this.mark, this.request, this.phase, this.startedAt, this.sends + 1,
-				Optional.of(again), this.status, this.answer, this.keptHere);
+	ActiveOrder withMessageSent(Instant nextSendAt) {
+		return new ActiveOrder(this.key, this.mark, this.request, this.phase, this.startedAt, this.sends + 1,
+				Optional.of(nextSendAt), this.status, this.answer, this.keptHere);
 	}
 
-	HeldOrder keptHere(Instant now) {
-		return new HeldOrder(this.key, this.mark, this.request, this.phase, this.startedAt, this.sends,
+	ActiveOrder withCommitHere(Instant now) {
+		return new ActiveOrder(this.key, this.mark, this.request, this.phase, this.startedAt, this.sends,
 				Optional.of(now), this.status, this.answer, true);
 	}
 
--- a/src/main/java/sycamorehill/logic/order/ClaimRules.java
+++ b/src/main/java/sycamorehill/logic/order/ClaimRules.java
@@ -44,47 +44,48 @@
 	 */
 	Decision decide(OrderClaim existing, ShardOperation operation) {
 		if (operation instanceof ShardOperation.Claim claim) {
-			return claim(existing, claim);
+			return decideClaim(existing, claim);
 		}
-		return settle(existing, (ShardOperation.Settle) operation);
+		return decideSettlement(existing, (ShardOperation.Settle) operation);
 	}
 
-	private Decision claim(OrderClaim existing, ShardOperation.Claim operation) {
+	private Decision decideClaim(OrderClaim existing, ShardOperation.Claim operation) {
 		boolean own = existing != null && existing.mark().equals(operation.mark());
 		if (existing == null || existing.status() == OrderStatus.RELEASED) {
 			// The mark was released because its caller heard "not run": to grant it now
 			// would leave a claim that nobody runs and nobody settles.
-			return own ? verdict(operation, OrderVerdict.NOT_TAKEN, Optional.empty()) : grant(operation);
+			return own ? replyOnly(operation, OrderVerdict.NOT_TAKEN, Optional.empty()) : grant(operation);
 		}
 		if (!existing.fingerprint().equals(operation.fingerprint())) {
-			return verdict(operation, OrderVerdict.KEY_REUSED, Optional.empty());
+			return replyOnly(operation, OrderVerdict.KEY_REUSED, Optional.empty());
 		}
 		return switch (existing.status()) {
-			case RECORDED -> verdict(operation, OrderVerdict.RECORDED, existing.answer());
-			case UNKNOWN -> verdict(operation, OrderVerdict.UNKNOWN, Optional.empty());
-			default -> own ? verdict(operation, OrderVerdict.GRANTED, Optional.empty()) : held(existing, operation);
+			case RECORDED -> replyOnly(operation, OrderVerdict.RECORDED, existing.answer());
+			case UNKNOWN -> replyOnly(operation, OrderVerdict.UNKNOWN, Optional.empty());
+			default ->
+				own ? replyOnly(operation, OrderVerdict.GRANTED, Optional.empty()) : decideHeld(existing, operation);
 		};
 	}
 
 	private Decision grant(ShardOperation.Claim operation) {
 		OrderClaim claim = new OrderClaim(operation.key(), operation.fingerprint(), operation.requester().incarnation(),
 				operation.mark(), OrderStatus.CLAIMED, Optional.empty(), this.wallClock);
-		return Decision.of(Optional.of(claim), reply(operation, OrderVerdict.GRANTED, Optional.empty()));
+		return Decision.of(Optional.of(claim), claimReply(operation, OrderVerdict.GRANTED, Optional.empty()));
 	}
 
 	// The holder may have sent the order just before it died, so it is never given to
 	// another: that would run it twice. A live holder is reminded of its claim: if the
 	// grant was lost after its caller had heard "not run", it does not know of the claim,
 	// and every later call would hear "still running" for ever; now it releases it.
-	private Decision held(OrderClaim existing, ShardOperation.Claim operation) {
-		Optional<NodeIdentity> holder = alive(existing.holder());
+	private Decision decideHeld(OrderClaim existing, ShardOperation.Claim operation) {
+		Optional<NodeIdentity> holder = liveNode(existing.holder());
 		OrderVerdict verdict = holder.isPresent() ? OrderVerdict.RUNNING : OrderVerdict.UNKNOWN;
 		Optional<ShardBatch.Reply> reminder = holder.map((node) -> new ShardBatch.Reply(node,
 				new OrderClaimReply(existing.key(), existing.mark(), OrderVerdict.GRANTED, Optional.empty())));
-		return new Decision(Optional.empty(), reply(operation, verdict, Optional.empty()), reminder);
+		return new Decision(Optional.empty(), claimReply(operation, verdict, Optional.empty()), reminder);
 	}
 
-	private Optional<NodeIdentity> alive(NodeIncarnation holder) {
+	private Optional<NodeIdentity> liveNode(NodeIncarnation holder) {
 		if (holder.equals(this.view.self().incarnation())) {
 			return Optional.of(this.view.self());
 		}
@@ -93,7 +94,7 @@
 			.filter((node) -> node.incarnation().equals(holder));
 	}
 
-	private Decision settle(OrderClaim existing, ShardOperation.Settle operation) {
+	private Decision decideSettlement(OrderClaim existing, ShardOperation.Settle operation) {
 		PeerMessage done = new OrderSettlementReply(operation.key(), operation.mark());
 		if (existing != null && existing.mark().equals(operation.mark())) {
 			// Only the incarnation that holds the claim knows what came of it. A
@@ -125,11 +126,11 @@
 				operation.mark(), OrderStatus.RELEASED, Optional.empty(), this.wallClock);
 	}
 
-	private static Decision verdict(ShardOperation operation, OrderVerdict verdict, Optional<RecordedAnswer> answer) {
-		return Decision.of(Optional.empty(), reply(operation, verdict, answer));
+	private static Decision replyOnly(ShardOperation operation, OrderVerdict verdict, Optional<RecordedAnswer> answer) {
+		return Decision.of(Optional.empty(), claimReply(operation, verdict, answer));
 	}
 
-	static PeerMessage reply(ShardOperation operation, OrderVerdict verdict, Optional<RecordedAnswer> answer) {
+	static PeerMessage claimReply(ShardOperation operation, OrderVerdict verdict, Optional<RecordedAnswer> answer) {
 		OrderKey key = operation.key();
 		return new OrderClaimReply(key, operation.mark(), verdict, answer);
 	}
--- a/src/main/java/sycamorehill/logic/order/IssuedClaims.java
+++ b/src/main/java/sycamorehill/logic/order/IssuedClaims.java
@@ -20,53 +20,54 @@
  */
 final class IssuedClaims {
 
-	private static final Duration ROUNDING = Duration.ofSeconds(2);
+	private static final Duration EXPIRY_MARGIN = Duration.ofSeconds(2);
 
 	private IssuedClaims() {
 	}
 
-	static void take(OrderStep step, ShardOperation operation) {
+	static void handleOperation(OrderStep step, ShardOperation operation) {
 		OrderKey key = operation.key();
 		OrderClaim existing = step.state().issued().get(key);
 		Duration lifetime = step.policy().issuedLifetime();
-		boolean mayBeForgotten = existing == null && OrderNumbers.age(key, step.now()).compareTo(lifetime) > 0;
-		if (mayBeForgotten || !OrderNumbers.issuedBy(key, step.view().self().incarnation())) {
+		boolean mayHaveExpired = existing == null && OrderNumbers.age(key, step.now()).compareTo(lifetime) > 0;
+		if (mayHaveExpired || !OrderNumbers.issuedBy(key, step.view().self().incarnation())) {
 			refuse(step, operation);
 			return;
 		}
 		ClaimRules.Decision decision = step.rules().decide(existing, operation);
 		if (decision.change().isPresent() && existing == null
 				&& step.state().issued().size() >= step.policy().mostClaims()) {
-			step.send(operation.requester(), ClaimRules.reply(operation, OrderVerdict.NOT_TAKEN, Optional.empty()));
+			step.send(operation.requester(),
+					ClaimRules.claimReply(operation, OrderVerdict.NOT_TAKEN, Optional.empty()));
 			return;
 		}
-		decision.change().ifPresent((claim) -> put(step, claim, existing == null));
+		decision.change().ifPresent((claim) -> storeClaim(step, claim, existing == null));
 		step.send(operation.requester(), decision.reply());
 		decision.reminder().ifPresent((reminder) -> step.send(reminder.to(), reminder.message()));
 	}
 
-	static void forgetFirst(OrderStep step) {
-		TreePSet<Due<OrderKey>> byExpiry = step.state().issuedByExpiry();
-		Due<OrderKey> first = byExpiry.first();
-		step.replace(step.state().withIssued(step.state().issued().minus(first.what()), byExpiry.minus(first)));
+	static void removeFirstExpired(OrderStep step) {
+		TreePSet<DueEntry<OrderKey>> byExpiry = step.state().issuedByExpiry();
+		DueEntry<OrderKey> first = byExpiry.first();
+		step.replaceState(step.state().withIssued(step.state().issued().minus(first.what()), byExpiry.minus(first)));
 	}
 
 	private static void refuse(OrderStep step, ShardOperation operation) {
 		step.send(operation.requester(),
 				(operation instanceof ShardOperation.Settle)
 						? new OrderSettlementReply(operation.key(), operation.mark())
-						: ClaimRules.reply(operation, OrderVerdict.UNKNOWN, Optional.empty()));
+						: ClaimRules.claimReply(operation, OrderVerdict.UNKNOWN, Optional.empty()));
 	}
 
-	private static void put(OrderStep step, OrderClaim claim, boolean isNew) {
+	private static void storeClaim(OrderStep step, OrderClaim claim, boolean isNew) {
 		PMap<OrderKey, OrderClaim> claims = step.state().issued().plus(claim.key(), claim);
-		TreePSet<Due<OrderKey>> byExpiry = step.state().issuedByExpiry();
+		TreePSet<DueEntry<OrderKey>> byExpiry = step.state().issuedByExpiry();
 		if (isNew) {
-			Duration left = step.policy().issuedLifetime().minus(OrderNumbers.age(claim.key(), step.now()));
-			Instant expiry = step.now().plus(left).plus(ROUNDING);
-			byExpiry = byExpiry.plus(new Due<>(expiry, claim.key()));
+			Duration remaining = step.policy().issuedLifetime().minus(OrderNumbers.age(claim.key(), step.now()));
+			Instant expiry = step.now().plus(remaining).plus(EXPIRY_MARGIN);
+			byExpiry = byExpiry.plus(new DueEntry<>(expiry, claim.key()));
 		}
-		step.replace(step.state().withIssued(claims, byExpiry));
+		step.replaceState(step.state().withIssued(claims, byExpiry));
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/order/OrderOutcomes.java
+++ b/src/main/java/sycamorehill/logic/order/OrderOutcomes.java
@@ -18,7 +18,7 @@
  */
 final class OrderOutcomes {
 
-	private static final Duration COME_BACK = Duration.ofSeconds(1);
+	private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
 	private OrderOutcomes() {
 	}
@@ -27,23 +27,23 @@
 		return notRun(RefusalReason.ORDER_STORE_UNAVAILABLE, "the idempotency key could not be claimed in time");
 	}
 
-	static RequestOutcome tooMany() {
+	static RequestOutcome tooManyOrders() {
 		return notRun(RefusalReason.OVERLOADED, "too many orders are under way at this node");
 	}
 
-	static RequestOutcome issuerGone() {
+	static RequestOutcome issuerUnreachable() {
 		return new RequestOutcome.Unknown(Refusal.of(RefusalReason.TARGET_LOST,
 				"the node that issued this order number can't be reached, and only it knows whether the order ran"));
 	}
 
-	static RequestOutcome duplicate(RequestDescription request, HeldOrder earlier) {
+	static RequestOutcome ofDuplicate(RequestDescription request, ActiveOrder earlier) {
 		boolean sameContent = earlier.request()
-			.map((first) -> first.fingerprint().equals(request.fingerprint()))
+			.map((original) -> original.fingerprint().equals(request.fingerprint()))
 			.orElse(true);
 		if (!sameContent) {
 			return keyReused();
 		}
-		if (earlier.phase() != HeldOrder.Phase.SETTLING) {
+		if (earlier.phase() != ActiveOrder.Phase.SETTLING) {
 			return stillRunning();
 		}
 		return switch (earlier.status()) {
@@ -53,7 +53,7 @@
 		};
 	}
 
-	static RequestOutcome of(OrderClaimReply reply) {
+	static RequestOutcome ofReply(OrderClaimReply reply) {
 		return switch (reply.verdict()) {
 			case RECORDED -> replayed(reply.answer());
 			case KEY_REUSED -> keyReused();
@@ -62,7 +62,7 @@
 		};
 	}
 
-	static OrderStatus status(RequestOutcome outcome) {
+	static OrderStatus statusOf(RequestOutcome outcome) {
 		if (outcome instanceof RequestOutcome.NotRun) {
 			return OrderStatus.RELEASED;
 		}
@@ -76,7 +76,7 @@
 
 	private static RequestOutcome stillRunning() {
 		return new RequestOutcome.Unknown(Refusal.of(RefusalReason.STILL_RUNNING,
-				"an earlier call with the same idempotency key has not ended", COME_BACK));
+				"an earlier call with the same idempotency key has not ended", RETRY_AFTER));
 	}
 
 	private static RequestOutcome unknown() {
@@ -91,7 +91,7 @@
 	}
 
 	private static RequestOutcome notRun(RefusalReason reason, String detail) {
-		return new RequestOutcome.NotRun(Refusal.of(reason, detail, COME_BACK));
+		return new RequestOutcome.NotRun(Refusal.of(reason, detail, RETRY_AFTER));
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/order/OrderReducer.java
+++ b/src/main/java/sycamorehill/logic/order/OrderReducer.java
@@ -42,73 +42,73 @@
 	@Override
 	public Step<OrderState> reduce(OrderState state, Instant now, Event event, NodeView view) {
 		OrderStep step = new OrderStep(state, now, view);
-		take(step, event);
-		takeMessagesToSelf(step);
-		wake(step);
+		handleEvent(step, event);
+		handleMessagesToSelf(step);
+		handleDueEntries(step);
 		return step.result();
 	}
 
-	private static void take(OrderStep step, Event event) {
+	private static void handleEvent(OrderStep step, Event event) {
 		if (event instanceof RequestEvent.Admitted admitted) {
-			OrderHolder.admitted(step, admitted);
+			ClaimHolder.handleAdmitted(step, admitted);
 		}
 		else if (event instanceof RequestEvent.Finished finished) {
-			OrderHolder.finished(step, finished);
+			ClaimHolder.handleFinished(step, finished);
 		}
 		else if (event instanceof PeerEvent.MessageReceived received) {
-			message(step, received.from(), received.message());
+			handleMessage(step, received.from(), received.message());
 		}
 		else if (event instanceof PeerEvent.SendFailed failed) {
-			OrderHolder.sendFailed(step, failed.message());
+			ClaimHolder.handleSendFailed(step, failed.message());
 		}
 		else if (event instanceof PlatformEvent.Answered answered && answered.call().owner() == CallOwner.ORDERS) {
-			ShardKeeper.answered(step, answered);
+			ShardCommitter.handlePlatformAnswer(step, answered);
 		}
 		else if (event instanceof NodeEvent.Ticked ticked) {
-			step.replace(step.state().withWallClock(ticked.wallClock().toEpochMilli()));
+			step.replaceState(step.state().withWallClock(ticked.wallClock().toEpochMilli()));
 		}
 	}
 
-	private static void message(OrderStep step, NodeIdentity from, PeerMessage message) {
+	private static void handleMessage(OrderStep step, NodeIdentity from, PeerMessage message) {
 		if (message instanceof OrderClaimRequest request) {
-			ShardKeeper.take(step,
+			ShardCommitter.handleOperation(step,
 					new ShardOperation.Claim(request.key(), request.mark(), request.fingerprint(), from, step.now()));
 		}
 		else if (message instanceof OrderSettlement settlement) {
-			ShardKeeper.take(step, new ShardOperation.Settle(settlement.key(), settlement.mark(), settlement.status(),
-					settlement.answer(), from, step.now()));
+			ShardCommitter.handleOperation(step, new ShardOperation.Settle(settlement.key(), settlement.mark(),
+					settlement.status(), settlement.answer(), from, step.now()));
 		}
 		else if (message instanceof OrderClaimReply reply) {
-			OrderHolder.answered(step, reply);
+			ClaimHolder.handleClaimReply(step, reply);
 		}
 		else if (message instanceof OrderSettlementReply reply) {
-			OrderHolder.settled(step, reply);
+			ClaimHolder.handleSettlementReply(step, reply);
 		}
 	}
 
-	private static void takeMessagesToSelf(OrderStep step) {
-		for (PeerMessage own = step.nextToSelf(); own != null; own = step.nextToSelf()) {
-			message(step, step.view().self(), own);
+	private static void handleMessagesToSelf(OrderStep step) {
+		for (PeerMessage message = step.nextMessageToSelf(); message != null; message = step.nextMessageToSelf()) {
+			handleMessage(step, step.view().self(), message);
 		}
 	}
 
-	private static void wake(OrderStep step) {
+	private static void handleDueEntries(OrderStep step) {
 		while (isDue(step.state().dueHeld(), step.now()) || isDue(step.state().dueShards(), step.now())
 				|| isDue(step.state().issuedByExpiry(), step.now())) {
 			if (isDue(step.state().dueHeld(), step.now())) {
-				OrderHolder.wake(step, step.state().held().get(step.state().dueHeld().first().what()));
+				ClaimHolder.sendDueMessage(step, step.state().held().get(step.state().dueHeld().first().what()));
 			}
 			else if (isDue(step.state().dueShards(), step.now())) {
-				ShardKeeper.advance(step, step.state().shards().get(step.state().dueShards().first().what()));
+				ShardCommitter.advance(step, step.state().shards().get(step.state().dueShards().first().what()));
 			}
 			else {
-				IssuedClaims.forgetFirst(step);
+				IssuedClaims.removeFirstExpired(step);
 			}
-			takeMessagesToSelf(step);
+			handleMessagesToSelf(step);
 		}
 	}
 
-	private static <T extends Comparable<T>> boolean isDue(TreePSet<Due<T>> all, Instant now) {
+	private static <T extends Comparable<T>> boolean isDue(TreePSet<DueEntry<T>> all, Instant now) {
 		return !all.isEmpty() && !all.first().at().isAfter(now);
 	}
 
--- a/src/main/java/sycamorehill/logic/order/OrderState.java
+++ b/src/main/java/sycamorehill/logic/order/OrderState.java
@@ -25,47 +25,49 @@
  * @param wallClock the last wall clock in milliseconds
  * @param quietUntil no further warning before this time
  */
-public record OrderState(PMap<String, HeldOrder> held, PMap<OrderKey, String> marks, TreePSet<Due<String>> dueHeld,
-		PMap<Integer, Shard> shards, PMap<Long, Integer> calls, TreePSet<Due<Integer>> dueShards,
-		PMap<OrderKey, OrderClaim> issued, TreePSet<Due<OrderKey>> issuedByExpiry, long lastCall, long wallClock,
-		Instant quietUntil) {
+public record OrderState(PMap<String, ActiveOrder> held, PMap<OrderKey, String> marks,
+		TreePSet<DueEntry<String>> dueHeld, PMap<Integer, Shard> shards, PMap<Long, Integer> calls,
+		TreePSet<DueEntry<Integer>> dueShards, PMap<OrderKey, OrderClaim> issued,
+		TreePSet<DueEntry<OrderKey>> issuedByExpiry, long lastCall, long wallClock, Instant quietUntil) {
 
 	/**
 	 * The state of a fresh node.
 	 * @return the state before the first event
 	 */
 	public static OrderState initial() {
-		return new OrderState(HashTreePMap.empty(), HashTreePMap.empty(), Due.none(), HashTreePMap.empty(),
-				HashTreePMap.empty(), Due.none(), HashTreePMap.empty(), Due.none(), 0, 0, Instant.MIN);
+		return new OrderState(HashTreePMap.empty(), HashTreePMap.empty(), DueEntry.emptySet(), HashTreePMap.empty(),
+				HashTreePMap.empty(), DueEntry.emptySet(), HashTreePMap.empty(), DueEntry.emptySet(), 0, 0,
+				Instant.MIN);
 	}
 
-	OrderState with(HeldOrder order) {
-		TreePSet<Due<String>> due = Due.move(this.dueHeld, order.mark(), dueAt(this.held.get(order.mark())),
-				order.dueAt());
+	OrderState with(ActiveOrder order) {
+		TreePSet<DueEntry<String>> due = DueEntry.reschedule(this.dueHeld, order.mark(),
+				dueAt(this.held.get(order.mark())), order.dueAt());
 		return new OrderState(this.held.plus(order.mark(), order), this.marks.plus(order.key(), order.mark()), due,
 				this.shards, this.calls, this.dueShards, this.issued, this.issuedByExpiry, this.lastCall,
 				this.wallClock, this.quietUntil);
 	}
 
-	OrderState without(HeldOrder order) {
-		TreePSet<Due<String>> due = Due.move(this.dueHeld, order.mark(), dueAt(this.held.get(order.mark())),
-				Optional.empty());
-		PMap<OrderKey, String> left = order.mark().equals(this.marks.get(order.key())) ? this.marks.minus(order.key())
-				: this.marks;
-		return new OrderState(this.held.minus(order.mark()), left, due, this.shards, this.calls, this.dueShards,
-				this.issued, this.issuedByExpiry, this.lastCall, this.wallClock, this.quietUntil);
+	OrderState without(ActiveOrder order) {
+		TreePSet<DueEntry<String>> due = DueEntry.reschedule(this.dueHeld, order.mark(),
+				dueAt(this.held.get(order.mark())), Optional.empty());
+		PMap<OrderKey, String> remainingMarks = order.mark().equals(this.marks.get(order.key()))
+				? this.marks.minus(order.key()) : this.marks;
+		return new OrderState(this.held.minus(order.mark()), remainingMarks, due, this.shards, this.calls,
+				this.dueShards, this.issued, this.issuedByExpiry, this.lastCall, this.wallClock, this.quietUntil);
 	}
 
 	OrderState with(Shard shard) {
 		Shard before = this.shards.get(shard.number());
-		TreePSet<Due<Integer>> due = Due.move(this.dueShards, shard.number(),
+		TreePSet<DueEntry<Integer>> due = DueEntry.reschedule(this.dueShards, shard.number(),
 				(before != null) ? before.wakeAt() : Optional.empty(), shard.wakeAt());
 		return new OrderState(this.held, this.marks, this.dueHeld, this.shards.plus(shard.number(), shard), this.calls,
 				due, this.issued, this.issuedByExpiry, this.lastCall, this.wallClock, this.quietUntil);
 	}
 
 	OrderState withoutShard(Shard shard) {
-		TreePSet<Due<Integer>> due = Due.move(this.dueShards, shard.number(), shard.wakeAt(), Optional.empty());
+		TreePSet<DueEntry<Integer>> due = DueEntry.reschedule(this.dueShards, shard.number(), shard.wakeAt(),
+				Optional.empty());
 		return new OrderState(this.held, this.marks, this.dueHeld, this.shards.minus(shard.number()), this.calls, due,
 				this.issued, this.issuedByExpiry, this.lastCall, this.wallClock, this.quietUntil);
 	}
@@ -81,22 +83,22 @@
 				this.issued, this.issuedByExpiry, this.lastCall, this.wallClock, this.quietUntil);
 	}
 
-	OrderState withIssued(PMap<OrderKey, OrderClaim> claims, TreePSet<Due<OrderKey>> byExpiry) {
+	OrderState withIssued(PMap<OrderKey, OrderClaim> claims, TreePSet<DueEntry<OrderKey>> byExpiry) {
 		return new OrderState(this.held, this.marks, this.dueHeld, this.shards, this.calls, this.dueShards, claims,
 				byExpiry, this.lastCall, this.wallClock, this.quietUntil);
 	}
 
-	OrderState withWallClock(long changed) {
+	OrderState withWallClock(long value) {
 		return new OrderState(this.held, this.marks, this.dueHeld, this.shards, this.calls, this.dueShards, this.issued,
-				this.issuedByExpiry, this.lastCall, changed, this.quietUntil);
+				this.issuedByExpiry, this.lastCall, value, this.quietUntil);
 	}
 
-	OrderState withQuietUntil(Instant changed) {
+	OrderState withQuietUntil(Instant value) {
 		return new OrderState(this.held, this.marks, this.dueHeld, this.shards, this.calls, this.dueShards, this.issued,
-				this.issuedByExpiry, this.lastCall, this.wallClock, changed);
+				this.issuedByExpiry, this.lastCall, this.wallClock, value);
 	}
 
-	private static Optional<Instant> dueAt(HeldOrder order) {
+	private static Optional<Instant> dueAt(ActiveOrder order) {
 		return (order != null) ? order.dueAt() : Optional.empty();
 	}
 
--- a/src/main/java/sycamorehill/logic/order/OrderStep.java
+++ b/src/main/java/sycamorehill/logic/order/OrderStep.java
@@ -31,7 +31,7 @@
  */
 final class OrderStep {
 
-	private static final Duration QUIET = Duration.ofSeconds(10);
+	private static final Duration WARNING_INTERVAL = Duration.ofSeconds(10);
 
 	private final Instant now;
 
@@ -39,7 +39,7 @@
 
 	private final List<Effect> effects = new ArrayList<>();
 
-	private final Deque<PeerMessage> toSelf = new ArrayDeque<>();
+	private final Deque<PeerMessage> messagesToSelf = new ArrayDeque<>();
 
 	private OrderState state;
 
@@ -57,8 +57,8 @@
 		return this.state;
 	}
 
-	void replace(OrderState changed) {
-		this.state = changed;
+	void replaceState(OrderState value) {
+		this.state = value;
 	}
 
 	Instant now() {
@@ -84,17 +84,17 @@
 	 */
 	void send(NodeIdentity to, PeerMessage message) {
 		if (to.incarnation().equals(this.view.self().incarnation())) {
-			this.toSelf.add(message);
+			this.messagesToSelf.add(message);
 			return;
 		}
 		this.effects.add(new PeerEffect.Send(to, message));
 	}
 
-	PeerMessage nextToSelf() {
-		return this.toSelf.poll();
+	PeerMessage nextMessageToSelf() {
+		return this.messagesToSelf.poll();
 	}
 
-	long call(int shard, PlatformRequest request) {
+	long callPlatform(int shard, PlatformRequest request) {
 		this.state = this.state.withCall(shard);
 		long number = this.state.lastCall();
 		this.effects.add(new PlatformEffect.Call(CallIdentifier.of(CallOwner.ORDERS, number), request,
@@ -119,9 +119,9 @@
 	 * @param event the event
 	 * @param detail what it is about
 	 */
-	void logSometimes(LogEvent event, String detail) {
+	void logRateLimited(LogEvent event, String detail) {
 		if (!this.now.isBefore(this.state.quietUntil())) {
-			this.state = this.state.withQuietUntil(this.now.plus(QUIET));
+			this.state = this.state.withQuietUntil(this.now.plus(WARNING_INTERVAL));
 			log(event, detail);
 		}
 	}
--- a/src/main/java/sycamorehill/logic/order/Shard.java
+++ b/src/main/java/sycamorehill/logic/order/Shard.java
@@ -31,7 +31,7 @@
  * @param failures failed calls since the last good one
  * @param wakeAt when there is something to do next
  */
-record Shard(int number, PMap<OrderKey, Kept> claims, TreePMap<Long, SealedPage> sealed, Optional<Head> head,
+record Shard(int number, PMap<OrderKey, StoredClaim> claims, TreePMap<Long, SealedPage> sealed, Optional<HeadPage> head,
 		boolean stale, Instant confirmedAt, PVector<ShardOperation.Claim> waitingClaims,
 		PVector<ShardOperation.Settle> waitingSettlements, Optional<ShardCall> call, Instant paceAt,
 		Instant backoffUntil, int failures, Optional<Instant> wakeAt) {
@@ -41,21 +41,21 @@
 				TreePVector.empty(), TreePVector.empty(), Optional.empty(), now, now, 0, Optional.empty());
 	}
 
-	boolean idle() {
+	boolean isIdle() {
 		return this.waitingClaims.isEmpty() && this.waitingSettlements.isEmpty();
 	}
 
-	int waiting() {
+	int waitingCount() {
 		return this.waitingClaims.size() + this.waitingSettlements.size();
 	}
 
-	long headPage() {
+	long headPageNumber() {
 		return this.head.map((last) -> last.value().page()).orElse(0L);
 	}
 
 	OrderClaim claim(OrderKey key) {
-		Kept kept = this.claims.get(key);
-		return (kept != null) ? kept.claim() : null;
+		StoredClaim stored = this.claims.get(key);
+		return (stored != null) ? stored.claim() : null;
 	}
 
 	Shard withWaiting(PVector<ShardOperation.Claim> claims, PVector<ShardOperation.Settle> settlements) {
@@ -63,38 +63,38 @@
 				settlements, this.call, this.paceAt, this.backoffUntil, this.failures, this.wakeAt);
 	}
 
-	Shard withCall(Optional<ShardCall> changed) {
+	Shard withCall(Optional<ShardCall> value) {
 		return new Shard(this.number, this.claims, this.sealed, this.head, this.stale, this.confirmedAt,
-				this.waitingClaims, this.waitingSettlements, changed, this.paceAt, this.backoffUntil, this.failures,
+				this.waitingClaims, this.waitingSettlements, value, this.paceAt, this.backoffUntil, this.failures,
 				this.wakeAt);
 	}
 
-	Shard withStale() {
+	Shard asStale() {
 		return new Shard(this.number, this.claims, this.sealed, this.head, true, this.confirmedAt, this.waitingClaims,
 				this.waitingSettlements, this.call, this.paceAt, this.backoffUntil, this.failures, this.wakeAt);
 	}
 
-	Shard confirmed(Instant at) {
+	Shard withConfirmedAt(Instant at) {
 		return new Shard(this.number, this.claims, this.sealed, this.head, false, at, this.waitingClaims,
 				this.waitingSettlements, this.call, this.paceAt, this.backoffUntil, 0, this.wakeAt);
 	}
 
-	Shard withPace(Instant changed) {
+	Shard withPace(Instant value) {
 		return new Shard(this.number, this.claims, this.sealed, this.head, this.stale, this.confirmedAt,
-				this.waitingClaims, this.waitingSettlements, this.call, changed, this.backoffUntil, this.failures,
+				this.waitingClaims, this.waitingSettlements, this.call, value, this.backoffUntil, this.failures,
 				this.wakeAt);
 	}
 
-	Shard failed(Instant until) {
+	Shard withFailure(Instant until) {
 		return new Shard(this.number, this.claims, this.sealed, this.head, this.stale, this.confirmedAt,
 				this.waitingClaims, this.waitingSettlements, this.call, this.paceAt, until, this.failures + 1,
 				this.wakeAt);
 	}
 
-	Shard withWakeAt(Optional<Instant> changed) {
+	Shard withWakeAt(Optional<Instant> value) {
 		return new Shard(this.number, this.claims, this.sealed, this.head, this.stale, this.confirmedAt,
 				this.waitingClaims, this.waitingSettlements, this.call, this.paceAt, this.backoffUntil, this.failures,
-				changed);
+				value);
 	}
 
 	/**
@@ -106,24 +106,24 @@
 	 * @return the shard with the page as its last
 	 */
 	Shard withPage(OrderShard page, long version, Map<OrderKey, OrderClaim> changes, Instant now) {
-		PMap<OrderKey, Kept> known = this.claims;
+		PMap<OrderKey, StoredClaim> known = this.claims;
 		for (Map.Entry<OrderKey, OrderClaim> change : changes.entrySet()) {
-			known = known.plus(change.getKey(), new Kept(change.getValue(), page.page()));
+			known = known.plus(change.getKey(), new StoredClaim(change.getValue(), page.page()));
 		}
 		TreePMap<Long, SealedPage> pages = this.sealed;
 		if (page.sealed() && !pages.containsKey(page.page())) {
 			pages = pages.plus(page.page(), new SealedPage(version, now, page.claims()));
 		}
-		return new Shard(this.number, known, pages, Optional.of(new Head(version, page)), this.stale, this.confirmedAt,
-				this.waitingClaims, this.waitingSettlements, this.call, this.paceAt, this.backoffUntil, this.failures,
-				this.wakeAt);
+		return new Shard(this.number, known, pages, Optional.of(new HeadPage(version, page)), this.stale,
+				this.confirmedAt, this.waitingClaims, this.waitingSettlements, this.call, this.paceAt,
+				this.backoffUntil, this.failures, this.wakeAt);
 	}
 
 	Shard withoutPage(long page) {
-		PMap<OrderKey, Kept> known = this.claims;
+		PMap<OrderKey, StoredClaim> known = this.claims;
 		for (OrderKey key : this.sealed.get(page).claims().keySet()) {
-			Kept kept = known.get(key);
-			if (kept != null && kept.page() == page) {
+			StoredClaim stored = known.get(key);
+			if (stored != null && stored.page() == page) {
 				known = known.minus(key);
 			}
 		}
@@ -138,7 +138,7 @@
 	 * @param claim the claim
 	 * @param page the page
 	 */
-	record Kept(OrderClaim claim, long page) {
+	record StoredClaim(OrderClaim claim, long page) {
 	}
 
 	/**
@@ -147,7 +147,7 @@
 	 * @param version its version in the platform
 	 * @param value the page
 	 */
-	record Head(long version, OrderShard value) {
+	record HeadPage(long version, OrderShard value) {
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/order/ShardBatch.java
+++ b/src/main/java/sycamorehill/logic/order/ShardBatch.java
@@ -33,9 +33,9 @@
 		PVector<ShardOperation.Settle> settlements, PVector<Reply> afterWrite, PVector<Reply> atOnce, boolean full) {
 
 	/** The most that one write adds to a page, as estimated. */
-	static final int MOST_BYTES = 64 * 1024;
+	static final int MAXIMUM_BYTES = 64 * 1024;
 
-	private static final int CLAIM_BYTES = 300;
+	private static final int CLAIM_OVERHEAD_BYTES = 300;
 
 	private static final int BYTES_PER_CHARACTER = 3;
 
@@ -44,29 +44,30 @@
 				TreePVector.empty(), false);
 	}
 
-	static int bytes(OrderClaim claim) {
-		return CLAIM_BYTES + claim.answer().map((answer) -> answer.body().length() * BYTES_PER_CHARACTER).orElse(0);
+	static int estimatedBytes(OrderClaim claim) {
+		return CLAIM_OVERHEAD_BYTES
+				+ claim.answer().map((answer) -> answer.body().length() * BYTES_PER_CHARACTER).orElse(0);
 	}
 
 	boolean hasRoom() {
-		return this.bytes < MOST_BYTES;
+		return this.bytes < MAXIMUM_BYTES;
 	}
 
 	ShardBatch with(Shard shard, ShardOperation.Claim operation, ClaimRules rules, OrderPolicy policy, Instant now) {
-		OrderClaim kept = shard.claim(operation.key());
-		if (olderThan(operation, policy.claimPatience(), now)) {
-			return expired(operation, kept);
+		OrderClaim stored = shard.claim(operation.key());
+		if (isOlderThan(operation, policy.claimPatience(), now)) {
+			return withExpired(operation, stored);
 		}
 		ClaimRules.Decision decision = decide(shard, operation, rules);
 		if (decision.change().isPresent() && shard.claims().size() + this.changes.size() >= policy.mostClaims()) {
-			PeerMessage refusal = ClaimRules.reply(operation, OrderVerdict.NOT_TAKEN, Optional.empty());
+			PeerMessage refusal = ClaimRules.claimReply(operation, OrderVerdict.NOT_TAKEN, Optional.empty());
 			return new ShardBatch(this.changes, this.bytes, this.claims, this.settlements, this.afterWrite,
 					this.atOnce.plus(new Reply(operation.requester(), refusal)), true);
 		}
 		if (decision.change().isEmpty() && !this.changes.containsKey(operation.key())) {
-			return answeredAtOnce(operation, decision);
+			return withImmediateReply(operation, decision);
 		}
-		return changed(operation, decision, this.claims.plus(operation), this.settlements);
+		return withCommitted(operation, decision, this.claims.plus(operation), this.settlements);
 	}
 
 	/**
@@ -77,19 +78,19 @@
 	 * @param operation the settlement
 	 * @return whether the view is older than the settlement and lacks its claim
 	 */
-	boolean needsLook(Shard shard, ShardOperation.Settle operation) {
+	boolean needsRead(Shard shard, ShardOperation.Settle operation) {
 		OrderClaim changed = this.changes.get(operation.key());
 		OrderClaim known = (changed != null) ? changed : shard.claim(operation.key());
-		boolean seen = known != null && known.mark().equals(operation.mark());
-		return !seen && shard.confirmedAt().isBefore(operation.takenAt());
+		boolean isKnown = known != null && known.mark().equals(operation.mark());
+		return !isKnown && shard.confirmedAt().isBefore(operation.takenAt());
 	}
 
 	ShardBatch with(Shard shard, ShardOperation.Settle operation, ClaimRules rules) {
 		ClaimRules.Decision decision = decide(shard, operation, rules);
 		if (decision.change().isEmpty() && !this.changes.containsKey(operation.key())) {
-			return answeredAtOnce(operation, decision);
+			return withImmediateReply(operation, decision);
 		}
-		return changed(operation, decision, this.claims, this.settlements.plus(operation));
+		return withCommitted(operation, decision, this.claims, this.settlements.plus(operation));
 	}
 
 	private ClaimRules.Decision decide(Shard shard, ShardOperation operation, ClaimRules rules) {
@@ -101,13 +102,14 @@
 	// claim the key now, for instance after a pause of this node, would keep the caller's
 	// next try from running. If an earlier write of it took effect after all, the
 	// requester is told, and releases it.
-	private ShardBatch expired(ShardOperation.Claim operation, OrderClaim kept) {
-		boolean written = kept != null && kept.mark().equals(operation.mark()) && kept.status() == OrderStatus.CLAIMED;
-		return written ? answeredAtOnce(operation, ClaimRules.Decision.of(Optional.empty(),
-				ClaimRules.reply(operation, OrderVerdict.GRANTED, Optional.empty()))) : this;
+	private ShardBatch withExpired(ShardOperation.Claim operation, OrderClaim stored) {
+		boolean written = stored != null && stored.mark().equals(operation.mark())
+				&& stored.status() == OrderStatus.CLAIMED;
+		return written ? withImmediateReply(operation, ClaimRules.Decision.of(Optional.empty(),
+				ClaimRules.claimReply(operation, OrderVerdict.GRANTED, Optional.empty()))) : this;
 	}
 
-	private ShardBatch answeredAtOnce(ShardOperation operation, ClaimRules.Decision decision) {
+	private ShardBatch withImmediateReply(ShardOperation operation, ClaimRules.Decision decision) {
 		PVector<Reply> replies = this.atOnce.plus(new Reply(operation.requester(), decision.reply()));
 		if (decision.reminder().isPresent()) {
 			replies = replies.plus(decision.reminder().get());
@@ -116,20 +118,20 @@
 				this.full);
 	}
 
-	private ShardBatch changed(ShardOperation operation, ClaimRules.Decision decision,
+	private ShardBatch withCommitted(ShardOperation operation, ClaimRules.Decision decision,
 			PVector<ShardOperation.Claim> committedClaims, PVector<ShardOperation.Settle> committedSettlements) {
 		PMap<OrderKey, OrderClaim> changed = this.changes;
 		int size = this.bytes;
 		if (decision.change().isPresent()) {
 			changed = changed.plus(operation.key(), decision.change().get());
-			size += bytes(decision.change().get());
+			size += estimatedBytes(decision.change().get());
 		}
 		return new ShardBatch(changed, size, committedClaims, committedSettlements,
 				this.afterWrite.plus(new Reply(operation.requester(), decision.reply())), this.atOnce, this.full);
 	}
 
-	private static boolean olderThan(ShardOperation operation, Duration bound, Instant now) {
-		return operation.takenAt().plus(bound).isBefore(now);
+	private static boolean isOlderThan(ShardOperation operation, Duration limit, Instant now) {
+		return operation.takenAt().plus(limit).isBefore(now);
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/order/ShardPages.java
+++ b/src/main/java/sycamorehill/logic/order/ShardPages.java
@@ -25,7 +25,7 @@
 	 * A page of this estimated size is sealed; with the last batch it stays far below a
 	 * megabyte.
 	 */
-	static final int SEALED_BYTES = 32 * 1024;
+	static final int SEAL_THRESHOLD_BYTES = 32 * 1024;
 
 	private static final int PAGES_PER_READ = 16;
 
@@ -33,30 +33,30 @@
 	}
 
 	static void read(OrderStep step, Shard shard, long afterPage) {
-		ObjectKey after = ShardPlacement.page(shard.number(), afterPage);
-		long call = step.call(shard.number(),
+		ObjectKey after = ShardPlacement.pageKey(shard.number(), afterPage);
+		long call = step.callPlatform(shard.number(),
 				new PlatformRequest.ListObjects(ObjectKind.ORDER_SHARD, after.name(), PAGES_PER_READ));
-		put(step, shard.withCall(Optional.of(new ShardCall.ReadPages(call))));
+		replaceShard(step, shard.withCall(Optional.of(new ShardCall.ReadPages(call))));
 	}
 
 	// A page that was still open when it was read may have grown before the next one was
 	// created: it is read again, or a key in it could be granted a second time.
-	static void pagesRead(OrderStep step, Shard shard, List<StoredObject> objects, Instant sentAt) {
+	static void handlePages(OrderStep step, Shard shard, List<StoredObject> objects, Instant sentAt) {
 		Shard read = shard;
-		int pages = 0;
+		int pageCount = 0;
 		for (StoredObject object : objects) {
 			if (!(object.value() instanceof OrderShard page) || page.shard() != shard.number()) {
 				break;
 			}
-			if (pages > 0 && !read.head().orElseThrow().value().sealed()) {
-				read(step, read, read.headPage() - 1);
+			if (pageCount > 0 && !read.head().orElseThrow().value().sealed()) {
+				read(step, read, read.headPageNumber() - 1);
 				return;
 			}
 			read = read.withPage(page, object.version(), page.claims(), step.now());
-			pages++;
+			pageCount++;
 		}
-		if (pages < PAGES_PER_READ) {
-			ShardKeeper.advance(step, withHead(read, pages).confirmed(sentAt));
+		if (pageCount < PAGES_PER_READ) {
+			ShardCommitter.advance(step, sealHeadIfLost(read, pageCount).withConfirmedAt(sentAt));
 			return;
 		}
 		OrderShard last = read.head().orElseThrow().value();
@@ -65,31 +65,32 @@
 
 	// The platform came back older than this node's view: what is known here stays known,
 	// and the next page continues the numbers.
-	private static Shard withHead(Shard shard, int pagesRead) {
-		if (pagesRead > 0 || shard.head().isEmpty()) {
+	private static Shard sealHeadIfLost(Shard shard, int pageCount) {
+		if (pageCount > 0 || shard.head().isEmpty()) {
 			return shard;
 		}
-		OrderShard lost = shard.head().get().value();
-		OrderShard sealed = new OrderShard(lost.shard(), lost.page(), true, lost.claims(), lost.writer());
+		OrderShard lastKnown = shard.head().get().value();
+		OrderShard sealed = new OrderShard(lastKnown.shard(), lastKnown.page(), true, lastKnown.claims(),
+				lastKnown.writer());
 		return shard.withPage(sealed, shard.head().get().version(), Map.of(), Instant.MAX);
 	}
 
 	static void write(OrderStep step, Shard shard, ShardBatch batch) {
-		Optional<Shard.Head> open = shard.head().filter((head) -> !head.value().sealed());
-		long number = open.map((head) -> head.value().page()).orElse(shard.headPage() + 1);
+		Optional<Shard.HeadPage> open = shard.head().filter((head) -> !head.value().sealed());
+		long number = open.map((head) -> head.value().page()).orElse(shard.headPageNumber() + 1);
 		PMap<OrderKey, OrderClaim> before = open.map((head) -> head.value().claims()).orElse(HashTreePMap.empty());
 		PMap<OrderKey, OrderClaim> claims = before.plusAll(batch.changes());
-		int bytes = claims.values().stream().mapToInt(ShardBatch::bytes).sum();
+		int bytes = claims.values().stream().mapToInt(ShardBatch::estimatedBytes).sum();
 		String writer = step.view().self().incarnation() + ":" + (step.state().lastCall() + 1);
-		OrderShard page = new OrderShard(shard.number(), number, bytes >= SEALED_BYTES, claims, writer);
-		ObjectKey key = ShardPlacement.page(shard.number(), number);
+		OrderShard page = new OrderShard(shard.number(), number, bytes >= SEAL_THRESHOLD_BYTES, claims, writer);
+		ObjectKey key = ShardPlacement.pageKey(shard.number(), number);
 		PlatformRequest request = open
 			.<PlatformRequest>map((head) -> new PlatformRequest.Update(key, page, head.version()))
 			.orElseGet(() -> new PlatformRequest.Create(key, page));
-		long call = step.call(shard.number(), request);
-		Instant pace = shard.paceAt().isBefore(step.now()) ? step.now() : shard.paceAt();
-		put(step, shard.withCall(Optional.of(new ShardCall.WritePage(call, page, batch)))
-			.withPace(pace.plus(step.policy().commitInterval())));
+		long call = step.callPlatform(shard.number(), request);
+		Instant nextWriteAt = shard.paceAt().isBefore(step.now()) ? step.now() : shard.paceAt();
+		replaceShard(step, shard.withCall(Optional.of(new ShardCall.WritePage(call, page, batch)))
+			.withPace(nextWriteAt.plus(step.policy().commitInterval())));
 	}
 
 	/**
@@ -100,28 +101,28 @@
 	 * @param step the step
 	 * @param shard the shard
 	 */
-	static void tidy(OrderStep step, Shard shard) {
-		if (!ShardPlacement.keeper(shard.number(), step.view()).equals(step.view().self())) {
-			step.replace(step.state().withoutShard(shard));
+	static void cleanUp(OrderStep step, Shard shard) {
+		if (!ShardPlacement.owner(shard.number(), step.view()).equals(step.view().self())) {
+			step.replaceState(step.state().withoutShard(shard));
 			return;
 		}
 		Map.Entry<Long, Shard.SealedPage> first = shard.sealed().isEmpty() ? null : shard.sealed().firstEntry();
-		if (first == null || first.getKey() == shard.headPage() || !expired(step, first.getValue())) {
-			Instant later = step.now().plus(step.policy().viewBound());
-			step.replace(step.state().with(shard.withWakeAt(Optional.of(later))));
+		if (first == null || first.getKey() == shard.headPageNumber() || !isExpired(step, first.getValue())) {
+			Instant nextCheckAt = step.now().plus(step.policy().viewBound());
+			step.replaceState(step.state().with(shard.withWakeAt(Optional.of(nextCheckAt))));
 			return;
 		}
-		ObjectKey key = ShardPlacement.page(shard.number(), first.getKey());
-		long call = step.call(shard.number(), new PlatformRequest.Delete(key, first.getValue().version()));
-		put(step, shard.withCall(Optional.of(new ShardCall.DeletePage(call, first.getKey()))));
+		ObjectKey key = ShardPlacement.pageKey(shard.number(), first.getKey());
+		long call = step.callPlatform(shard.number(), new PlatformRequest.Delete(key, first.getValue().version()));
+		replaceShard(step, shard.withCall(Optional.of(new ShardCall.DeletePage(call, first.getKey()))));
 	}
 
-	private static boolean expired(OrderStep step, Shard.SealedPage page) {
+	private static boolean isExpired(OrderStep step, Shard.SealedPage page) {
 		return page.seenAt().isBefore(step.now().minus(step.policy().retention()));
 	}
 
-	private static void put(OrderStep step, Shard shard) {
-		step.replace(step.state().with(shard.withWakeAt(Optional.empty())));
+	private static void replaceShard(OrderStep step, Shard shard) {
+		step.replaceState(step.state().with(shard.withWakeAt(Optional.empty())));
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/order/ShardPlacement.java
+++ b/src/main/java/sycamorehill/logic/order/ShardPlacement.java
@@ -15,7 +15,7 @@
  */
 final class ShardPlacement {
 
-	private static final String DUTY_PREFIX = "order-shard/";
+	private static final String HASH_KEY_PREFIX = "order-shard/";
 
 	private ShardPlacement() {
 	}
@@ -24,7 +24,7 @@
 		return (int) Long.remainderUnsigned(key.low() * 31 + key.high(), shards);
 	}
 
-	static ObjectKey page(int shard, long page) {
+	static ObjectKey pageKey(int shard, long page) {
 		return ObjectKey.of(ObjectKind.ORDER_SHARD, "%04d-%012d".formatted(shard, page));
 	}
 
@@ -35,7 +35,7 @@
 	 * @param view the live nodes
 	 * @return the node, this one if none is known
 	 */
-	static NodeIdentity keeper(int shard, NodeView view) {
+	static NodeIdentity owner(int shard, NodeView view) {
 		NodeIdentity best = view.self();
 		long bestScore = score(shard, best.incarnation().node());
 		for (LiveNode node : view.liveNodes().nodes().values()) {
@@ -67,7 +67,7 @@
 	}
 
 	private static long score(int shard, NodeName node) {
-		return RendezvousHash.weight(DUTY_PREFIX + shard, node);
+		return RendezvousHash.weight(HASH_KEY_PREFIX + shard, node);
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/order/ClaimRulesTests.java
+++ b/src/test/java/sycamorehill/logic/order/ClaimRulesTests.java
@@ -35,10 +35,10 @@
 		.of(new OrderTrialView(HOLDER, Policy.standard().withOrder(OrderPolicy.standard()), LiveNodes.none()), 0);
 
 	@Test
-	void releaseOfAClaimThatIsNotSeenIsWritten() {
+	void releaseOfUnknownClaimIsWritten() {
 		// A write of the claim is still under way when its release arrives. Confirmed
 		// without a write, the claim would take effect later and keep its key.
-		ClaimRules.Decision decision = RULES.decide(null, settle(OrderStatus.RELEASED));
+		ClaimRules.Decision decision = RULES.decide(null, settleOperation(OrderStatus.RELEASED));
 		Assertions.assertThat(decision.change().orElseThrow().status()).isEqualTo(OrderStatus.RELEASED);
 	}
 
@@ -46,25 +46,25 @@
 	void releasedMarkIsNotGrantedAgain() {
 		// A late copy of the question meets its own release: granted, nobody would run it
 		// and nobody would settle it.
-		ClaimRules.Decision decision = RULES.decide(claim(OrderStatus.RELEASED), ask("m1"));
+		ClaimRules.Decision decision = RULES.decide(claim(OrderStatus.RELEASED), claimOperation("m1"));
 		Assertions.assertThat(verdict(decision)).isEqualTo(OrderVerdict.NOT_TAKEN);
 	}
 
 	@Test
-	void releasedKeyIsGrantedToTheNextCall() {
-		Assertions.assertThat(verdict(RULES.decide(claim(OrderStatus.RELEASED), ask("m2"))))
+	void releasedKeyIsGrantedToNextCall() {
+		Assertions.assertThat(verdict(RULES.decide(claim(OrderStatus.RELEASED), claimOperation("m2"))))
 			.isEqualTo(OrderVerdict.GRANTED);
 	}
 
 	@Test
 	void recordedClaimIsNeverReleased() {
-		Assertions.assertThat(RULES.decide(claim(OrderStatus.RECORDED), settle(OrderStatus.RELEASED)).change())
+		Assertions.assertThat(RULES.decide(claim(OrderStatus.RECORDED), settleOperation(OrderStatus.RELEASED)).change())
 			.isEmpty();
 	}
 
 	@Test
 	void unknownClaimIsNeverGranted() {
-		Assertions.assertThat(verdict(RULES.decide(claim(OrderStatus.UNKNOWN), ask("m2"))))
+		Assertions.assertThat(verdict(RULES.decide(claim(OrderStatus.UNKNOWN), claimOperation("m2"))))
 			.isEqualTo(OrderVerdict.UNKNOWN);
 	}
 
@@ -72,11 +72,11 @@
 		return new OrderClaim(KEY, CONTENT, HOLDER.incarnation(), "m1", status, Optional.empty(), 0);
 	}
 
-	private static ShardOperation ask(String mark) {
+	private static ShardOperation claimOperation(String mark) {
 		return new ShardOperation.Claim(KEY, mark, CONTENT, HOLDER, Instant.EPOCH);
 	}
 
-	private static ShardOperation settle(OrderStatus status) {
+	private static ShardOperation settleOperation(OrderStatus status) {
 		return new ShardOperation.Settle(KEY, "m1", status, Optional.empty(), HOLDER, Instant.EPOCH);
 	}
 
--- a/src/test/java/sycamorehill/logic/order/HistoryFaults.java
+++ b/src/test/java/sycamorehill/logic/order/HistoryFaults.java
@@ -12,45 +12,45 @@
 
 	double messageLost;
 
-	double messageDoubled;
+	double messageDuplicated;
 
-	double messageLate;
+	double messageDelayed;
 
-	double callHeldBack;
+	double callDelayed;
 
-	double targetRefuses;
+	double targetRefused;
 
-	double targetLost;
+	double answerLost;
 
-	private final Set<NodeName> cutOff = new HashSet<>();
+	private final Set<NodeName> partitioned = new HashSet<>();
 
 	/**
 	 * Cuts a node off from all others, or puts it back.
 	 * @param node the node
-	 * @param isCut whether it is cut off
+	 * @param isPartitioned whether it is cut off
 	 */
-	void cutOff(OrderNode node, boolean isCut) {
-		if (isCut) {
-			this.cutOff.add(node.incarnation().node());
+	void setPartitioned(OrderNode node, boolean isPartitioned) {
+		if (isPartitioned) {
+			this.partitioned.add(node.incarnation().node());
 		}
 		else {
-			this.cutOff.remove(node.incarnation().node());
+			this.partitioned.remove(node.incarnation().node());
 		}
 	}
 
-	boolean cut(OrderNode one, OrderNode other) {
-		return one != other
-				&& (this.cutOff.contains(one.incarnation().node()) || this.cutOff.contains(other.incarnation().node()));
+	boolean isPartitioned(OrderNode one, OrderNode other) {
+		return one != other && (this.partitioned.contains(one.incarnation().node())
+				|| this.partitioned.contains(other.incarnation().node()));
 	}
 
-	void none() {
+	void clear() {
 		this.messageLost = 0;
-		this.messageDoubled = 0;
-		this.messageLate = 0;
-		this.callHeldBack = 0;
-		this.targetRefuses = 0;
-		this.targetLost = 0;
-		this.cutOff.clear();
+		this.messageDuplicated = 0;
+		this.messageDelayed = 0;
+		this.callDelayed = 0;
+		this.targetRefused = 0;
+		this.answerLost = 0;
+		this.partitioned.clear();
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/order/OrderHistory.java
+++ b/src/test/java/sycamorehill/logic/order/OrderHistory.java
@@ -76,9 +76,9 @@
 		for (int i = 1; i <= nodeCount; i++) {
 			OrderNode node = new OrderNode(i, Duration.ofSeconds(this.random.nextInt(100_000)), policy);
 			this.nodes.add(node);
-			tick(node);
+			scheduleTick(node);
 		}
-		this.nodes.forEach((node) -> see(node));
+		this.nodes.forEach((node) -> updateLiveNodes(node));
 	}
 
 	/**
@@ -96,7 +96,8 @@
 		Call call = new Call(request, node, now());
 		this.calls.add(call);
 		this.callsByMark.put(identifier.toString(), call);
-		node.run(node.incarnation(), () -> feed(node, new RequestEvent.Admitted(request, Handling.ONCE_WITH_KEY)));
+		node.run(node.incarnation(),
+				() -> handleEvent(node, new RequestEvent.Admitted(request, Handling.ONCE_WITH_KEY)));
 		return call;
 	}
 
@@ -115,8 +116,8 @@
 
 	void restart(OrderNode node) {
 		node.restart(++this.lastIncarnation);
-		tick(node);
-		see(node);
+		scheduleTick(node);
+		updateLiveNodes(node);
 	}
 
 	void resume(OrderNode node) {
@@ -124,18 +125,18 @@
 		node.runWaiting();
 	}
 
-	void see(OrderNode node) {
-		node.see(this.nodes.stream()
-			.filter((other) -> other == node || !other.paused() && !this.faults.cut(node, other))
+	void updateLiveNodes(OrderNode node) {
+		node.updateLiveNodes(this.nodes.stream()
+			.filter((other) -> other == node || !other.paused() && !this.faults.isPartitioned(node, other))
 			.map(OrderNode::identity)
 			.toList());
 	}
 
-	void feed(OrderNode node, Event event) {
+	void handleEvent(OrderNode node, Event event) {
 		NodeIncarnation incarnation = node.incarnation();
 		for (Effect effect : node.reduce(now(), event)) {
 			if (effect instanceof NodeEffect.Raise raise) {
-				raised(node, raise.event());
+				handleRaised(node, raise.event());
 			}
 			else if (effect instanceof PeerEffect.Send send) {
 				send(node, send);
@@ -146,7 +147,7 @@
 		}
 	}
 
-	private void tick(OrderNode node) {
+	private void scheduleTick(OrderNode node) {
 		NodeIncarnation incarnation = node.incarnation();
 		Duration wallClock = this.clockSkew.multipliedBy(node.identity().incarnation().node().hashCode() % 3);
 		this.schedule.add(TICK, () -> {
@@ -154,50 +155,50 @@
 				return;
 			}
 			if (!node.paused()) {
-				feed(node, new NodeEvent.Ticked(Instant.parse("2026-01-01T00:00:00Z").plus(wallClock)));
+				handleEvent(node, new NodeEvent.Ticked(Instant.parse("2026-01-01T00:00:00Z").plus(wallClock)));
 			}
-			tick(node);
+			scheduleTick(node);
 		});
 	}
 
-	private void raised(OrderNode node, Event event) {
+	private void handleRaised(OrderNode node, Event event) {
 		if (event instanceof RequestEvent.Refused refused) {
 			Call call = this.callsByMark.get(refused.request().toString());
 			call.answer(refused.outcome(), now());
-			feed(node, new RequestEvent.Finished(call.request, Handling.ONCE_WITH_KEY, refused.outcome(), 0,
+			handleEvent(node, new RequestEvent.Finished(call.request, Handling.ONCE_WITH_KEY, refused.outcome(), 0,
 					Optional.empty()));
 		}
 		else if (event instanceof RequestEvent.Cleared cleared) {
 			Call call = this.callsByMark.get(cleared.request().identifier().toString());
 			call.cleared++;
 			NodeIncarnation incarnation = node.incarnation();
-			this.schedule.add(millis(5), () -> node.run(incarnation, () -> sendToTarget(node, call)));
+			this.schedule.add(randomDelay(5), () -> node.run(incarnation, () -> sendToTarget(node, call)));
 		}
 	}
 
 	// The target runs the order, refuses it before running, or its answer is lost.
 	private void sendToTarget(OrderNode node, Call call) {
 		double draw = this.random.nextDouble();
-		if (draw < this.faults.targetRefuses) {
-			answerLater(node, call, new RequestOutcome.NotRun(Refusal.of(RefusalReason.TARGET_REFUSED, "full")),
+		if (draw < this.faults.targetRefused) {
+			scheduleAnswer(node, call, new RequestOutcome.NotRun(Refusal.of(RefusalReason.TARGET_REFUSED, "full")),
 					Optional.empty());
 			return;
 		}
 		Run run = new Run(call, now(), new RecordedAnswer(200, "text/plain", this.answerText + this.runs.size()));
 		this.runs.add(run);
-		if (draw < this.faults.targetRefuses + this.faults.targetLost) {
-			answerLater(node, call, new RequestOutcome.Unknown(Refusal.of(RefusalReason.TARGET_LOST, "broken")),
+		if (draw < this.faults.targetRefused + this.faults.answerLost) {
+			scheduleAnswer(node, call, new RequestOutcome.Unknown(Refusal.of(RefusalReason.TARGET_LOST, "broken")),
 					Optional.empty());
 			return;
 		}
-		answerLater(node, call, new RequestOutcome.Completed(), Optional.of(run.answer()));
+		scheduleAnswer(node, call, new RequestOutcome.Completed(), Optional.of(run.answer()));
 	}
 
-	private void answerLater(OrderNode node, Call call, RequestOutcome outcome, Optional<RecordedAnswer> answer) {
+	private void scheduleAnswer(OrderNode node, Call call, RequestOutcome outcome, Optional<RecordedAnswer> answer) {
 		NodeIncarnation incarnation = node.incarnation();
-		this.schedule.add(millis(100), () -> node.run(incarnation, () -> {
+		this.schedule.add(randomDelay(100), () -> node.run(incarnation, () -> {
 			call.answer(outcome, now());
-			feed(node, new RequestEvent.Finished(call.request, Handling.ONCE_WITH_KEY, outcome, 0, answer));
+			handleEvent(node, new RequestEvent.Finished(call.request, Handling.ONCE_WITH_KEY, outcome, 0, answer));
 		}));
 	}
 
@@ -207,37 +208,39 @@
 			.findFirst()
 			.orElseThrow();
 		PeerEvent.MessageReceived received = new PeerEvent.MessageReceived(from.identity(), send.message());
-		if (this.faults.cut(from, to)) {
+		if (this.faults.isPartitioned(from, to)) {
 			NodeIncarnation sender = from.incarnation();
 			if (this.random.nextBoolean()) {
-				this.schedule.add(millis(20), () -> from.run(sender,
-						() -> feed(from, new PeerEvent.SendFailed(send.to().incarnation().node(), send.message()))));
+				this.schedule.add(randomDelay(20), () -> from.run(sender, () -> handleEvent(from,
+						new PeerEvent.SendFailed(send.to().incarnation().node(), send.message()))));
 			}
 			return;
 		}
-		int copies = (this.random.nextDouble() < this.faults.messageDoubled) ? 2 : 1;
+		int copies = (this.random.nextDouble() < this.faults.messageDuplicated) ? 2 : 1;
 		for (int i = 0; i < copies; i++) {
 			if (this.random.nextDouble() >= this.faults.messageLost) {
-				Duration delay = (this.random.nextDouble() < this.faults.messageLate) ? millis(6000) : millis(8);
-				this.schedule.add(delay, () -> to.run(to.incarnation(), () -> feed(to, received)));
+				Duration delay = (this.random.nextDouble() < this.faults.messageDelayed) ? randomDelay(6000)
+						: randomDelay(8);
+				this.schedule.add(delay, () -> to.run(to.incarnation(), () -> handleEvent(to, received)));
 			}
 		}
 	}
 
 	private void callPlatform(OrderNode node, NodeIncarnation incarnation, PlatformEffect.Call call) {
 		Instant sentAt = node.clock(now());
-		Duration beforeSending = (this.random.nextDouble() < this.faults.callHeldBack) ? millis(3000) : Duration.ZERO;
-		this.schedule.add(beforeSending, () -> this.platform.call(call.request(), call.timeout())
+		Duration sendDelay = (this.random.nextDouble() < this.faults.callDelayed) ? randomDelay(3000) : Duration.ZERO;
+		this.schedule.add(sendDelay, () -> this.platform.call(call.request(), call.timeout())
 			.forEach((delivery) -> this.schedule.add(delivery.delay(), () -> {
 				PlatformAnswer answer = delivery.apply().get();
 				if (answer != null) {
-					node.run(incarnation, () -> feed(node, new PlatformEvent.Answered(call.call(), answer, sentAt)));
+					node.run(incarnation,
+							() -> handleEvent(node, new PlatformEvent.Answered(call.call(), answer, sentAt)));
 				}
 			})));
 	}
 
-	Duration millis(int most) {
-		return Duration.ofMillis(1 + this.random.nextInt(most));
+	Duration randomDelay(int maximumMillis) {
+		return Duration.ofMillis(1 + this.random.nextInt(maximumMillis));
 	}
 
 	/**
--- a/src/test/java/sycamorehill/logic/order/OrderHistoryChecker.java
+++ b/src/test/java/sycamorehill/logic/order/OrderHistoryChecker.java
@@ -21,7 +21,7 @@
 
 	private final Map<OrderKey, List<Run>> runs = new HashMap<>();
 
-	private final List<String> faults = new ArrayList<>();
+	private final List<String> violations = new ArrayList<>();
 
 	private OrderHistoryChecker(OrderHistory history) {
 		this.history = history;
@@ -30,52 +30,52 @@
 
 	static List<String> check(OrderHistory history) {
 		OrderHistoryChecker checker = new OrderHistoryChecker(history);
-		checker.runs.forEach(checker::atMostOnce);
-		history.calls.forEach(checker::answer);
-		return checker.faults;
+		checker.runs.forEach(checker::checkAtMostOnce);
+		history.calls.forEach(checker::checkAnswer);
+		return checker.violations;
 	}
 
-	private void atMostOnce(OrderKey key, List<Run> found) {
+	private void checkAtMostOnce(OrderKey key, List<Run> found) {
 		if (found.size() > 1) {
-			this.faults.add("run " + found.size() + " times: " + key);
+			this.violations.add("run " + found.size() + " times: " + key);
 		}
 	}
 
-	private void answer(Call call) {
+	private void checkAnswer(Call call) {
 		if (call.cleared > 1 || call.answers.size() > 1) {
-			this.faults.add("cleared " + call.cleared + " times, answered " + call.answers + ": " + call.request);
+			this.violations.add("cleared " + call.cleared + " times, answered " + call.answers + ": " + call.request);
 		}
-		boolean alive = call.incarnation.equals(call.node.incarnation());
-		if (alive && call.answers.isEmpty()) {
-			this.faults.add("never answered: " + call.request);
+		boolean isLive = call.incarnation.equals(call.node.incarnation());
+		if (isLive && call.answers.isEmpty()) {
+			this.violations.add("never answered: " + call.request);
 		}
-		call.outcome().ifPresent((outcome) -> outcome(call, outcome));
+		call.outcome().ifPresent((outcome) -> checkOutcome(call, outcome));
 	}
 
-	private void outcome(Call call, RequestOutcome outcome) {
+	private void checkOutcome(Call call, RequestOutcome outcome) {
 		Optional<Run> run = this.runs.getOrDefault(call.key(), List.of()).stream().findFirst();
 		boolean ranItself = run.isPresent() && run.get().call() == call;
 		if (outcome instanceof RequestOutcome.NotRun notRun) {
 			if (ranItself) {
-				this.faults.add("'not run' is false: " + call.request);
+				this.violations.add("'not run' is false: " + call.request);
 			}
-			if (notRun.refusal().reason() == RefusalReason.KEY_REUSED && !otherContent(call)) {
-				this.faults.add("no other content had the key: " + call.request);
+			if (notRun.refusal().reason() == RefusalReason.KEY_REUSED && !hasCallWithOtherContent(call)) {
+				this.violations.add("no other content had the key: " + call.request);
 			}
 		}
 		if (outcome instanceof RequestOutcome.Completed && !ranItself) {
-			this.faults.add("completed without a run: " + call.request);
+			this.violations.add("completed without a run: " + call.request);
 		}
 		if (outcome instanceof RequestOutcome.Replayed replayed) {
 			boolean same = run.isPresent() && run.get().answer().equals(replayed.answer())
 					&& run.get().call().content().equals(call.content());
 			if (!same) {
-				this.faults.add("another answer was given again: " + call.request);
+				this.violations.add("another answer was given again: " + call.request);
 			}
 		}
 	}
 
-	private boolean otherContent(Call call) {
+	private boolean hasCallWithOtherContent(Call call) {
 		return this.history.calls.stream()
 			.anyMatch((other) -> other.key().equals(call.key()) && !other.content().equals(call.content()));
 	}
--- a/src/test/java/sycamorehill/logic/order/OrderHistoryTests.java
+++ b/src/test/java/sycamorehill/logic/order/OrderHistoryTests.java
@@ -32,9 +32,9 @@
 
 	private static final int KEYS = 25;
 
-	private static final Duration FAULTY_TIME = Duration.ofSeconds(40);
+	private static final Duration FAULT_DURATION = Duration.ofSeconds(40);
 
-	private static final OrderPolicy POLICY = Policies.shards(3);
+	private static final OrderPolicy POLICY = OrderPolicies.withShards(3);
 
 	static LongStream seeds() {
 		return LongStream.range(0, Long.getLong("order.seeds", 40)).map((i) -> i + Long.getLong("order.firstSeed", 1));
@@ -42,17 +42,17 @@
 
 	@ParameterizedTest
 	@MethodSource("seeds")
-	void promisesHoldUnderFaults(long seed) {
+	void guaranteesHoldUnderFaults(long seed) {
 		OrderHistory history = new OrderHistory(seed, NODES, POLICY);
-		List<OrderKey> keys = faultyTime(history);
-		heal(history);
+		List<OrderKey> keys = runWithFaults(history);
+		endFaults(history);
 		Map<OrderKey, List<Call>> faulty = history.calls.stream().collect(Collectors.groupingBy(Call::key));
 		keys.forEach((key) -> history.call(history.nodes.get(0), key, "a"));
 		history.runFor(Duration.ofSeconds(15));
 		List<Call> last = keys.stream().map((key) -> history.call(history.nodes.get(0), key, "a")).toList();
 		history.runFor(Duration.ofSeconds(15));
 		Assertions.assertThat(OrderHistoryChecker.check(history)).isEmpty();
-		Assertions.assertThat(refusedForEver(history, faulty, last)).isEmpty();
+		Assertions.assertThat(permanentlyRefusedKeys(history, faulty, last)).isEmpty();
 	}
 
 	// Seeds that showed faults: 4, a claim granted late whose answer was lost stayed
@@ -61,59 +61,60 @@
 	// claim; 230, a settlement was dropped while its issuer was out of sight.
 	@ParameterizedTest
 	@ValueSource(longs = { 4, 10, 53, 107, 155, 230, 276, 499 })
-	void seedThatShowedAFaultStaysGood(long seed) {
-		promisesHoldUnderFaults(seed);
+	void guaranteesHoldForSeedsOfPastFaults(long seed) {
+		guaranteesHoldUnderFaults(seed);
 	}
 
 	// A key whose every call was answered "not run" by a node that lives on must be free
 	// again once the faults are over: of two further calls, the second hears the answer.
-	private static List<String> refusedForEver(OrderHistory history, Map<OrderKey, List<Call>> faulty,
+	private static List<String> permanentlyRefusedKeys(OrderHistory history, Map<OrderKey, List<Call>> faulty,
 			List<Call> last) {
 		List<String> refused = new ArrayList<>();
 		for (Call call : last) {
 			List<Call> earlier = faulty.getOrDefault(call.key(), List.of());
-			boolean free = earlier.stream()
+			boolean shouldBeFree = earlier.stream()
 				.allMatch((other) -> other.incarnation.equals(other.node.incarnation())
 						&& other.outcome().filter(RequestOutcome.NotRun.class::isInstance).isPresent());
-			boolean issuedByDead = OrderNumbers.issued(call.key()) && history.nodes.stream()
+			boolean issuerCrashed = OrderNumbers.issued(call.key()) && history.nodes.stream()
 				.noneMatch((node) -> OrderNumbers.issuedBy(call.key(), node.incarnation()));
 			boolean sameContent = earlier.stream().allMatch((other) -> other.content().equals(call.content()));
-			if (free && sameContent && !issuedByDead && !ran(call)) {
+			if (shouldBeFree && sameContent && !issuerCrashed && !completedOrReplayed(call)) {
 				refused.add(call.outcome() + " for " + call.request);
 			}
 		}
 		return refused;
 	}
 
-	private static boolean ran(Call call) {
+	private static boolean completedOrReplayed(Call call) {
 		RequestOutcome outcome = call.outcome().orElseThrow();
 		return outcome instanceof RequestOutcome.Completed || outcome instanceof RequestOutcome.Replayed;
 	}
 
-	private static List<OrderKey> faultyTime(OrderHistory history) {
+	private static List<OrderKey> runWithFaults(OrderHistory history) {
 		List<OrderKey> keys = keys(history);
 		history.platform.faults(0.05, 0.08, 0.05);
 		history.faults.messageLost = 0.05;
-		history.faults.messageDoubled = 0.1;
-		history.faults.messageLate = 0.05;
-		history.faults.callHeldBack = 0.05;
-		history.faults.targetRefuses = 0.1;
-		history.faults.targetLost = 0.05;
+		history.faults.messageDuplicated = 0.1;
+		history.faults.messageDelayed = 0.05;
+		history.faults.callDelayed = 0.05;
+		history.faults.targetRefused = 0.1;
+		history.faults.answerLost = 0.05;
 		for (OrderKey key : keys) {
 			int calls = 2 + history.random.nextInt(4);
 			for (int i = 0; i < calls; i++) {
 				String content = (history.random.nextInt(20) == 0) ? "b" : "a";
-				history.schedule.add(history.millis((int) FAULTY_TIME.toMillis()),
+				history.schedule.add(history.randomDelay((int) FAULT_DURATION.toMillis()),
 						() -> history.call(anyNode(history), key, content));
 			}
 		}
 		for (int i = 0; i < 12; i++) {
-			history.schedule.add(history.millis((int) FAULTY_TIME.toMillis()), () -> trouble(history));
+			history.schedule.add(history.randomDelay((int) FAULT_DURATION.toMillis()), () -> injectFault(history));
 		}
 		for (int i = 0; i < 60; i++) {
-			history.schedule.add(history.millis((int) FAULTY_TIME.toMillis()), () -> history.see(anyNode(history)));
+			history.schedule.add(history.randomDelay((int) FAULT_DURATION.toMillis()),
+					() -> history.updateLiveNodes(anyNode(history)));
 		}
-		history.runFor(FAULTY_TIME);
+		history.runFor(FAULT_DURATION);
 		return keys;
 	}
 
@@ -121,13 +122,13 @@
 		List<OrderKey> keys = new ArrayList<>();
 		for (int i = 0; i < KEYS; i++) {
 			OrderKey hashed = new OrderKey(history.random.nextLong(), history.random.nextLong());
-			String text = (i % 5 == 0) ? issued(history) : "key-" + i;
+			String text = (i % 5 == 0) ? issuedNumber(history) : "key-" + i;
 			keys.add(OrderNumbers.mark(hashed, text));
 		}
 		return keys;
 	}
 
-	private static String issued(OrderHistory history) {
+	private static String issuedNumber(OrderHistory history) {
 		OrderNode node = anyNode(history);
 		return OrderNumbers.issue(node.incarnation(), node.clock(history.now()), history.random.nextLong());
 	}
@@ -136,9 +137,9 @@
 		return history.nodes.get(history.random.nextInt(NODES));
 	}
 
-	private static void trouble(OrderHistory history) {
+	private static void injectFault(OrderHistory history) {
 		OrderNode node = anyNode(history);
-		Duration length = history.millis(6000);
+		Duration length = history.randomDelay(6000);
 		switch (history.random.nextInt(4)) {
 			case 0 -> history.restart(node);
 			case 1 -> {
@@ -155,28 +156,28 @@
 				history.schedule.add(length, () -> history.platform.down(false));
 			}
 			default -> {
-				history.faults.cutOff(node, true);
-				history.schedule.add(length, () -> history.faults.cutOff(node, false));
+				history.faults.setPartitioned(node, true);
+				history.schedule.add(length, () -> history.faults.setPartitioned(node, false));
 			}
 		}
 	}
 
-	private static void heal(OrderHistory history) {
+	private static void endFaults(OrderHistory history) {
 		history.runFor(Duration.ofSeconds(7));
 		history.platform.faults(0, 0, 0);
 		history.platform.down(false);
-		history.faults.none();
+		history.faults.clear();
 		history.nodes.forEach(history::resume);
-		history.nodes.forEach(history::see);
+		history.nodes.forEach(history::updateLiveNodes);
 		history.runFor(Duration.ofSeconds(60));
 	}
 
 	@Test
-	void seedsDiffer() {
+	void differentSeedsGiveDifferentRuns() {
 		Set<Integer> runs = new HashSet<>();
 		for (long seed = 1; seed <= 5; seed++) {
 			OrderHistory history = new OrderHistory(seed, NODES, POLICY);
-			faultyTime(history);
+			runWithFaults(history);
 			runs.add(history.runs.size());
 		}
 		Assertions.assertThat(runs).hasSizeGreaterThan(1);
@@ -184,7 +185,7 @@
 
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3 })
-	void orderRunsWithoutFaults(long seed) {
+	void everyOrderCompletesWithoutFaults(long seed) {
 		OrderHistory history = new OrderHistory(seed, NODES, POLICY);
 		List<Call> calls = new ArrayList<>();
 		for (OrderKey key : keys(history)) {
--- a/src/test/java/sycamorehill/logic/order/OrderNode.java
+++ b/src/test/java/sycamorehill/logic/order/OrderNode.java
@@ -80,9 +80,9 @@
 		this.paused = false;
 	}
 
-	void see(List<NodeIdentity> alive) {
+	void updateLiveNodes(List<NodeIdentity> live) {
 		TreePMap<NodeName, LiveNode> nodes = TreePMap.empty();
-		for (NodeIdentity node : alive) {
+		for (NodeIdentity node : live) {
 			nodes = nodes.plus(node.incarnation().node(), new LiveNode(node, false, Instant.EPOCH));
 		}
 		this.liveNodes = new LiveNodes(nodes);
@@ -95,8 +95,8 @@
 		return step.effects();
 	}
 
-	NodeIdentity keeperOf(int shard) {
-		return ShardPlacement.keeper(shard, new OrderTrialView(this.identity, this.policy, this.liveNodes));
+	NodeIdentity ownerOf(int shard) {
+		return ShardPlacement.owner(shard, new OrderTrialView(this.identity, this.policy, this.liveNodes));
 	}
 
 	void pause() {
@@ -110,17 +110,17 @@
 	/**
 	 * Runs something in this process, or later if it is paused, or never if it has died.
 	 * @param incarnation the process that it belongs to
-	 * @param work what runs
+	 * @param task what runs
 	 */
-	void run(NodeIncarnation incarnation, Runnable work) {
+	void run(NodeIncarnation incarnation, Runnable task) {
 		if (!incarnation.equals(incarnation())) {
 			return;
 		}
 		if (this.paused) {
-			this.waiting.add(work);
+			this.waiting.add(task);
 			return;
 		}
-		work.run();
+		task.run();
 	}
 
 	void runWaiting() {
--- a/src/test/java/sycamorehill/logic/order/Policies.java
+++ b/src/test/java/sycamorehill/logic/order/OrderPolicies.java
@@ -7,16 +7,16 @@
 /**
  * Bounds for tests.
  */
-final class Policies {
+final class OrderPolicies {
 
-	private Policies() {
+	private OrderPolicies() {
 	}
 
-	static OrderPolicy shards(int shards) {
-		return of(shards, OrderPolicy.standard().retention(), OrderPolicy.standard().mostClaims());
+	static OrderPolicy withShards(int shards) {
+		return withRetention(shards, OrderPolicy.standard().retention(), OrderPolicy.standard().mostClaims());
 	}
 
-	static OrderPolicy of(int shards, Duration retention, int mostClaims) {
+	static OrderPolicy withRetention(int shards, Duration retention, int mostClaims) {
 		OrderPolicy standard = OrderPolicy.standard();
 		return new OrderPolicy(shards, standard.commitInterval(), standard.commitBurst(), standard.settlementDelay(),
 				standard.claimPatience(), standard.claimRetry(), standard.settlementRetry(), standard.platformTimeout(),
