--- a/src/main/java/sycamorehill/logic/order/ActiveOrder.java
+++ b/src/main/java/sycamorehill/logic/order/ActiveOrder.java
@@ -9,19 +9,22 @@
 import sycamorehill.model.request.RequestDescription;
 
 /**
- * A claim of this node, from the question to the committed settlement.
+ * Tracks an order of this node's callers and its claim, from the claim request to the
+ * confirmed settlement.
  *
- * @param key the key
- * @param mark the claim's mark
- * @param request the caller's call, empty for a claim granted after it was given up
- * @param phase how far it is
- * @param startedAt own monotonic time of its beginning
- * @param sends messages sent in this phase
- * @param dueAt when the message is sent again
- * @param status how the order ended
+ * @param key the order's key
+ * @param mark the identifier of the caller's request, which identifies the claim
+ * @param request the caller's request, empty for a claim that was granted after the
+ * request was abandoned
+ * @param phase the current phase
+ * @param startedAt when the claim was first requested or, in the settling phase, when the
+ * settlement began, on this node's monotonic clock
+ * @param sends the number of messages sent in this phase
+ * @param dueAt when the next message is due, empty if none is
+ * @param status the outcome of the order, {@code CLAIMED} until it is known
  * @param answer the answer to record
- * @param keptHere whether this node commits the claim itself because the keeper can't be
- * reached
+ * @param keptHere whether this node commits the claim itself because the shard's owner
+ * can't be reached
  */
 record ActiveOrder(OrderKey key, String mark, Optional<RequestDescription> request, Phase phase, Instant startedAt,
 		int sends, Optional<Instant> dueAt, OrderStatus status, Optional<RecordedAnswer> answer, boolean keptHere) {
@@ -57,15 +60,15 @@
 	}
 
 	/**
-	 * How far a held claim is.
+	 * Lists the phases of an active order.
 	 */
 	enum Phase {
 
-		/** Not granted yet; nothing was sent. */
+		/** The claim is not granted yet; the order has not been sent. */
 		WAITING,
-		/** Granted: the order may be sent. */
+		/** The claim is granted; the order may be sent. */
 		RUNNING,
-		/** Over; the keeper is to write how it ended. */
+		/** The order has ended or was abandoned; its outcome must be committed. */
 		SETTLING
 
 	}
--- a/src/main/java/sycamorehill/logic/order/ClaimHolder.java
+++ b/src/main/java/sycamorehill/logic/order/ClaimHolder.java
@@ -22,8 +22,8 @@
 import sycamorehill.model.request.RequestOutcome;
 
 /**
- * The claims of this node's own callers: asks for the claim, clears the order once it is
- * granted and has the end of it written down.
+ * Manages the claims for orders of this node's callers: requests a claim, clears the
+ * order once the claim is granted, and has the outcome committed.
  */
 final class ClaimHolder {
 
@@ -96,8 +96,9 @@
 		release(step, order);
 	}
 
-	// The claim may be committed later, by a slow keeper or a late write: it must then be
-	// released, or the caller's next try would hear "still running" until it expires.
+	// A slow owner or a delayed write may still commit the claim. It must then be
+	// released, or the caller's next attempt would be answered "still running" until
+	// the claim expires.
 	private static void release(OrderStep step, ActiveOrder order) {
 		if (order.sends() == 0) {
 			step.replaceState(step.state().without(order));
@@ -115,9 +116,8 @@
 			}
 			return;
 		}
-		// A second answer to the same question must not clear the order a second
-		// time, and an answer after the caller heard "not run" must not clear it at
-		// all.
+		// A duplicate reply must not clear the order a second time, and a reply that
+		// arrives after the caller was answered "not run" must not clear it at all.
 		if (order.phase() != ActiveOrder.Phase.WAITING) {
 			return;
 		}
@@ -161,9 +161,10 @@
 		}
 	}
 
-	// A settlement is not dropped while its claim is kept anywhere, however long the
-	// platform is down or the issuer out of sight: a grant for a mark that is not
-	// held any more is taken as given up and released, and the order would run twice.
+	// A settlement is not dropped while any node may keep its claim, however long
+	// the platform is down or the issuer is missing from the live nodes. A grant for
+	// an unknown mark is taken for the grant of an abandoned request and released,
+	// so the order could run twice.
 	private static void sendSettlement(OrderStep step, ActiveOrder order) {
 		Optional<NodeIdentity> committer = committingNode(step, order);
 		if (OrderNumbers.issued(order.key()) && isForgottenByIssuer(step, order)) {
@@ -199,8 +200,9 @@
 		}
 	}
 
-	// The keeper can't be reached, and membership may take seconds to say so. To commit
-	// the claim here is safe: the conditional update decides between the two.
+	// The owner can't be reached, and it may take seconds until the membership shows
+	// this. Committing the claim at this node is safe, because the conditional
+	// update lets only one of two competing writes succeed.
 	private static void commitHere(OrderStep step, OrderKey key, String mark, ActiveOrder.Phase phase) {
 		ActiveOrder order = step.state().held().get(mark);
 		if (order != null && order.phase() == phase && !order.keptHere() && !OrderNumbers.issued(key)) {
--- a/src/main/java/sycamorehill/logic/order/ClaimRules.java
+++ b/src/main/java/sycamorehill/logic/order/ClaimRules.java
@@ -17,9 +17,9 @@
 import sycamorehill.model.request.RecordedAnswer;
 
 /**
- * What an operation does to the claim of its key. A claim only goes from claimed to
- * recorded, released or unknown; a new claim replaces only a released one. So a key that
- * may have run is never granted again.
+ * Decides how an operation changes the claim of its key. A claim changes only from
+ * claimed to recorded, released or unknown, and only a released claim is replaced by a
+ * new one. A key whose order may have run is therefore never granted again.
  */
 final class ClaimRules {
 
@@ -37,10 +37,10 @@
 	}
 
 	/**
-	 * Decides.
-	 * @param existing the claim as it stands, or null
+	 * Decides the result of an operation.
+	 * @param existing the current claim of the key, or null if there is none
 	 * @param operation the operation
-	 * @return what to write and what to answer
+	 * @return the claim to write and the messages to send
 	 */
 	Decision decide(OrderClaim existing, ShardOperation operation) {
 		if (operation instanceof ShardOperation.Claim claim) {
@@ -52,8 +52,8 @@
 	private Decision decideClaim(OrderClaim existing, ShardOperation.Claim operation) {
 		boolean own = existing != null && existing.mark().equals(operation.mark());
 		if (existing == null || existing.status() == OrderStatus.RELEASED) {
-			// The mark was released because its caller heard "not run": to grant it now
-			// would leave a claim that nobody runs and nobody settles.
+			// A mark is released after its caller was answered "not run". Granting
+			// it now would create a claim that no node runs or settles.
 			return own ? replyOnly(operation, OrderVerdict.NOT_TAKEN, Optional.empty()) : grant(operation);
 		}
 		if (!existing.fingerprint().equals(operation.fingerprint())) {
@@ -73,10 +73,12 @@
 		return Decision.of(Optional.of(claim), claimReply(operation, OrderVerdict.GRANTED, Optional.empty()));
 	}
 
-	// The holder may have sent the order just before it died, so it is never given to
-	// another: that would run it twice. A live holder is reminded of its claim: if the
-	// grant was lost after its caller had heard "not run", it does not know of the claim,
-	// and every later call would hear "still running" for ever; now it releases it.
+	// The holder may have sent the order just before it crashed. The claim is
+	// therefore never granted to another call, or the order could run twice. A live
+	// holder is sent its grant again: if the first grant was lost after the caller
+	// was answered "not run", the holder does not know of the claim, and every later
+	// call would be answered "still running" forever. The repeated grant makes such
+	// a holder release the claim.
 	private Decision decideHeld(OrderClaim existing, ShardOperation.Claim operation) {
 		Optional<NodeIdentity> holder = liveNode(existing.holder());
 		OrderVerdict verdict = holder.isPresent() ? OrderVerdict.RUNNING : OrderVerdict.UNKNOWN;
@@ -97,10 +99,10 @@
 	private Decision decideSettlement(OrderClaim existing, ShardOperation.Settle operation) {
 		PeerMessage done = new OrderSettlementReply(operation.key(), operation.mark());
 		if (existing != null && existing.mark().equals(operation.mark())) {
-			// Only the incarnation that holds the claim knows what came of it. A
-			// grant that reaches the node after a restart looks to the new
-			// incarnation like one that was given up, and its release would let the
-			// order run twice.
+			// Only the incarnation that holds the claim knows the outcome. After a
+			// restart, the new incarnation takes a late grant for the grant of an
+			// abandoned request and releases it. Accepting that release would let
+			// the order run twice.
 			boolean holder = existing.holder().equals(operation.requester().incarnation());
 			return (holder && existing.status() == OrderStatus.CLAIMED)
 					? Decision.of(Optional.of(settled(existing, operation)), done)
@@ -109,8 +111,8 @@
 		boolean free = existing == null || existing.status() == OrderStatus.RELEASED;
 		if (free && operation.status() == OrderStatus.RELEASED) {
 			// A write of the claim whose answer was lost may still take effect.
-			// Writing the release decides it: one of the two writes fails on the
-			// page's version.
+			// Writing the release resolves the race: one of the two writes fails
+			// because of the page version.
 			return Decision.of(Optional.of(released(operation)), done);
 		}
 		return Decision.of(Optional.empty(), done);
@@ -136,11 +138,12 @@
 	}
 
 	/**
-	 * What an operation comes to.
+	 * Holds the result of an operation.
 	 *
 	 * @param change the claim to write, empty if nothing changes
-	 * @param reply what the requester hears, after the write if there is one
-	 * @param reminder what the holder of the key's claim hears, if another call met it
+	 * @param reply the reply to the requester, sent after the write if there is one
+	 * @param reminder the grant to send again to the claim's holder, if another call
+	 * found the key claimed
 	 */
 	record Decision(Optional<OrderClaim> change, PeerMessage reply, Optional<ShardBatch.Reply> reminder) {
 
--- a/src/main/java/sycamorehill/logic/order/DueEntry.java
+++ b/src/main/java/sycamorehill/logic/order/DueEntry.java
@@ -7,11 +7,11 @@
 import org.pcollections.TreePSet;
 
 /**
- * Something to be looked at again.
+ * Schedules an item for processing. Entries are ordered by time.
  *
- * @param <T> what names it
- * @param at own monotonic time
- * @param what names it
+ * @param <T> the type of the item's key
+ * @param at the due time on this node's monotonic clock
+ * @param what the item's key
  */
 record DueEntry<T extends Comparable<T>>(Instant at, T what) implements Comparable<DueEntry<T>> {
 
--- a/src/main/java/sycamorehill/logic/order/IssuedClaims.java
+++ b/src/main/java/sycamorehill/logic/order/IssuedClaims.java
@@ -14,12 +14,14 @@
 import sycamorehill.model.request.OrderKey;
 
 /**
- * Claims of the order numbers that this incarnation issued, kept in its memory alone:
- * they need no platform. What this incarnation has forgotten, or another one issued, is
- * never granted, since nobody can tell whether it ran.
+ * Keeps the claims of the order numbers that this incarnation issued. The claims are kept
+ * in memory only and need no platform. A number that this incarnation has forgotten, or
+ * that another incarnation issued, is never granted, because no node knows whether its
+ * order ran.
  */
 final class IssuedClaims {
 
+	// The age of an order number is known to the second only.
 	private static final Duration EXPIRY_MARGIN = Duration.ofSeconds(2);
 
 	private IssuedClaims() {
--- a/src/main/java/sycamorehill/logic/order/OrderOutcomes.java
+++ b/src/main/java/sycamorehill/logic/order/OrderOutcomes.java
@@ -12,9 +12,9 @@
 import sycamorehill.model.request.RequestOutcome;
 
 /**
- * What a caller hears of its order. "Not run" is said only where this call was never
- * cleared; a call whose key another call holds hears "unknown", since the order of that
- * key may be running.
+ * Creates the outcomes that callers of orders receive. "Not run" is returned only for a
+ * call that was never cleared. A call is answered "unknown" while another call with the
+ * same content holds its key, because that order may be running.
  */
 final class OrderOutcomes {
 
--- a/src/main/java/sycamorehill/logic/order/OrderReducer.java
+++ b/src/main/java/sycamorehill/logic/order/OrderReducer.java
@@ -21,10 +21,11 @@
 import sycamorehill.model.peer.PeerMessage;
 
 /**
- * At-most-once orders by claims. The node that has the caller's request holds the claim
- * and sends the order; the keeper of the key's shard, which may be another node, commits
- * claims and settlements to the platform in batches. The keeper saves writes; the
- * conditional update alone gives safety.
+ * Ensures that orders run at most once, by claims on their idempotency keys. The node
+ * that receives the caller's request holds the claim and sends the order. The owner of
+ * the key's shard, which may be another node, commits claims and settlements to the
+ * platform in batches. Owners only reduce the number of writes; safety depends on the
+ * conditional update alone.
  */
 public final class OrderReducer implements Reducer<OrderState> {
 
--- a/src/main/java/sycamorehill/logic/order/OrderState.java
+++ b/src/main/java/sycamorehill/logic/order/OrderState.java
@@ -11,19 +11,19 @@
 import sycamorehill.model.request.OrderKey;
 
 /**
- * State of the part: at-most-once orders by claims.
+ * Holds the state of the orders and order claims at this node.
  *
- * @param held the claims of this node, by mark
- * @param marks the mark of the last call with a key
- * @param dueHeld when each held claim's message is sent again
- * @param shards the shards that this node commits
- * @param calls the shard of each platform call under way
- * @param dueShards when each shard has something to do
- * @param issued claims of the order numbers that this node issued
- * @param issuedByExpiry the same by the time at which they are forgotten
- * @param lastCall number of the last platform call
- * @param wallClock the last wall clock in milliseconds
- * @param quietUntil no further warning before this time
+ * @param held the active orders, by mark
+ * @param marks the mark of the latest active order for each key
+ * @param dueHeld when the next message of each active order is due
+ * @param shards the shards for which this node commits operations
+ * @param calls the shard of each pending platform call, by the number of the call
+ * @param dueShards when each shard is processed next
+ * @param issued the claims of the order numbers that this node issued
+ * @param issuedByExpiry when each of these claims is removed
+ * @param lastCall the number of the last platform call
+ * @param wallClock the last known wall clock time in milliseconds
+ * @param quietUntil the end of the interval in which rate-limited log lines are dropped
  */
 public record OrderState(PMap<String, ActiveOrder> held, PMap<OrderKey, String> marks,
 		TreePSet<DueEntry<String>> dueHeld, PMap<Integer, Shard> shards, PMap<Long, Integer> calls,
@@ -31,7 +31,7 @@
 		TreePSet<DueEntry<OrderKey>> issuedByExpiry, long lastCall, long wallClock, Instant quietUntil) {
 
 	/**
-	 * The state of a fresh node.
+	 * Creates the state of a node that has just started.
 	 * @return the state before the first event
 	 */
 	public static OrderState initial() {
--- a/src/main/java/sycamorehill/logic/order/OrderStep.java
+++ b/src/main/java/sycamorehill/logic/order/OrderStep.java
@@ -26,8 +26,8 @@
 import sycamorehill.model.request.RequestOutcome;
 
 /**
- * Collects the changes and effects of one step of the order part; it lives no longer than
- * the step.
+ * Collects the state changes and effects of one reduction step. An instance is used for a
+ * single step.
  */
 final class OrderStep {
 
@@ -78,8 +78,8 @@
 	}
 
 	/**
-	 * Sends a message; one to this node itself is taken in the same step.
-	 * @param to the node
+	 * Sends a message. A message to this node itself is handled in the same step.
+	 * @param to the receiving node
 	 * @param message the message
 	 */
 	void send(NodeIdentity to, PeerMessage message) {
@@ -115,9 +115,9 @@
 	}
 
 	/**
-	 * Logs an event that may come with every order, but only once in a while.
+	 * Logs an event that may occur with every order, at most once per warning interval.
 	 * @param event the event
-	 * @param detail what it is about
+	 * @param detail the details of the event
 	 */
 	void logRateLimited(LogEvent event, String detail) {
 		if (!this.now.isBefore(this.state.quietUntil())) {
--- a/src/main/java/sycamorehill/logic/order/Shard.java
+++ b/src/main/java/sycamorehill/logic/order/Shard.java
@@ -15,21 +15,22 @@
 import sycamorehill.model.request.OrderKey;
 
 /**
- * What one node knows of one shard, and the operations that wait for its next write.
+ * Holds what this node knows of a shard and the operations that wait for its next write.
  *
- * @param number the shard
- * @param claims every claim that is kept, by key
- * @param sealed the pages before the last one
+ * @param number the number of the shard
+ * @param claims the known claims, by key
+ * @param sealed the sealed pages, by page number
  * @param head the last page, if there is one
  * @param stale whether the pages must be read before the next write
- * @param confirmedAt own monotonic time of the last look at the platform
- * @param waitingClaims claims that wait for a write
- * @param waitingSettlements settlements that wait for a write
- * @param call the platform call under way, at most one
- * @param paceAt when the next write would be due at an even pace
- * @param backoffUntil no call before this time
- * @param failures failed calls since the last good one
- * @param wakeAt when there is something to do next
+ * @param confirmedAt when the last call that confirmed this view was sent to the
+ * platform, on this node's monotonic clock
+ * @param waitingClaims the claims that wait for a write
+ * @param waitingSettlements the settlements that wait for a write
+ * @param call the pending platform call, at most one
+ * @param paceAt when the next write is due if writes are evenly spaced
+ * @param backoffUntil the time before which no platform call is sent
+ * @param failures the number of failed calls since the last successful one
+ * @param wakeAt when the shard is processed next
  */
 record Shard(int number, PMap<OrderKey, StoredClaim> claims, TreePMap<Long, SealedPage> sealed, Optional<HeadPage> head,
 		boolean stale, Instant confirmedAt, PVector<ShardOperation.Claim> waitingClaims,
@@ -98,12 +99,12 @@
 	}
 
 	/**
-	 * Takes a page in that was read or written.
+	 * Adds a page that was read or written.
 	 * @param page the page
-	 * @param version its version
-	 * @param changes its claims that may be new here
-	 * @param now own monotonic time
-	 * @return the shard with the page as its last
+	 * @param version the version of the page in the platform
+	 * @param changes the claims of the page that may be new to this node
+	 * @param now the current time on this node's monotonic clock
+	 * @return the shard with the page as its head page
 	 */
 	Shard withPage(OrderShard page, long version, Map<OrderKey, OrderClaim> changes, Instant now) {
 		PMap<OrderKey, StoredClaim> known = this.claims;
@@ -133,30 +134,30 @@
 	}
 
 	/**
-	 * A claim and the last page that holds it.
+	 * Holds a claim and the last page that contains it.
 	 *
 	 * @param claim the claim
-	 * @param page the page
+	 * @param page the number of the page
 	 */
 	record StoredClaim(OrderClaim claim, long page) {
 	}
 
 	/**
-	 * The last page.
+	 * Holds the last page of a shard.
 	 *
-	 * @param version its version in the platform
+	 * @param version the version of the page in the platform
 	 * @param value the page
 	 */
 	record HeadPage(long version, OrderShard value) {
 	}
 
 	/**
-	 * A page that never changes again.
+	 * Describes a sealed page, which never changes again.
 	 *
-	 * @param version its version in the platform
-	 * @param seenAt own monotonic time at which it was first seen sealed: all its claims
-	 * are older
-	 * @param claims its claims
+	 * @param version the version of the page in the platform
+	 * @param seenAt when this node first saw the page sealed, on its monotonic clock; all
+	 * claims of the page are older
+	 * @param claims the claims of the page
 	 */
 	record SealedPage(long version, Instant seenAt, PMap<OrderKey, OrderClaim> claims) {
 	}
--- a/src/main/java/sycamorehill/logic/order/ShardBatch.java
+++ b/src/main/java/sycamorehill/logic/order/ShardBatch.java
@@ -18,21 +18,24 @@
 import sycamorehill.model.request.OrderKey;
 
 /**
- * The operations that one write commits. An answer that rests on the write is sent only
- * after it.
+ * Collects the operations that one write commits. Replies that depend on the write are
+ * sent only after it.
  *
- * @param changes the claims to write
- * @param bytes estimated size of the changes
- * @param claims the claims that it commits
- * @param settlements the settlements that it commits
- * @param afterWrite answers to send once it is written
- * @param atOnce answers that rest on what is already written
- * @param full whether a claim was turned away because the shard is full
+ * @param changes the claims to write, by key
+ * @param bytes the estimated size of the changes
+ * @param claims the claims that the write commits
+ * @param settlements the settlements that the write commits
+ * @param afterWrite the replies to send after the write
+ * @param atOnce the replies that depend only on what is already written
+ * @param full whether a claim was rejected because the shard is full
  */
 record ShardBatch(PMap<OrderKey, OrderClaim> changes, int bytes, PVector<ShardOperation.Claim> claims,
 		PVector<ShardOperation.Settle> settlements, PVector<Reply> afterWrite, PVector<Reply> atOnce, boolean full) {
 
-	/** The most that one write adds to a page, as estimated. */
+	/**
+	 * Limits what one write adds to a page, in estimated bytes: a batch of this size
+	 * accepts no further operations.
+	 */
 	static final int MAXIMUM_BYTES = 64 * 1024;
 
 	private static final int CLAIM_OVERHEAD_BYTES = 300;
@@ -71,12 +74,13 @@
 	}
 
 	/**
-	 * Whether a settlement must wait for a new look at the pages. The claim may have been
-	 * committed by another node since the last look: to say "written down" for a claim
-	 * that is not seen would lose the answer, and the claim would look given up.
+	 * Returns whether a settlement must wait until the pages are read again. Another node
+	 * may have committed the claim since the last read. Confirming the settlement of a
+	 * claim that this node does not know would lose the answer, and the claim would be
+	 * taken for an abandoned one.
 	 * @param shard the shard
 	 * @param operation the settlement
-	 * @return whether the view is older than the settlement and lacks its claim
+	 * @return whether the claim is unknown and the last read is older than the settlement
 	 */
 	boolean needsRead(Shard shard, ShardOperation.Settle operation) {
 		OrderClaim changed = this.changes.get(operation.key());
@@ -98,10 +102,11 @@
 		return rules.decide((changed != null) ? changed : shard.claim(operation.key()), operation);
 	}
 
-	// The requester gave up and told its caller "not run" before this was written; to
-	// claim the key now, for instance after a pause of this node, would keep the caller's
-	// next try from running. If an earlier write of it took effect after all, the
-	// requester is told, and releases it.
+	// The requester has abandoned this claim and answered its caller "not run"
+	// before the claim was written. Committing it now, for instance after a pause of
+	// this node, would prevent the caller's next attempt from running. If an earlier
+	// write of the claim did take effect, the requester is sent the grant and
+	// releases the claim.
 	private ShardBatch withExpired(ShardOperation.Claim operation, OrderClaim stored) {
 		boolean written = stored != null && stored.mark().equals(operation.mark())
 				&& stored.status() == OrderStatus.CLAIMED;
@@ -135,10 +140,10 @@
 	}
 
 	/**
-	 * An answer to a node.
+	 * Holds a reply to a node.
 	 *
-	 * @param to the node
-	 * @param message the answer
+	 * @param to the receiving node
+	 * @param message the reply
 	 */
 	record Reply(NodeIdentity to, PeerMessage message) {
 	}
--- a/src/main/java/sycamorehill/logic/order/ShardCall.java
+++ b/src/main/java/sycamorehill/logic/order/ShardCall.java
@@ -3,30 +3,30 @@
 import sycamorehill.model.order.OrderShard;
 
 /**
- * A platform call for a shard.
+ * Describes a pending platform call for a shard.
  */
 sealed interface ShardCall {
 
 	/**
-	 * The call's number.
+	 * Returns the number of the call.
 	 * @return the number
 	 */
 	long number();
 
 	/**
-	 * Reads the pages behind one.
+	 * Reads the pages after a given page.
 	 *
-	 * @param number the call's number
+	 * @param number the number of the call
 	 */
 	record ReadPages(long number) implements ShardCall {
 	}
 
 	/**
-	 * Writes the last page or creates the next one.
+	 * Writes the head page or creates the next page.
 	 *
-	 * @param number the call's number
-	 * @param page the page as it will be
-	 * @param batch what it commits
+	 * @param number the number of the call
+	 * @param page the page after the write
+	 * @param batch the operations that the write commits
 	 */
 	record WritePage(long number, OrderShard page, ShardBatch batch) implements ShardCall {
 	}
@@ -34,8 +34,8 @@
 	/**
 	 * Deletes the first page, whose claims have expired.
 	 *
-	 * @param number the call's number
-	 * @param page the page
+	 * @param number the number of the call
+	 * @param page the number of the page
 	 */
 	record DeletePage(long number, long page) implements ShardCall {
 	}
--- a/src/main/java/sycamorehill/logic/order/ShardCommitter.java
+++ b/src/main/java/sycamorehill/logic/order/ShardCommitter.java
@@ -14,8 +14,8 @@
 import sycamorehill.model.platform.PlatformAnswer;
 
 /**
- * Commits the operations of the shards that this node keeps. Each shard has at most one
- * platform call under way; what arrives meanwhile shares the next write.
+ * Commits the operations that this node receives for shards. Each shard has at most one
+ * pending platform call; operations that arrive meanwhile share the next write.
  */
 final class ShardCommitter {
 
@@ -87,14 +87,16 @@
 		if (!shard.waitingClaims().isEmpty()) {
 			return paceLimit;
 		}
-		// Nobody waits for a settlement, so it shares the write of a later claim.
+		// No caller waits for a settlement, so it is delayed to share the write of a
+		// later claim.
 		Instant settlementDueAt = shard.waitingSettlements().get(0).takenAt().plus(step.policy().settlementDelay());
 		return settlementDueAt.isAfter(paceLimit) ? settlementDueAt : paceLimit;
 	}
 
-	// A node that was paused for hours could create a page that has since been written,
-	// filled, expired and deleted, and grant a key again. A look that is recent compared
-	// with the retention rules that out.
+	// After a pause of hours, a node could create a page that other nodes have
+	// meanwhile written, filled and, after its expiry, deleted, and grant a key a
+	// second time. A read that is recent compared with the retention time prevents
+	// this.
 	private static boolean needsRead(OrderStep step, Shard shard) {
 		return shard.stale() || shard.confirmedAt().plus(step.policy().viewBound()).isBefore(step.now());
 	}
@@ -172,9 +174,9 @@
 		if (event.answer() instanceof PlatformAnswer.NotTaken) {
 			return withBackoff(step, requeued, event.answer());
 		}
-		// Another node wrote, or it is open whether this write took effect. The page
-		// tells: a claim with its own mark was granted, and one of two writes with
-		// the same expected version fails.
+		// Another node has written the page, or the result of this write is unknown.
+		// Reading the page resolves both cases: a claim with its own mark was
+		// granted, and one of two writes that expect the same version fails.
 		Shard stale = requeued.asStale();
 		return (event.answer() instanceof PlatformAnswer.Conflict) ? stale : withBackoff(step, stale, event.answer());
 	}
@@ -190,8 +192,8 @@
 	private static Shard withBackoff(OrderStep step, Shard shard, PlatformAnswer answer) {
 		long backoffMillis = MINIMUM_BACKOFF.toMillis() << Math.min(shard.failures(), MAXIMUM_DOUBLINGS);
 		long boundedMillis = Math.min(backoffMillis, MAXIMUM_BACKOFF.toMillis());
-		// Nodes and shards spread out, so that they do not come back together when an
-		// outage ends.
+		// The delay differs between nodes and shards, so that they do not all retry
+		// at the same time when an outage ends.
 		int jitterPercent = Math.floorMod(step.view().self().hashCode() * 31 + shard.number() * 17 + shard.failures(),
 				100);
 		Duration wait = Duration.ofMillis(boundedMillis / 2 + boundedMillis * jitterPercent / 200);
--- a/src/main/java/sycamorehill/logic/order/ShardOperation.java
+++ b/src/main/java/sycamorehill/logic/order/ShardOperation.java
@@ -10,31 +10,31 @@
 import sycamorehill.model.request.RecordedAnswer;
 
 /**
- * A change of a shard that waits to be committed.
+ * Describes a change to a shard that waits to be committed.
  */
 sealed interface ShardOperation {
 
 	/**
-	 * The key it is about.
+	 * Returns the key that the operation changes.
 	 * @return the key
 	 */
 	OrderKey key();
 
 	/**
-	 * The mark of the claim it is about.
+	 * Returns the mark of the claim that the operation changes.
 	 * @return the mark
 	 */
 	String mark();
 
 	/**
-	 * Who waits for the answer.
+	 * Returns the node that waits for the reply.
 	 * @return the node
 	 */
 	NodeIdentity requester();
 
 	/**
-	 * When it was taken in.
-	 * @return own monotonic time
+	 * Returns when this node received the operation.
+	 * @return the time on this node's monotonic clock
 	 */
 	Instant takenAt();
 
@@ -42,10 +42,10 @@
 	 * Claims a key for the requester.
 	 *
 	 * @param key the key
-	 * @param mark unique to the caller's call
-	 * @param fingerprint content of the order
-	 * @param requester who waits and will send
-	 * @param takenAt own monotonic time
+	 * @param mark the identifier of the caller's request, which identifies the claim
+	 * @param fingerprint the fingerprint of the order's content
+	 * @param requester the node that waits for the reply and sends the order
+	 * @param takenAt when this node received the operation, on its monotonic clock
 	 */
 	record Claim(OrderKey key, String mark, Fingerprint fingerprint, NodeIdentity requester,
 			Instant takenAt) implements ShardOperation {
@@ -55,11 +55,11 @@
 	 * Settles a claim of the requester.
 	 *
 	 * @param key the key
-	 * @param mark the claim's mark
-	 * @param status how the order ended
+	 * @param mark the mark of the claim
+	 * @param status the outcome of the order
 	 * @param answer the answer to record
-	 * @param requester who waits
-	 * @param takenAt own monotonic time
+	 * @param requester the node that waits for the reply
+	 * @param takenAt when this node received the operation, on its monotonic clock
 	 */
 	record Settle(OrderKey key, String mark, OrderStatus status, Optional<RecordedAnswer> answer,
 			NodeIdentity requester, Instant takenAt) implements ShardOperation {
--- a/src/main/java/sycamorehill/logic/order/ShardPages.java
+++ b/src/main/java/sycamorehill/logic/order/ShardPages.java
@@ -22,8 +22,8 @@
 final class ShardPages {
 
 	/**
-	 * A page of this estimated size is sealed; with the last batch it stays far below a
-	 * megabyte.
+	 * Estimated size in bytes from which a page is sealed. Even with the last batch, a
+	 * page stays far below one megabyte.
 	 */
 	static final int SEAL_THRESHOLD_BYTES = 32 * 1024;
 
@@ -39,8 +39,8 @@
 		replaceShard(step, shard.withCall(Optional.of(new ShardCall.ReadPages(call))));
 	}
 
-	// A page that was still open when it was read may have grown before the next one was
-	// created: it is read again, or a key in it could be granted a second time.
+	// A page that was read before it was sealed may have changed until the next page
+	// was created. It is read again, or a key in it could be granted a second time.
 	static void handlePages(OrderStep step, Shard shard, List<StoredObject> objects, Instant sentAt) {
 		Shard read = shard;
 		int pageCount = 0;
@@ -63,8 +63,8 @@
 		read(step, read, last.sealed() ? last.page() : last.page() - 1);
 	}
 
-	// The platform came back older than this node's view: what is known here stays known,
-	// and the next page continues the numbers.
+	// The platform was restored to a state older than this node's view. The known
+	// claims are kept, and the next page continues the page numbers.
 	private static Shard sealHeadIfLost(Shard shard, int pageCount) {
 		if (pageCount > 0 || shard.head().isEmpty()) {
 			return shard;
@@ -94,11 +94,12 @@
 	}
 
 	/**
-	 * Looks after a shard without work: lets go of one that another node keeps, and
-	 * deletes the first page once its claims have expired. The age is counted on this
-	 * node's own clock from when it first saw the page sealed, so no two wall clocks are
-	 * compared and a wrong one can't make a key be forgotten early.
-	 * @param step the step
+	 * Cleans up a shard without waiting operations. Removes the shard from the state if
+	 * another node owns it, and deletes the first page once its claims have expired. The
+	 * age of a page is measured on this node's monotonic clock from when the node first
+	 * saw the page sealed. Wall clocks are not compared, so a wrong one can't expire a
+	 * key early.
+	 * @param step the current step
 	 * @param shard the shard
 	 */
 	static void cleanUp(OrderStep step, Shard shard) {
--- a/src/main/java/sycamorehill/logic/order/ShardPlacement.java
+++ b/src/main/java/sycamorehill/logic/order/ShardPlacement.java
@@ -11,7 +11,7 @@
 import sycamorehill.model.request.OrderKey;
 
 /**
- * Where the claim of a key is kept and which node commits it.
+ * Determines the page that stores a claim and the node that commits it.
  */
 final class ShardPlacement {
 
@@ -29,11 +29,13 @@
 	}
 
 	/**
-	 * The node that commits the claims of a shard, by rendezvous hashing over all live
-	 * nodes. Two nodes that disagree do no harm: the conditional update decides.
+	 * Returns the owner of a shard, the node that commits its claims. The owner is chosen
+	 * by rendezvous hashing over all live nodes. Two nodes that choose different owners
+	 * do no harm, because the conditional update lets only one of two competing writes
+	 * succeed.
 	 * @param shard the shard
-	 * @param view the live nodes
-	 * @return the node, this one if none is known
+	 * @param view the view of the live nodes
+	 * @return the owner, this node if no other node is known
 	 */
 	static NodeIdentity owner(int shard, NodeView view) {
 		NodeIdentity best = view.self();
@@ -49,10 +51,10 @@
 	}
 
 	/**
-	 * The live node that issued the number of a key.
-	 * @param key the key of an issued number
-	 * @param view the live nodes
-	 * @return the node, or null if its issuer is not alive
+	 * Returns the live node that issued an order number.
+	 * @param key the key of the order number
+	 * @param view the view of the live nodes
+	 * @return the issuer, or null if it is not live
 	 */
 	static NodeIdentity issuer(OrderKey key, NodeView view) {
 		if (OrderNumbers.issuedBy(key, view.self().incarnation())) {
--- a/src/test/java/sycamorehill/logic/order/ClaimRulesTests.java
+++ b/src/test/java/sycamorehill/logic/order/ClaimRulesTests.java
@@ -36,16 +36,17 @@
 
 	@Test
 	void releaseOfUnknownClaimIsWritten() {
-		// A write of the claim is still under way when its release arrives. Confirmed
-		// without a write, the claim would take effect later and keep its key.
+		// A write of the claim is still pending when its release arrives. If the
+		// release were confirmed without a write, the claim would take effect later
+		// and block its key.
 		ClaimRules.Decision decision = RULES.decide(null, settleOperation(OrderStatus.RELEASED));
 		Assertions.assertThat(decision.change().orElseThrow().status()).isEqualTo(OrderStatus.RELEASED);
 	}
 
 	@Test
 	void releasedMarkIsNotGrantedAgain() {
-		// A late copy of the question meets its own release: granted, nobody would run it
-		// and nobody would settle it.
+		// A duplicate of the claim request arrives after the claim was released. If
+		// it were granted, no node would run or settle the order.
 		ClaimRules.Decision decision = RULES.decide(claim(OrderStatus.RELEASED), claimOperation("m1"));
 		Assertions.assertThat(verdict(decision)).isEqualTo(OrderVerdict.NOT_TAKEN);
 	}
--- a/src/test/java/sycamorehill/logic/order/HistoryFaults.java
+++ b/src/test/java/sycamorehill/logic/order/HistoryFaults.java
@@ -6,7 +6,8 @@
 import sycamorehill.model.identity.NodeName;
 
 /**
- * What goes wrong in a history, as shares of everything that could.
+ * Holds the faults that a history injects: the probability of each kind of fault and the
+ * partitioned nodes.
  */
 final class HistoryFaults {
 
@@ -25,9 +26,9 @@
 	private final Set<NodeName> partitioned = new HashSet<>();
 
 	/**
-	 * Cuts a node off from all others, or puts it back.
+	 * Partitions a node from all others, or reconnects it.
 	 * @param node the node
-	 * @param isPartitioned whether it is cut off
+	 * @param isPartitioned whether the node is partitioned
 	 */
 	void setPartitioned(OrderNode node, boolean isPartitioned) {
 		if (isPartitioned) {
--- a/src/test/java/sycamorehill/logic/order/OrderAtMostOnceTests.java
+++ b/src/test/java/sycamorehill/logic/order/OrderAtMostOnceTests.java
@@ -37,7 +37,7 @@
 import sycamorehill.model.request.RequestOutcome;
 
 /**
- * Each way in which an order could run twice, or be refused for ever.
+ * Tests the cases in which an order could run twice or its key could be refused forever.
  */
 class OrderAtMostOnceTests {
 
@@ -71,8 +71,9 @@
 
 	@Test
 	void secondCallDuringFirstIsAnsweredStillRunning() {
-		// The caller times out and calls again through another node while the first call
-		// still runs. "Not run" would make it place the order anew: two vans would leave.
+		// The caller times out and calls again through another node while the first
+		// call still runs. If it were answered "not run", it would place the order
+		// again, and the order would run twice.
 		Call first = call(1);
 		runUntil(() -> first.cleared == 1);
 		Call second = call(2);
@@ -84,9 +85,9 @@
 
 	@Test
 	void claimWithLostWriteAnswerIsRecognizedByItsMark() {
-		// The platform writes the claim and its answer is lost. Read back, the key is
-		// claimed: taken for another's claim, the order would be refused though
-		// nobody runs it. The mark tells that it is one's own.
+		// The platform writes the claim, but its answer is lost. When the page is
+		// read back, the key is claimed. The mark identifies the claim as the node's
+		// own; otherwise the order would be refused although no node runs it.
 		call(1);
 		runForSeconds(3);
 		OrderKey key = new OrderKey(1, 2);
@@ -100,9 +101,9 @@
 
 	@Test
 	void claimCommittedAfterNotRunIsReleased() {
-		// The write of a claim hangs in the network, the caller hears "not run", and
-		// then the write takes effect. Unless it is released, every later try of the
-		// caller hears "still running", for ever.
+		// The write of a claim is delayed, the caller is answered "not run", and
+		// then the write takes effect. Unless the claim is released, every further
+		// call is answered "still running" forever.
 		call(1);
 		runForSeconds(3);
 		OrderKey key = new OrderKey(1, 2);
@@ -119,9 +120,10 @@
 
 	@Test
 	void claimUnknownToItsHolderIsReleased() {
-		// A claim took effect long after its caller heard "not run", and the grant
-		// was lost: nobody knows of it. The caller's next call hears "still running";
-		// the one after that must run, or the key would be refused for ever.
+		// A claim took effect long after its caller was answered "not run", and the
+		// grant was lost, so no node knows of the claim. The caller's next call is
+		// answered "still running"; the call after that must run, or the key would
+		// be refused forever.
 		OrderClaim unknownToHolder = new OrderClaim(KEY, new Fingerprint("a"), node(1).incarnation(), "n1-1-r99",
 				OrderStatus.CLAIMED, Optional.empty(), 0);
 		put(new OrderShard(0, 1, false, HashTreePMap.singleton(KEY, unknownToHolder), "w1"));
@@ -134,8 +136,8 @@
 
 	@Test
 	void orderIsNotRunAgainAfterHolderCrashesBeforeSending() {
-		// The node dies after its claim is granted. Nobody can tell whether it had
-		// sent the order, so the caller's next call hears "unknown".
+		// The node crashes after its claim is granted. Whether it had sent the order
+		// is unknown, so the caller's next call is answered "unknown".
 		Call first = call(1);
 		runUntil(() -> first.cleared == 1);
 		this.history.restart(node(1));
@@ -148,8 +150,8 @@
 
 	@Test
 	void orderIsNotRunAgainAfterHolderCrashesBeforeRecording() {
-		// The target has run the order; the node dies before it has the answer written
-		// down.
+		// The target has run the order, but the node crashes before the answer is
+		// recorded.
 		call(1);
 		runUntil(() -> this.history.runs.size() == 1);
 		this.history.restart(node(1));
@@ -162,9 +164,9 @@
 
 	@Test
 	void grantReceivedAfterRestartDoesNotReleaseClaim() {
-		// A node dies after its order ran. A late copy of its grant reaches the
-		// restarted node, to which it looks like a grant for a call that was given
-		// up. Released, the key would be free for a second run.
+		// A node crashes after its order ran. A late duplicate of the grant reaches
+		// the restarted node, which takes it for the grant of an abandoned request.
+		// If the node released the claim, the order could run a second time.
 		Call first = call(1);
 		runUntil(() -> this.history.runs.size() == 1);
 		String mark = first.request.identifier().toString();
@@ -191,10 +193,10 @@
 
 	@Test
 	void settlementIsNotConfirmedByOwnerWithoutTheClaim() {
-		// A node that can't reach the keeper commits a claim itself and runs the
-		// order. Its settlement then goes to the keeper, whose view lacks the claim.
-		// Confirmed unseen, the answer would be lost and the claim would look given
-		// up: a second run.
+		// A node that can't reach the owner commits a claim itself and runs the
+		// order. Its settlement then goes to the owner, which does not know the
+		// claim. If the owner confirmed it, the answer would be lost and the claim
+		// would be taken for an abandoned one: the order would run a second time.
 		OrderNode owner = owner();
 		OrderNode other = this.history.nodes.stream().filter((node) -> node != owner).findFirst().orElseThrow();
 		this.history.call(owner, new OrderKey(1, 2), "a");
@@ -211,9 +213,10 @@
 
 	@Test
 	void pausedOwnerReadsPagesBeforeWriting() {
-		// A keeper knows page 1 and is paused for longer than keys are remembered. Page 2
-		// has been written, has expired and been deleted; page 3 holds the key. Creating
-		// page 2 anew would succeed and grant the key a second time.
+		// An owner knows page 1 and is paused for longer than keys are retained.
+		// Meanwhile page 2 has been written, has expired and been deleted; page 3
+		// contains the key. Creating page 2 again would succeed and grant the key a
+		// second time.
 		OrderClaim recorded = recorded(new OrderKey(1, 2));
 		put(new OrderShard(0, 1, true, HashTreePMap.singleton(recorded.key(), recorded), "w1"));
 		OrderNode owner = owner();
@@ -227,23 +230,24 @@
 		this.history.resume(owner);
 		runForSeconds(5);
 		Assertions.assertThat(this.history.runs).isEmpty();
-		// The key's run lies before this history, which the checker can't know.
+		// The key's run precedes this history, so the checker can't know of it.
 		this.history = new OrderHistory(1, 1, OrderPolicies.withShards(1));
 	}
 
 	@Test
 	void releaseReachesPausedOwnerAfterHolderCrashes() {
-		// A keeper is paused with a claim in its queue. The caller hears "not run",
-		// the release is sent at once, and then the node dies. Without the release
-		// the claim would belong to a dead node, and the caller's next call would
-		// hear "unknown" for an order that never ran.
+		// An owner is paused with a claim in its queue. The caller is answered "not
+		// run", the release is sent at once, and then the holder crashes. Without
+		// the release the claim would belong to a crashed node, and the caller's
+		// next call would be answered "unknown" for an order that never ran.
 		Assertions.assertThat(nextOutcomeAfterOwnerPause(0)).contains(new RequestOutcome.Completed());
 	}
 
 	@Test
 	void timedOutClaimIsNotCommittedAfterPause() {
-		// The same, but the release is lost with the node. The keeper itself must see
-		// that the claim in its queue is older than any caller waits.
+		// As above, but the release is lost when the holder crashes. The owner
+		// itself must detect that the claim in its queue is older than any caller
+		// waits.
 		Assertions.assertThat(nextOutcomeAfterOwnerPause(1)).contains(new RequestOutcome.Completed());
 	}
 
@@ -294,8 +298,8 @@
 
 	@Test
 	void wrongWallClockDoesNotExpireKeys() {
-		// The nodes' wall clocks differ by hours, more than keys are remembered. A
-		// key that expired by another node's clock would be free for a second run.
+		// The nodes' wall clocks differ by hours, more than the retention time. If a
+		// key expired by another node's clock, its order could run a second time.
 		this.history = new OrderHistory(1, 3, OrderPolicies.withRetention(1, Duration.ofMinutes(30), 20_000));
 		this.history.answerText = "x".repeat(8000);
 		for (int i = 0; i < 20; i++) {
@@ -334,8 +338,8 @@
 
 	@Test
 	void issuedNumberOfCrashedNodeIsNeverGranted() {
-		// The issuer kept the claim in its memory and has died with it: any other
-		// node that granted the number could run the order a second time.
+		// The issuer kept the claim in memory only and has crashed. Any other node
+		// that granted the number could run the order a second time.
 		OrderKey issued = issuedBy(node(1));
 		this.history.call(node(2), issued, "a");
 		runForSeconds(3);
--- a/src/test/java/sycamorehill/logic/order/OrderHistory.java
+++ b/src/test/java/sycamorehill/logic/order/OrderHistory.java
@@ -36,8 +36,8 @@
 import sycamorehill.support.FakePlatform;
 
 /**
- * Several nodes over one platform and one target, in virtual time. Everything that
- * happens is written down for the checker.
+ * Simulates several nodes with one platform and one target in virtual time, and records
+ * all calls and runs for the checker.
  */
 final class OrderHistory {
 
@@ -82,11 +82,11 @@
 	}
 
 	/**
-	 * A caller sends an order to a node.
+	 * Sends a caller's order to a node.
 	 * @param node the node
-	 * @param key its idempotency key
-	 * @param content its content
-	 * @return what becomes of the call
+	 * @param key the idempotency key of the order
+	 * @param content the content of the order
+	 * @return the call, which records its answers
 	 */
 	Call call(OrderNode node, OrderKey key, String content) {
 		RequestIdentifier identifier = RequestIdentifier.of(node.incarnation(), ++this.lastRequest);
@@ -176,7 +176,8 @@
 		}
 	}
 
-	// The target runs the order, refuses it before running, or its answer is lost.
+	// The target refuses the order without running it, or runs it; the answer may be
+	// lost.
 	private void sendToTarget(OrderNode node, Call call) {
 		double draw = this.random.nextDouble();
 		if (draw < this.faults.targetRefused) {
@@ -244,17 +245,17 @@
 	}
 
 	/**
-	 * One order that a target ran.
+	 * Records one run of an order at the target.
 	 *
-	 * @param call the call that it ran for
-	 * @param at when
-	 * @param answer what it answered
+	 * @param call the call for which the order ran
+	 * @param at when the order ran
+	 * @param answer the answer of the target
 	 */
 	record Run(Call call, Instant at, RecordedAnswer answer) {
 	}
 
 	/**
-	 * One call of a caller.
+	 * Records one call of a caller and its answers.
 	 */
 	static final class Call {
 
--- a/src/test/java/sycamorehill/logic/order/OrderHistoryChecker.java
+++ b/src/test/java/sycamorehill/logic/order/OrderHistoryChecker.java
@@ -13,7 +13,7 @@
 import sycamorehill.model.request.RequestOutcome;
 
 /**
- * Reads a history and names every broken promise.
+ * Checks a history and reports every violated guarantee.
  */
 final class OrderHistoryChecker {
 
@@ -57,10 +57,10 @@
 		boolean ranItself = run.isPresent() && run.get().call() == call;
 		if (outcome instanceof RequestOutcome.NotRun notRun) {
 			if (ranItself) {
-				this.violations.add("'not run' is false: " + call.request);
+				this.violations.add("answered 'not run' although the order ran: " + call.request);
 			}
 			if (notRun.refusal().reason() == RefusalReason.KEY_REUSED && !hasCallWithOtherContent(call)) {
-				this.violations.add("no other content had the key: " + call.request);
+				this.violations.add("refused as key reuse although no call had other content: " + call.request);
 			}
 		}
 		if (outcome instanceof RequestOutcome.Completed && !ranItself) {
@@ -70,7 +70,7 @@
 			boolean same = run.isPresent() && run.get().answer().equals(replayed.answer())
 					&& run.get().call().content().equals(call.content());
 			if (!same) {
-				this.violations.add("another answer was given again: " + call.request);
+				this.violations.add("replayed answer differs from the answer of the run: " + call.request);
 			}
 		}
 	}
--- a/src/test/java/sycamorehill/logic/order/OrderHistoryTests.java
+++ b/src/test/java/sycamorehill/logic/order/OrderHistoryTests.java
@@ -23,8 +23,9 @@
 import sycamorehill.model.request.RequestOutcome;
 
 /**
- * Random histories of orders under every fault at once. More seeds:
- * {@code mvn -o test -Dtest=OrderHistoryTests -Dorder.seeds=5000 -Dorder.firstSeed=1000}.
+ * Checks random histories of orders with all kinds of faults combined. To run more seeds:
+ * {@code mvn -o test -Dtest=OrderHistoryTests -Dorder.seeds=5000
+ * -Dorder.firstSeed=1000}.
  */
 class OrderHistoryTests {
 
@@ -55,18 +56,20 @@
 		Assertions.assertThat(permanentlyRefusedKeys(history, faulty, last)).isEmpty();
 	}
 
-	// Seeds that showed faults: 4, a claim granted late whose answer was lost stayed
-	// for ever; 10, a grant that reached a restarted node was released after the
-	// order ran; 53, a settlement was confirmed by a keeper that had not seen the
-	// claim; 230, a settlement was dropped while its issuer was out of sight.
+	// Seeds that found faults. Seed 4: a claim was granted late, the answer was
+	// lost, and the claim stayed forever. Seed 10: a grant received after a restart
+	// was released although the order had run. Seed 53: an owner that did not know
+	// the claim confirmed its settlement. Seed 230: a settlement was dropped while
+	// the issuer was missing from the live nodes.
 	@ParameterizedTest
 	@ValueSource(longs = { 4, 10, 53, 107, 155, 230, 276, 499 })
 	void guaranteesHoldForSeedsOfPastFaults(long seed) {
 		guaranteesHoldUnderFaults(seed);
 	}
 
-	// A key whose every call was answered "not run" by a node that lives on must be free
-	// again once the faults are over: of two further calls, the second hears the answer.
+	// If all calls with a key were answered "not run" by nodes that have not
+	// restarted, the key must be free once the faults end: the second of two further
+	// calls must complete or receive the recorded answer.
 	private static List<String> permanentlyRefusedKeys(OrderHistory history, Map<OrderKey, List<Call>> faulty,
 			List<Call> last) {
 		List<String> refused = new ArrayList<>();
--- a/src/test/java/sycamorehill/logic/order/OrderNode.java
+++ b/src/test/java/sycamorehill/logic/order/OrderNode.java
@@ -23,7 +23,7 @@
 import sycamorehill.model.policy.Policy;
 
 /**
- * One node of a history: a state, a clock of its own and what waits while it is paused.
+ * Simulates one node: its state, its clock and the tasks that wait while it is paused.
  */
 final class OrderNode {
 
@@ -108,9 +108,10 @@
 	}
 
 	/**
-	 * Runs something in this process, or later if it is paused, or never if it has died.
-	 * @param incarnation the process that it belongs to
-	 * @param task what runs
+	 * Runs a task in a process of this node. The task waits while the node is paused and
+	 * is dropped if the process has ended.
+	 * @param incarnation the incarnation of the process
+	 * @param task the task
 	 */
 	void run(NodeIncarnation incarnation, Runnable task) {
 		if (!incarnation.equals(incarnation())) {
--- a/src/test/java/sycamorehill/logic/order/OrderPolicies.java
+++ b/src/test/java/sycamorehill/logic/order/OrderPolicies.java
@@ -5,7 +5,7 @@
 import sycamorehill.model.policy.OrderPolicy;
 
 /**
- * Bounds for tests.
+ * Creates order policies for tests.
  */
 final class OrderPolicies {
 
