--- a/src/main/java/sycamorehill/entry/CallerConnection.java
+++ b/src/main/java/sycamorehill/entry/CallerConnection.java
@@ -165,7 +165,7 @@
 			refuse(HttpResponseStatus.BAD_REQUEST, fault.get());
 			return;
 		}
-		if (HttpUtil.getContentLength(head, 0L) > this.limits.bodyBytes()) {
+		if (HttpUtil.getContentLength(head, 0L) > this.limits.maximumBodyBytes()) {
 			refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
 			return;
 		}
@@ -180,7 +180,7 @@
 	}
 
 	private void append(HttpContent content) {
-		if (this.body.readableBytes() + content.content().readableBytes() > this.limits.bodyBytes()) {
+		if (this.body.readableBytes() + content.content().readableBytes() > this.limits.maximumBodyBytes()) {
 			refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
 			return;
 		}
--- a/src/main/java/sycamorehill/entry/CallerHead.java
+++ b/src/main/java/sycamorehill/entry/CallerHead.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-import sycamorehill.model.serving.PromptSize;
+import sycamorehill.model.serving.TokenCounts;
 
 /**
  * What the head of a caller's request says.
@@ -15,6 +15,6 @@
  * @param timeLeft how long the caller waits
  * @param resumeAfter the last event that the caller has from an earlier attempt
  */
-public record CallerHead(String identifier, Optional<String> key, Optional<String> model, Optional<PromptSize> size,
+public record CallerHead(String identifier, Optional<String> key, Optional<String> model, Optional<TokenCounts> size,
 		Optional<Duration> timeLeft, Optional<String> resumeAfter) {
 }
--- a/src/main/java/sycamorehill/entry/CallerServer.java
+++ b/src/main/java/sycamorehill/entry/CallerServer.java
@@ -133,10 +133,10 @@
 	 */
 	void carryOut(List<EntryEffect> effects) {
 		for (EntryEffect effect : effects) {
-			if (effect instanceof EntryEffect.LimitCallers limit) {
+			if (effect instanceof EntryEffect.SetCallerLimits limit) {
 				this.limits = limit.limits();
 			}
-			else if (effect instanceof EntryEffect.ForgetTarget forget) {
+			else if (effect instanceof EntryEffect.CloseTargetConnections forget) {
 				this.connections.forget(forget.target());
 			}
 			else {
@@ -146,7 +146,7 @@
 	}
 
 	private void carryOutForRequest(EntryEffect effect) {
-		if (effect instanceof EntryEffect.BoundRequest bound) {
+		if (effect instanceof EntryEffect.LimitRequestTime bound) {
 			with(bound.number(), (exchange) -> exchange.bound(bound.timeout(), this.loop, this.control));
 		}
 		else if (effect instanceof EntryEffect.StartAttempt start) {
@@ -158,10 +158,10 @@
 		else if (effect instanceof EntryEffect.Answer answer) {
 			with(answer.number(), (exchange) -> exchange.answer(answer.status(), answer.detail(), answer.retryAfter()));
 		}
-		else if (effect instanceof EntryEffect.GiveHeldFailure give) {
+		else if (effect instanceof EntryEffect.ReturnHeldFailure give) {
 			with(give.number(), Exchange::giveHeldFailure);
 		}
-		else if (effect instanceof EntryEffect.BreakAnswer broken) {
+		else if (effect instanceof EntryEffect.AbortAnswer broken) {
 			with(broken.number(), Exchange::breakOff);
 		}
 	}
--- a/src/main/java/sycamorehill/entry/EnginePort.java
+++ b/src/main/java/sycamorehill/entry/EnginePort.java
@@ -2,8 +2,8 @@
 
 import java.util.concurrent.CompletableFuture;
 
-import sycamorehill.model.serving.EngineOrderAnswer;
-import sycamorehill.model.serving.EngineOrderCall;
+import sycamorehill.model.serving.EngineCommand;
+import sycamorehill.model.serving.EngineCommandAnswer;
 import sycamorehill.model.serving.EngineReport;
 import sycamorehill.model.serving.TargetAddress;
 
@@ -19,7 +19,7 @@
 	 * @param ordersAccepted the count of orders under which it is good
 	 * @return what became of it; never fails
 	 */
-	CompletableFuture<EngineOrderAnswer> order(TargetAddress engine, EngineOrderCall order, long ordersAccepted);
+	CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommand order, long ordersAccepted);
 
 	/**
 	 * Asks for an engine's state.
@@ -35,13 +35,13 @@
 
 		private static final long serialVersionUID = 1L;
 
-		private final EngineOrderAnswer seen;
+		private final EngineCommandAnswer seen;
 
 		/**
 		 * Creates the exception.
 		 * @param seen what was seen instead
 		 */
-		public NoReportException(EngineOrderAnswer seen) {
+		public NoReportException(EngineCommandAnswer seen) {
 			super(seen.toString());
 			this.seen = seen;
 		}
@@ -50,7 +50,7 @@
 		 * What was seen instead of a report.
 		 * @return what was seen
 		 */
-		public EngineOrderAnswer seen() {
+		public EngineCommandAnswer seen() {
 			return this.seen;
 		}
 
--- a/src/main/java/sycamorehill/entry/EntryMetrics.java
+++ b/src/main/java/sycamorehill/entry/EntryMetrics.java
@@ -64,8 +64,9 @@
 	void finished(EntryEffect.Finished finished) {
 		String name = "requests." + finished.service() + '.' + finished.outcome();
 		this.registry.counter(name).inc();
-		time(name + ".time", finished.time());
-		finished.firstAnswer().ifPresent((time) -> time("requests." + finished.service() + ".first-answer", time));
+		time(name + ".time", finished.elapsed());
+		finished.timeToFirstAnswer()
+			.ifPresent((time) -> time("requests." + finished.service() + ".first-answer", time));
 	}
 
 	private void time(String name, Duration time) {
--- a/src/main/java/sycamorehill/entry/EntryNode.java
+++ b/src/main/java/sycamorehill/entry/EntryNode.java
@@ -116,19 +116,19 @@
 
 	private void start() throws InterruptedException {
 		EventLog.write(LogLine.of(LogEvent.NODE_STARTED, "node=" + this.settings.nodeName() + " callers="
-				+ this.settings.callers() + " store=" + this.settings.store()));
+				+ this.settings.callerAddress() + " store=" + this.settings.storeAddress()));
 		this.configurations = FeedReader.of(() -> pace(EntryReducer.STORE_LONG_POLL_WAIT), "configuration",
 				this.ports.configurations(), this.loop, new EachConfiguration());
 		this.targets = FeedReader.of(() -> pace(EntryReducer.STORE_LONG_POLL_WAIT), "targets", this.ports.targets(),
 				this.loop, new EachTarget());
-		this.messenger.start(this.settings.neighbours());
+		this.messenger.start(this.settings.peerAddress());
 		enter();
 		this.configurations.start();
 		this.targets.start();
 		this.loop.scheduleAtFixedRate(this::tick, 0, TICK.toMillis(), TimeUnit.MILLISECONDS);
-		this.callers.start(this.settings.callers());
-		this.figures.start(this.settings.neighbours());
-		this.readiness.start(this.settings.readiness());
+		this.callers.start(this.settings.callerAddress());
+		this.figures.start(this.settings.peerAddress());
+		this.readiness.start(this.settings.readinessAddress());
 	}
 
 	// All that is looked at regularly, in one go: each timer of its own would wake the
@@ -167,7 +167,7 @@
 	// Of two nodes that start at once, the one that lists after the other was entered
 	// finds it, and introduces itself to it.
 	private void enter() {
-		this.ports.register().enter(this.settings.record()).whenCompleteAsync((entered, failure) -> {
+		this.ports.register().enter(this.settings.toNodeRecord()).whenCompleteAsync((entered, failure) -> {
 			if (failure != null) {
 				EventLog.write(LogLine.of(LogEvent.STORE_CONTACT, "this node is not entered: " + failure.getMessage()));
 				later(this::enter, REGISTER_AGAIN);
@@ -228,17 +228,17 @@
 		else if (effect instanceof EntryEffect.Finished finished) {
 			this.metrics.finished(finished);
 		}
-		else if (effect instanceof EntryEffect.Ready ready) {
+		else if (effect instanceof EntryEffect.SetReadiness ready) {
 			this.wantsCallers = ready.ready();
 		}
-		else if (effect instanceof EntryEffect.Tell tell) {
+		else if (effect instanceof EntryEffect.Send tell) {
 			this.messenger.send(tell.nodes(), tell.message());
 		}
-		else if (effect instanceof EntryEffect.SendOrder order) {
+		else if (effect instanceof EntryEffect.SendCommand order) {
 			this.ports.engines()
-				.order(order.target(), order.order(), order.ordersAccepted())
+				.order(order.target(), order.command(), order.acceptedCommands())
 				.thenAccept(
-						(answer) -> post(new EntryEvent.OrderAnswered(order.target().name(), order.order(), answer)));
+						(answer) -> post(new EntryEvent.OrderAnswered(order.target().name(), order.command(), answer)));
 		}
 		else if (effect instanceof EntryEffect.ReadReport read) {
 			readReport(read);
@@ -250,19 +250,19 @@
 	}
 
 	private boolean carryOutForStore(EntryEffect effect) {
-		if (effect instanceof EntryEffect.ReadTargets) {
+		if (effect instanceof EntryEffect.ReadTargetChanges) {
 			this.targets.readNow();
 		}
-		else if (effect instanceof EntryEffect.TellConfiguration tell) {
+		else if (effect instanceof EntryEffect.SendConfiguration tell) {
 			tellConfiguration(tell);
 		}
-		else if (effect instanceof EntryEffect.TakeConfiguration take) {
+		else if (effect instanceof EntryEffect.ParseConfiguration take) {
 			takeConfiguration(take.text());
 		}
 		else if (effect instanceof EntryEffect.ReadConfiguration read) {
 			readConfiguration(read.version());
 		}
-		else if (effect instanceof EntryEffect.TargetsKnown known) {
+		else if (effect instanceof EntryEffect.AdvanceTargetRevision known) {
 			this.targets.known(known.revision());
 		}
 		else {
@@ -310,7 +310,7 @@
 		}
 	}
 
-	private void tellConfiguration(EntryEffect.TellConfiguration tell) {
+	private void tellConfiguration(EntryEffect.SendConfiguration tell) {
 		if (this.newest.configuration().version() == tell.version()) {
 			this.messenger.send(tell.nodes(),
 					new NodeMessage.ConfigurationTold(this.settings.nodeName(), tell.version(), this.newest.text()));
--- a/src/main/java/sycamorehill/entry/NodeMessageCodec.java
+++ b/src/main/java/sycamorehill/entry/NodeMessageCodec.java
@@ -113,7 +113,7 @@
 		ObjectNode body = this.codec.createObjectNode();
 		body.put(KIND, Kind.of(message).name()).put(SENDER, message.sender());
 		if (message instanceof NodeMessage.Loads loads) {
-			body.put(DATA_CENTRE, loads.dataCentre().value()).put(STORE_REACHED, loads.storeReached());
+			body.put(DATA_CENTRE, loads.dataCentre().value()).put(STORE_REACHED, loads.storeReachable());
 			write(loads.requests(), body);
 		}
 		else if (message instanceof NodeMessage.LoadsAdded added) {
@@ -121,12 +121,12 @@
 			added.sums().forEach((sum) -> write(sum, sums.addObject()));
 		}
 		else if (message instanceof NodeMessage.Placed placed) {
-			body.put(TARGET, placed.target().value()).put(READING_MICROS, placed.reading().toNanos() / 1000);
+			body.put(TARGET, placed.target().value()).put(READING_MICROS, placed.prefillTime().toNanos() / 1000);
 		}
 		else if (message instanceof NodeMessage.StoreNews news) {
 			body.put(DATA_CENTRE, news.dataCentre().value())
 				.put(CONFIGURATION, news.configurationVersion())
-				.put(CHANGED_BEFORE, news.changedBefore())
+				.put(CHANGED_BEFORE, news.previousChangeRevision())
 				.put(SINCE, news.since())
 				.put(REVISION, news.revision())
 				.put(AGE_MILLIS, news.age().toMillis());
@@ -145,7 +145,7 @@
 		else if (message instanceof NodeMessage.Introduction introduction) {
 			body.put(ADDRESS, introduction.node().address().toString())
 				.put(DATA_CENTRE, introduction.node().dataCentre().value())
-				.put(PROCESSOR, introduction.node().processor());
+				.put(PROCESSOR, introduction.node().processorCores());
 		}
 		else if (message instanceof NodeMessage.LeaseGivenUp given) {
 			body.put(HOLDER, given.holder());
@@ -164,16 +164,16 @@
 			limited.limit().ifPresent((limit) -> body.put(PER_SECOND, limit.perSecond()));
 		}
 		else if (message instanceof NodeMessage.Suspicion suspicion) {
-			body.put(TARGET, suspicion.target().value()).put(CONTENT, suspicion.content());
+			body.put(TARGET, suspicion.target().value()).put(CONTENT, suspicion.contentHash());
 		}
 		else if (message instanceof NodeMessage.Cleared cleared) {
-			body.put(CONTENT, cleared.content());
+			body.put(CONTENT, cleared.contentHash());
 		}
 		return body;
 	}
 
 	private static void write(LoadSum sum, ObjectNode body) {
-		body.put(NODE, sum.node()).put(DATA_CENTRE, sum.dataCentre().value()).put(NODES, sum.nodes());
+		body.put(NODE, sum.aggregator()).put(DATA_CENTRE, sum.dataCentre().value()).put(NODES, sum.liveNodes());
 		write(sum.requests(), body);
 	}
 
--- a/src/main/java/sycamorehill/entry/NodeMessenger.java
+++ b/src/main/java/sycamorehill/entry/NodeMessenger.java
@@ -84,7 +84,7 @@
 		EventLog.write(LogLine.of(LogEvent.PEER_MESSAGE_TOO_LARGE,
 				"message=" + message.getClass().getSimpleName() + " bytes=" + bytes));
 		if (message instanceof NodeMessage.StoreNews news && !news.changes().isEmpty()) {
-			send(nodes, news.announcement());
+			send(nodes, news.withoutChanges());
 		}
 	}
 
--- a/src/main/java/sycamorehill/entry/StrictRequestDecoder.java
+++ b/src/main/java/sycamorehill/entry/StrictRequestDecoder.java
@@ -20,8 +20,8 @@
 	}
 
 	static StrictRequestDecoder of(CallerLimits limits) {
-		return new StrictRequestDecoder(new HttpDecoderConfig().setMaxInitialLineLength(limits.headerBytes())
-			.setMaxHeaderSize(limits.headerBytes())
+		return new StrictRequestDecoder(new HttpDecoderConfig().setMaxInitialLineLength(limits.maximumHeaderBytes())
+			.setMaxHeaderSize(limits.maximumHeaderBytes())
 			.setMaxChunkSize(CHUNK_BYTES)
 			.setAllowDuplicateContentLengths(false)
 			.setStrictLineParsing(true));
--- a/src/main/java/sycamorehill/entry/TargetAttempt.java
+++ b/src/main/java/sycamorehill/entry/TargetAttempt.java
@@ -93,7 +93,7 @@
 	}
 
 	private void begin() {
-		Duration longestIdle = this.start.handling().kind().repeatable() ? ANY_AGE : YOUNG;
+		Duration longestIdle = this.start.handling().kind().isRepeatable() ? ANY_AGE : YOUNG;
 		TargetConnection idle = this.connections.takeIdle(this.start.target(), longestIdle);
 		if (idle != null) {
 			this.reused = true;
@@ -123,7 +123,7 @@
 		}
 		this.connection = taken;
 		taken.await(this);
-		if (this.start.handling().kind().streaming()) {
+		if (this.start.handling().kind().isStreaming()) {
 			this.watched = true;
 			this.activity.sent(this.start.target().name(), System.nanoTime());
 		}
@@ -168,7 +168,7 @@
 			end(new AttemptEnd.Unknown("a success without the target's signature"));
 			return;
 		}
-		this.streaming = success && this.start.handling().kind().streaming();
+		this.streaming = success && this.start.handling().kind().isStreaming();
 		if (this.streaming) {
 			this.events = EventSplitter.create(this.connection.context().alloc());
 		}
--- a/src/main/java/sycamorehill/entry/TargetCodec.java
+++ b/src/main/java/sycamorehill/entry/TargetCodec.java
@@ -68,7 +68,7 @@
 			.put(DATA_CENTRE, entry.dataCentre().value())
 			.put(SLOTS, entry.slots())
 			.put(LEAVING, entry.leaving())
-			.put(BORN, entry.bornMillis());
+			.put(BORN, entry.startMillis());
 		entry.domain().ifPresent((domain) -> node.put(DOMAIN, domain));
 		entry.loaded().ifPresent((model) -> node.put(LOADED, model));
 		ArrayNode staged = node.putArray(STAGED);
--- a/src/main/java/sycamorehill/experiment/ControlFleet.java
+++ b/src/main/java/sycamorehill/experiment/ControlFleet.java
@@ -264,7 +264,7 @@
 
 	private void hold(HeldWatch held) {
 		this.watches.add(held);
-		at(held.watch.longestWait(), () -> {
+		at(held.watch.maximumWait(), () -> {
 			if (this.watches.remove(held)) {
 				answer(held.node, held.call, this.store.call(held.watch), held.sentAt);
 			}
--- a/src/main/java/sycamorehill/experiment/ExperimentNode.java
+++ b/src/main/java/sycamorehill/experiment/ExperimentNode.java
@@ -72,7 +72,7 @@
 		this.fleet.sent();
 		this.fleet.soon(() -> this.fleet.target(start.target().name()).take(this, start.attempt(), content));
 		this.fleet.time()
-			.after(start.patience(), () -> ended(start.attempt(), new AttemptResult.Broken(false, "nothing came")));
+			.after(start.readTimeout(), () -> ended(start.attempt(), new AttemptResult.Broken(false, "nothing came")));
 	}
 
 	void ended(AttemptIdentifier attempt, AttemptResult result) {
--- a/src/main/java/sycamorehill/experiment/WholeNode.java
+++ b/src/main/java/sycamorehill/experiment/WholeNode.java
@@ -144,7 +144,7 @@
 	private void call(PlatformEffect.Call call) {
 		this.platformCalls++;
 		if (call.request() instanceof PlatformRequest.Watch watch) {
-			this.watches.put(call, this.now.plus(watch.longestWait()));
+			this.watches.put(call, this.now.plus(watch.maximumWait()));
 		}
 		else {
 			answer(call);
@@ -169,8 +169,8 @@
 	}
 
 	private void obey(TargetEffect.SendOrder order) {
-		boolean join = order.order() instanceof EngineOrder.Join;
-		Optional<GroupIdentity> group = join ? Optional.of(((EngineOrder.Join) order.order()).group())
+		boolean join = order.command() instanceof EngineOrder.Join;
+		Optional<GroupIdentity> group = join ? Optional.of(((EngineOrder.Join) order.command()).group())
 				: Optional.empty();
 		this.engines.put(order.vm(), report(order.vm(), join ? EngineState.READY : EngineState.IDLE, group));
 		this.waiting.add(new TargetEvent.OrderAnswered(order.call(), EngineOrderResult.ACCEPTED));
--- a/src/main/java/sycamorehill/experiment/group/TrialVms.java
+++ b/src/main/java/sycamorehill/experiment/group/TrialVms.java
@@ -229,7 +229,7 @@
 		boolean reached = node.reaches(order.vm()) && engine.answers(this.trial.now());
 		if (reached) {
 			int before = engine.running();
-			EngineOrderResult result = engine.order(order.order(), this.settings.load());
+			EngineOrderResult result = engine.order(order.command(), this.settings.load());
 			this.trial.check().ordered(engine, before);
 			if (this.trial.random().nextDouble() >= this.lostAnswers) {
 				this.trial.at(LINK,
--- a/src/main/java/sycamorehill/gateway/ChatExchange.java
+++ b/src/main/java/sycamorehill/gateway/ChatExchange.java
@@ -60,7 +60,7 @@
 		long generation = effect.target().group().map(GroupIdentity::generation).orElse(0L);
 		this.relay = this.relay.begin(effect.attempt());
 		CompletionCall completion = new CompletionCall(effect.attempt(), generation, this.call.prompt(),
-				request.maximumTokens(), this.relay.nextIndex(), request.priority(), effect.patience());
+				request.maximumTokens(), this.relay.nextIndex(), request.priority(), effect.readTimeout());
 		this.handle = this.engines.complete(effect.target().address(), completion, listener(effect.attempt()));
 	}
 
--- a/src/main/java/sycamorehill/gateway/PlainExchange.java
+++ b/src/main/java/sycamorehill/gateway/PlainExchange.java
@@ -60,7 +60,7 @@
 		this.present = Optional.of(effect.attempt());
 		Optional<String> body = this.call.body().isEmpty() ? Optional.empty() : Optional.of(this.call.body());
 		PlainCall plain = new PlainCall(this.call.description().method(), this.call.target(), this.call.contentType(),
-				this.call.idempotencyKey(), body, effect.patience());
+				this.call.idempotencyKey(), body, effect.readTimeout());
 		this.pending = this.services.send(effect.target().address(), plain);
 		this.pending.thenAccept((result) -> take(effect.attempt(), result));
 	}
--- a/src/main/java/sycamorehill/logic/directory/GroupView.java
+++ b/src/main/java/sycamorehill/logic/directory/GroupView.java
@@ -5,7 +5,7 @@
 
 import sycamorehill.model.identity.TargetName;
 import sycamorehill.model.serving.MemberState;
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.ModelParameters;
 import sycamorehill.model.serving.TargetEntry;
 
 /**
@@ -18,7 +18,7 @@
  * @param vanished members whose entries went lately: what is known of them is their last
  * word
  */
-public record GroupView(String name, long epoch, ModelFigures model, List<TargetEntry> members,
+public record GroupView(String name, long epoch, ModelParameters model, List<TargetEntry> members,
 		Set<TargetName> vanished) {
 
 	/**
@@ -35,7 +35,7 @@
 	 * @return true if it does
 	 */
 	public boolean reportedBy(TargetEntry engine) {
-		return engine.memberOf(this.name, this.epoch);
+		return engine.isMemberOf(this.name, this.epoch);
 	}
 
 	/**
@@ -59,7 +59,7 @@
 	 * @return true if no member is missing
 	 */
 	public boolean allRanksReported() {
-		if (this.members.size() != this.model.size()) {
+		if (this.members.size() != this.model.groupSize()) {
 			return false;
 		}
 		for (int rank = 0; rank < this.members.size(); rank++) {
--- a/src/main/java/sycamorehill/logic/directory/GroupViews.java
+++ b/src/main/java/sycamorehill/logic/directory/GroupViews.java
@@ -12,8 +12,8 @@
 import java.util.stream.Collectors;
 
 import sycamorehill.model.identity.TargetName;
-import sycamorehill.model.serving.EngineFigures;
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.EngineParameters;
+import sycamorehill.model.serving.ModelParameters;
 import sycamorehill.model.serving.TargetEntry;
 
 /**
@@ -39,7 +39,7 @@
 	 * @return all groups that at least one engine reports, in a fixed order
 	 */
 	public static List<GroupView> of(List<TargetEntry> entries, Collection<TargetEntry> vanished,
-			EngineFigures parameters) {
+			EngineParameters parameters) {
 		Map<GroupKey, List<TargetEntry>> byGroup = new HashMap<>();
 		for (TargetEntry entry : entries) {
 			entry.membership()
@@ -63,7 +63,7 @@
 	}
 
 	private static Optional<GroupView> createView(List<TargetEntry> members, Set<TargetName> vanishedNames,
-			EngineFigures parameters) {
+			EngineParameters parameters) {
 		Set<TargetName> vanished = vanishedNames.isEmpty() ? Set.of()
 				: members.stream().map(TargetEntry::name).filter(vanishedNames::contains).collect(Collectors.toSet());
 		var membership = members.get(0).membership().orElseThrow();
@@ -71,7 +71,8 @@
 				membership.epoch(), model, List.copyOf(members), vanished));
 	}
 
-	private static Optional<ModelFigures> findModel(List<TargetEntry> members, String group, EngineFigures parameters) {
+	private static Optional<ModelParameters> findModel(List<TargetEntry> members, String group,
+			EngineParameters parameters) {
 		return GroupNames.model(group)
 			.or(() -> members.stream().flatMap((member) -> member.loaded().stream()).findFirst())
 			.flatMap(parameters::model);
--- a/src/main/java/sycamorehill/logic/directory/TargetDirectory.java
+++ b/src/main/java/sycamorehill/logic/directory/TargetDirectory.java
@@ -139,7 +139,7 @@
 		if (!this.storeUnreachable || previous == null) {
 			return Optional.empty();
 		}
-		TargetEntry entry = previous.reporting(report.staged(), report.membership());
+		TargetEntry entry = previous.withReport(report.staged(), report.membership());
 		if (entry.equals(previous)) {
 			return Optional.empty();
 		}
@@ -155,7 +155,7 @@
 		if (!entry.equals(previous)) {
 			this.changeCount++;
 		}
-		return Optional.ofNullable(previous).filter(entry::anotherLife);
+		return Optional.ofNullable(previous).filter(entry::isOtherIncarnation);
 	}
 
 	private Optional<TargetEntry> remove(TargetName name, Instant now) {
--- a/src/main/java/sycamorehill/logic/dispatch/Candidate.java
+++ b/src/main/java/sycamorehill/logic/dispatch/Candidate.java
@@ -2,8 +2,8 @@
 
 import java.util.Optional;
 
-import sycamorehill.model.serving.EngineFigures;
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.EngineParameters;
+import sycamorehill.model.serving.ModelParameters;
 import sycamorehill.model.serving.TargetEntry;
 
 /**
@@ -14,5 +14,5 @@
  * @param model the group's model; empty for plain services
  * @param engines the parameters of the engines; empty for plain services
  */
-record Candidate(TargetEntry entry, int slots, Optional<ModelFigures> model, Optional<EngineFigures> engines) {
+record Candidate(TargetEntry entry, int slots, Optional<ModelParameters> model, Optional<EngineParameters> engines) {
 }
--- a/src/main/java/sycamorehill/logic/dispatch/FinalAnswers.java
+++ b/src/main/java/sycamorehill/logic/dispatch/FinalAnswers.java
@@ -89,11 +89,11 @@
 		addFinished(request, mayHaveRun ? Outcome.FAILED : Outcome.REFUSED, now, effects);
 		String fields = describe(request, now) + " cause='" + cause + "'";
 		if (request.answerStarted()) {
-			effects.add(new EntryEffect.BreakAnswer(number));
+			effects.add(new EntryEffect.AbortAnswer(number));
 			effects.log(LogEvent.REQUEST_FAILED, fields + " outcome=broken");
 		}
 		else if (request.failureHeld()) {
-			effects.add(new EntryEffect.GiveHeldFailure(number));
+			effects.add(new EntryEffect.ReturnHeldFailure(number));
 			effects.log(LogEvent.REQUEST_FAILED, fields + " outcome=failure-of-target");
 		}
 		else if (request.mayHaveRun()) {
--- a/src/main/java/sycamorehill/logic/dispatch/Placement.java
+++ b/src/main/java/sycamorehill/logic/dispatch/Placement.java
@@ -11,9 +11,9 @@
 
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.TargetName;
-import sycamorehill.model.serving.EngineFigures;
-import sycamorehill.model.serving.ModelFigures;
-import sycamorehill.model.serving.PromptSize;
+import sycamorehill.model.serving.EngineParameters;
+import sycamorehill.model.serving.ModelParameters;
+import sycamorehill.model.serving.TokenCounts;
 
 /**
  * Chooses the target with the shortest expected time to the first answer.
@@ -131,7 +131,7 @@
 	 * @return the best target; empty if none may receive the request
 	 */
 	Optional<Choice> choose(List<Candidate> candidates, Set<TargetName> excluded,
-			Map<TargetName, TargetStatus> statuses, Optional<PromptSize> size, Instant now) {
+			Map<TargetName, TargetStatus> statuses, Optional<TokenCounts> size, Instant now) {
 		Choice best = null;
 		double lowestScore = Double.MAX_VALUE;
 		for (Candidate candidate : candidates) {
@@ -178,23 +178,23 @@
 		if (candidate.engines().isEmpty()) {
 			return (status.firstAnswerMillis() > 0) ? status.firstAnswerMillis() : DEFAULT_ANSWER_MILLIS;
 		}
-		EngineFigures engines = candidate.engines().get();
-		return engines.usualAnswer() * stepMillis(engines, candidate.model().orElseThrow(), candidate.slots());
+		EngineParameters engines = candidate.engines().get();
+		return engines.meanAnswerTokens() * stepMillis(engines, candidate.model().orElseThrow(), candidate.slots());
 	}
 
-	private static double timeToFirstAnswerMillis(Candidate candidate, TargetStatus status, Optional<PromptSize> size,
+	private static double timeToFirstAnswerMillis(Candidate candidate, TargetStatus status, Optional<TokenCounts> size,
 			Instant now) {
 		if (candidate.engines().isEmpty()) {
 			return (status != null && status.firstAnswerMillis() > 0) ? status.firstAnswerMillis()
 					: DEFAULT_ANSWER_MILLIS;
 		}
-		EngineFigures engines = candidate.engines().get();
-		ModelFigures model = candidate.model().orElseThrow();
+		EngineParameters engines = candidate.engines().get();
+		ModelParameters model = candidate.model().orElseThrow();
 		int runningRequests = (status != null) ? Math.min(status.requests(now), candidate.slots()) : 0;
 		double prefill = prefillTime(engines, model, size).toNanos() / 1e6;
 		double prefillLeft = (status != null) ? status.prefillLeft(now).toNanos() / 1e6 : 0;
-		double predicted = FIRST_EVENT_OVERHEAD_MILLIS * model.pace() + prefillLeft + prefill
-				+ engines.stride() * stepMillis(engines, model, runningRequests);
+		double predicted = FIRST_EVENT_OVERHEAD_MILLIS * model.timeFactor() + prefillLeft + prefill
+				+ engines.stepsPerEvent() * stepMillis(engines, model, runningRequests);
 		// Observed times reveal an engine that is slower than its parameters.
 		double observed = (status != null) ? status.firstAnswerMillis() : 0;
 		return Math.max(predicted, observed + prefillLeft);
@@ -208,9 +208,9 @@
 	 * assumed
 	 * @return the prefill time
 	 */
-	static Duration prefillTime(EngineFigures engines, ModelFigures model, Optional<PromptSize> size) {
-		double tokens = size.map(PromptSize::promptTokens).orElse(engines.usualPrompt());
-		return ofMillis(tokens / engines.readTokensPerSecond() * 1000 * model.pace());
+	static Duration prefillTime(EngineParameters engines, ModelParameters model, Optional<TokenCounts> size) {
+		double tokens = size.map(TokenCounts::promptTokens).orElse(engines.meanPromptTokens());
+		return ofMillis(tokens / engines.prefillTokensPerSecond() * 1000 * model.timeFactor());
 	}
 
 	/**
@@ -222,8 +222,8 @@
 		return this.nodeCount <= MAXIMUM_NODES_COMPARING_ALL;
 	}
 
-	private static double stepMillis(EngineFigures engines, ModelFigures model, int runningRequests) {
-		return engines.step(runningRequests, model).toNanos() / 1e6;
+	private static double stepMillis(EngineParameters engines, ModelParameters model, int runningRequests) {
+		return engines.stepDuration(runningRequests, model).toNanos() / 1e6;
 	}
 
 	private static Duration ofMillis(double millis) {
--- a/src/main/java/sycamorehill/logic/dispatch/RequestDispatcher.java
+++ b/src/main/java/sycamorehill/logic/dispatch/RequestDispatcher.java
@@ -16,7 +16,7 @@
 import sycamorehill.model.serving.AttemptEnd;
 import sycamorehill.model.serving.CallerRequest;
 import sycamorehill.model.serving.Configuration;
-import sycamorehill.model.serving.EngineFigures;
+import sycamorehill.model.serving.EngineParameters;
 import sycamorehill.model.serving.EntryEffect;
 import sycamorehill.model.serving.EntryEvent;
 import sycamorehill.model.serving.EntrySettings;
@@ -24,7 +24,7 @@
 import sycamorehill.model.serving.NodeRecord;
 import sycamorehill.model.serving.NotRunCause;
 import sycamorehill.model.serving.RequestKind;
-import sycamorehill.model.serving.ServiceFigures;
+import sycamorehill.model.serving.ServiceParameters;
 import sycamorehill.model.serving.TargetAddress;
 import sycamorehill.model.serving.TargetEntry;
 import sycamorehill.model.serving.Workspace;
@@ -151,11 +151,11 @@
 
 	private void dispatch(CallerRequest request, RequestRouter.Routed routed, Instant arrivedAt, Instant now,
 			Effects effects) {
-		ServiceName service = routed.route().service(this.random.nextDouble());
+		ServiceName service = routed.route().selectService(this.random.nextDouble());
 		DispatchedRequest active = DispatchedRequest.of(request, routed.route(), service, routed.workspace(),
 				arrivedAt);
 		this.activeRequests.put(request.number(), active);
-		effects.add(new EntryEffect.BoundRequest(request.number(), active.timeLeft(now)));
+		effects.add(new EntryEffect.LimitRequestTime(request.number(), active.timeLeft(now)));
 		this.retryBudgets.of(service).recordRequest(now);
 		place(active, "no target can take it", now, effects);
 	}
@@ -195,7 +195,7 @@
 		int attempt = active.startAttempt(name, now);
 		this.targetSelector.recordSent(candidate, now);
 		candidate.engines().ifPresent((engines) -> recordPrefill(active, candidate, engines, now, effects));
-		int connections = configuration.service(active.service()).map(ServiceFigures::maximumConnections).orElse(1);
+		int connections = configuration.service(active.service()).map(ServiceParameters::maximumConnections).orElse(1);
 		RequestKind kind = active.route().kind();
 		boolean anotherAttemptMayFollow = kind == RequestKind.IDEMPOTENT
 				&& active.targetsReached() + 1 < active.route().maximumAttempts();
@@ -208,13 +208,14 @@
 	// The prefill of prompts that several nodes send to one target within some
 	// milliseconds runs together and delays the target's streams. Load reports arrive too
 	// late to prevent that.
-	private void recordPrefill(DispatchedRequest active, Candidate candidate, EngineFigures engines, Instant now,
+	private void recordPrefill(DispatchedRequest active, Candidate candidate, EngineParameters engines, Instant now,
 			Effects effects) {
 		TargetName name = candidate.entry().name();
-		Duration prefillTime = Placement.prefillTime(engines, candidate.model().orElseThrow(), active.request().size());
+		Duration prefillTime = Placement.prefillTime(engines, candidate.model().orElseThrow(),
+				active.request().tokenCounts());
 		status(name).addPrefill(prefillTime, now);
 		if (this.targetSelector.hasFewNodes()) {
-			effects.add(new EntryEffect.TellAll(new NodeMessage.Placed(this.nodeName, name, prefillTime)));
+			effects.add(new EntryEffect.Broadcast(new NodeMessage.Placed(this.nodeName, name, prefillTime)));
 		}
 	}
 
@@ -258,7 +259,7 @@
 		TargetName target = request.target().get();
 		status(target).recordEnded();
 		request.endAttempt();
-		boolean repeatable = request.route().kind().repeatable();
+		boolean repeatable = request.route().kind().isRepeatable();
 		if (end instanceof AttemptEnd.Delivered delivered) {
 			handleDelivered(request, target, delivered, now, effects);
 		}
@@ -289,9 +290,9 @@
 	}
 
 	private void recordCrash(DispatchedRequest request, TargetName target, Effects effects) {
-		long content = request.request().content();
+		long content = request.request().contentHash();
 		this.crashHistory.recordCrash(content, target);
-		effects.add(new EntryEffect.TellAll(new NodeMessage.Suspicion(this.nodeName, content, target)));
+		effects.add(new EntryEffect.Broadcast(new NodeMessage.Suspicion(this.nodeName, content, target)));
 	}
 
 	/**
@@ -314,10 +315,10 @@
 			this.targetSelector.rateLimits().handleMessage(limited, now, effects);
 		}
 		else if (message instanceof NodeMessage.Suspicion suspicion) {
-			this.crashHistory.recordCrash(suspicion.content(), suspicion.target());
+			this.crashHistory.recordCrash(suspicion.contentHash(), suspicion.target());
 		}
 		else if (message instanceof NodeMessage.Cleared cleared) {
-			this.crashHistory.clear(cleared.content());
+			this.crashHistory.clear(cleared.contentHash());
 		}
 	}
 
@@ -362,14 +363,14 @@
 
 	private void handleDelivered(DispatchedRequest request, TargetName target, AttemptEnd.Delivered delivered,
 			Instant now, Effects effects) {
-		if (!request.route().kind().streaming()) {
+		if (!request.route().kind().isStreaming()) {
 			status(target).recordFirstAnswer(Duration.between(request.attemptStartedAt(), now), now);
 		}
 		this.activeRequests.remove(request.request().number());
-		long content = request.request().content();
+		long content = request.request().contentHash();
 		if (this.crashHistory.isSuspect(content)) {
 			this.crashHistory.clear(content);
-			effects.add(new EntryEffect.TellAll(new NodeMessage.Cleared(this.nodeName, content)));
+			effects.add(new EntryEffect.Broadcast(new NodeMessage.Cleared(this.nodeName, content)));
 		}
 		this.finalAnswers.recordDelivered(request, target, delivered, now, effects);
 	}
--- a/src/main/java/sycamorehill/logic/dispatch/RequestRouter.java
+++ b/src/main/java/sycamorehill/logic/dispatch/RequestRouter.java
@@ -73,11 +73,12 @@
 		if (route.isEmpty()) {
 			return new Refused(NOT_FOUND, "no route leads there", Optional.empty());
 		}
-		Optional<Workspace> workspace = request.key().map(this.configuration.get().workspaces()::get);
-		if (workspace.isEmpty() && this.configuration.get().keysNeeded() && !route.get().open()) {
+		Optional<Workspace> workspace = request.apiKey().map(this.configuration.get().workspacesByApiKey()::get);
+		if (workspace.isEmpty() && this.configuration.get().requiresApiKeys()
+				&& !route.get().allowsAnonymousCallers()) {
 			return new Refused(UNAUTHORIZED, "the key is not known", Optional.empty());
 		}
-		if (this.crashHistory.isRefused(request.content())) {
+		if (this.crashHistory.isRefused(request.contentHash())) {
 			return new Refused(UNAVAILABLE, "not run: this content was lost with several targets",
 					Optional.of(SUSPECT_RETRY_AFTER));
 		}
--- a/src/main/java/sycamorehill/logic/dispatch/RetryBudgets.java
+++ b/src/main/java/sycamorehill/logic/dispatch/RetryBudgets.java
@@ -64,7 +64,7 @@
 	}
 
 	private double allowance() {
-		return this.entrySettings.retryExtra() * USED_ALLOWANCE_SHARE / this.nodeCount;
+		return this.entrySettings.retryAllowance() * USED_ALLOWANCE_SHARE / this.nodeCount;
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/dispatch/ServingTargets.java
+++ b/src/main/java/sycamorehill/logic/dispatch/ServingTargets.java
@@ -12,8 +12,8 @@
 import sycamorehill.logic.directory.TargetDirectory;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.serving.Configuration;
-import sycamorehill.model.serving.EngineFigures;
-import sycamorehill.model.serving.ServiceFigures;
+import sycamorehill.model.serving.EngineParameters;
+import sycamorehill.model.serving.ServiceParameters;
 import sycamorehill.model.serving.TargetEntry;
 
 /**
@@ -73,7 +73,7 @@
 			entries.computeIfAbsent(entry.service(), (service) -> new ArrayList<>()).add(entry);
 		}
 		entries.forEach((service, targets) -> {
-			Optional<EngineFigures> engines = configuration.service(service).flatMap(ServiceFigures::engines);
+			Optional<EngineParameters> engines = configuration.service(service).flatMap(ServiceParameters::engines);
 			this.candidatesByService.put(service,
 					engines.map((figures) -> groupCandidates(targets, figures)).orElse(plainCandidates(targets)));
 		});
@@ -81,7 +81,7 @@
 		this.derivedConfiguration = configuration;
 	}
 
-	private List<Candidate> groupCandidates(List<TargetEntry> targets, EngineFigures figures) {
+	private List<Candidate> groupCandidates(List<TargetEntry> targets, EngineParameters figures) {
 		return GroupViews.of(targets, this.directory.vanished(), figures)
 			.stream()
 			.filter(GroupView::serving)
--- a/src/main/java/sycamorehill/logic/dispatch/TargetRateLimits.java
+++ b/src/main/java/sycamorehill/logic/dispatch/TargetRateLimits.java
@@ -161,7 +161,7 @@
 	}
 
 	private void broadcast(TargetName target, Optional<RequestRate> limit, Effects effects) {
-		effects.add(new EntryEffect.TellAll(new NodeMessage.TargetLimited(this.self.name(), target, limit)));
+		effects.add(new EntryEffect.Broadcast(new NodeMessage.TargetLimited(this.self.name(), target, limit)));
 	}
 
 	private void assignShare(TargetName target, TargetRateLimit limit, Instant now) {
--- a/src/main/java/sycamorehill/logic/dispatch/TargetSelector.java
+++ b/src/main/java/sycamorehill/logic/dispatch/TargetSelector.java
@@ -30,7 +30,7 @@
 	private TargetSelector(EntrySettings settings, TargetDirectory directory, RandomGenerator random) {
 		this.servingTargets = ServingTargets.of(directory);
 		this.placement = Placement.of(settings.dataCentre(), random);
-		this.rateLimits = TargetRateLimits.of(settings.record(), directory);
+		this.rateLimits = TargetRateLimits.of(settings.toNodeRecord(), directory);
 	}
 
 	static TargetSelector of(EntrySettings settings, TargetDirectory directory, RandomGenerator random) {
@@ -72,14 +72,14 @@
 
 	private Selection selectBest(DispatchedRequest request, List<Candidate> candidates, Instant now) {
 		Optional<Placement.Choice> choice = this.placement.choose(candidates, request.triedTargets(),
-				this.statuses.byTarget(), request.request().size(), now);
+				this.statuses.byTarget(), request.request().tokenCounts(), now);
 		return new Selection(choice,
 				choice.map((best) -> decideAdmission(request, best, now)).orElse(Admission.Decision.REFUSED));
 	}
 
 	private Admission.Decision decideAdmission(DispatchedRequest request, Placement.Choice choice, Instant now) {
 		Candidate candidate = choice.candidate();
-		return Admission.decide(new Admission.Estimate(choice.timeToFirstAnswer(), request.route().target(),
+		return Admission.decide(new Admission.Estimate(choice.timeToFirstAnswer(), request.route().latencyTarget(),
 				Duration.between(request.arrivedAt(), now), request.timeLeft(now), request.route().timeout(),
 				this.statuses.requests(candidate.entry().name(), now), candidate.slots(), request.answerStarted()));
 	}
--- a/src/main/java/sycamorehill/logic/dispatch/TargetStatusRegistry.java
+++ b/src/main/java/sycamorehill/logic/dispatch/TargetStatusRegistry.java
@@ -134,7 +134,7 @@
 	void handleReport(NodeMessage.Placed placed, Instant now) {
 		TargetStatus status = getOrCreate(placed.target());
 		status.addPeerRequest(placed.sender(), now.plus(MINIMUM_VALIDITY));
-		status.addPrefill(placed.reading(), now);
+		status.addPrefill(placed.prefillTime(), now);
 	}
 
 	private static Duration validity(Instant previous, Instant now) {
--- a/src/main/java/sycamorehill/logic/entry/ConfigurationDistribution.java
+++ b/src/main/java/sycamorehill/logic/entry/ConfigurationDistribution.java
@@ -64,7 +64,7 @@
 			nodes.addAll(this.peers.relayAddresses(now));
 		}
 		if (!nodes.isEmpty()) {
-			effects.add(new EntryEffect.TellConfiguration(nodes, version));
+			effects.add(new EntryEffect.SendConfiguration(nodes, version));
 		}
 	}
 
--- a/src/main/java/sycamorehill/logic/entry/EntryReducer.java
+++ b/src/main/java/sycamorehill/logic/entry/EntryReducer.java
@@ -90,11 +90,11 @@
 
 	private EntryReducer(EntrySettings settings, String self, RandomGenerator random, Instant started) {
 		this.settings = settings;
-		this.peers = PeerNodes.of(settings.record());
+		this.peers = PeerNodes.of(settings.toNodeRecord());
 		this.relay = StoreRelay.of(settings.nodeName(), settings.dataCentre(), this.peers::takesPrecedence);
 		this.storeUpdateLog = StoreUpdateLog.of(settings.nodeName(), this.relay, this.directory);
 		this.configurationDistribution = ConfigurationDistribution.of(settings.nodeName(), this.peers, this.relay);
-		this.loadAggregation = LoadAggregation.of(settings.record(), this.peers, this.relay);
+		this.loadAggregation = LoadAggregation.of(settings.toNodeRecord(), this.peers, this.relay);
 		this.requests = RequestDispatcher.of(settings, this.directory, random);
 		this.groups = GroupController.of(settings, this.directory, self, started);
 	}
@@ -127,12 +127,12 @@
 
 	// Puts the addresses of all other nodes to what all are told.
 	private List<EntryEffect> resolveBroadcasts(List<EntryEffect> unresolved) {
-		if (unresolved.stream().noneMatch(EntryEffect.TellAll.class::isInstance)) {
+		if (unresolved.stream().noneMatch(EntryEffect.Broadcast.class::isInstance)) {
 			return unresolved;
 		}
 		Effects effects = Effects.begin();
 		for (EntryEffect effect : unresolved) {
-			if (effect instanceof EntryEffect.TellAll broadcast) {
+			if (effect instanceof EntryEffect.Broadcast broadcast) {
 				this.peers.sendToAll(broadcast.message(), effects);
 			}
 			else {
@@ -192,7 +192,7 @@
 		}
 		else if (message instanceof NodeMessage.ConfigurationTold received
 				&& received.version() > configurationVersion()) {
-			effects.add(new EntryEffect.TakeConfiguration(received.text()));
+			effects.add(new EntryEffect.ParseConfiguration(received.text()));
 		}
 		else if (message instanceof NodeMessage.TargetsSeen observed && !this.storeReachable) {
 			removeTargets(this.directory.apply(observed.changes(), now), effects);
@@ -218,9 +218,9 @@
 		if (this.stopRequestedAt == null) {
 			result.relayedUpdate().ifPresent((relayed) -> this.peers.sendToLocalPeers(relayed, effects));
 		}
-		effects.add(new EntryEffect.TargetsKnown(this.relay.revision()));
+		effects.add(new EntryEffect.AdvanceTargetRevision(this.relay.revision()));
 		if (result.readTargets()) {
-			effects.add(new EntryEffect.ReadTargets());
+			effects.add(new EntryEffect.ReadTargetChanges());
 		}
 		if (result.readConfiguration()) {
 			this.configurationDistribution.awaitText(update.configurationVersion(), now, effects);
@@ -228,7 +228,7 @@
 	}
 
 	private void sendStoreUpdate(NodeMessage.StoreNews update, Instant now, Effects effects) {
-		NodeMessage.StoreNews complete = update.with(this.groups.lease());
+		NodeMessage.StoreNews complete = update.withLease(this.groups.lease());
 		this.relay.recordUpdateSent(now);
 		this.peers.sendToLocalPeers(complete, effects);
 		if (this.relay.isReader(now)) {
@@ -238,7 +238,7 @@
 
 	private void recordSilenceReport(String node, TargetName target, Instant now, Effects effects) {
 		if (this.groups.controls(now) && this.silenceReports.recordReport(node, target, now)) {
-			effects.add(new EntryEffect.TellAll(new NodeMessage.SilenceConfirmed(this.settings.nodeName(), target)));
+			effects.add(new EntryEffect.Broadcast(new NodeMessage.SilenceConfirmed(this.settings.nodeName(), target)));
 			this.requests.handleReportedSilence(target, now, effects);
 		}
 	}
@@ -357,7 +357,7 @@
 		this.peers.updateNodes(all.nodes(), now);
 		if (!this.introduced) {
 			this.introduced = true;
-			effects.add(new EntryEffect.TellAll(new NodeMessage.Introduction(this.settings.record())));
+			effects.add(new EntryEffect.Broadcast(new NodeMessage.Introduction(this.settings.toNodeRecord())));
 		}
 	}
 
@@ -396,7 +396,7 @@
 		boolean readyNow = isInitialized() && this.stopRequestedAt == null;
 		if (readyNow != this.ready) {
 			this.ready = readyNow;
-			effects.add(new EntryEffect.Ready(readyNow));
+			effects.add(new EntryEffect.SetReadiness(readyNow));
 		}
 	}
 
@@ -413,7 +413,7 @@
 		this.configuration = Optional.of(read);
 		this.relay.recordAppliedConfiguration(read.version());
 		this.requests.adopt(read);
-		effects.add(new EntryEffect.LimitCallers(read.limits()));
+		effects.add(new EntryEffect.SetCallerLimits(read.limits()));
 		effects.log(LogEvent.CONFIGURATION_IN_FORCE, "version=" + read.version() + " routes=" + read.routes().size());
 		if (this.stopRequestedAt == null && !first) {
 			this.configurationDistribution.send(read.version(), now, effects);
@@ -430,7 +430,7 @@
 
 	private void removeTargets(List<TargetEntry> ended, Effects effects) {
 		for (TargetEntry entry : ended) {
-			effects.add(new EntryEffect.ForgetTarget(new TargetAddress(entry.name(), entry.address())));
+			effects.add(new EntryEffect.CloseTargetConnections(new TargetAddress(entry.name(), entry.address())));
 			effects.log(LogEvent.TARGET_CHANGED, "target=" + entry.name() + " ended address=" + entry.address());
 			this.requests.forget(entry.name());
 		}
--- a/src/main/java/sycamorehill/logic/entry/PeerNodes.java
+++ b/src/main/java/sycamorehill/logic/entry/PeerNodes.java
@@ -114,12 +114,12 @@
 	void handleMessage(NodeMessage message, Instant now) {
 		this.lastReceived.put(message.sender(), now);
 		if (message instanceof NodeMessage.Loads loads) {
-			this.storeStatuses.put(message.sender(), new StoreStatus(loads.storeReached(), now));
+			this.storeStatuses.put(message.sender(), new StoreStatus(loads.storeReachable(), now));
 		}
 		else if (message instanceof NodeMessage.LoadsAdded added) {
 			for (LoadSum sum : added.sums()) {
-				this.lastReceived.put(sum.node(), now);
-				this.nodeCounts.put(sum.dataCentre(), new NodeCount(sum.nodes(), now));
+				this.lastReceived.put(sum.aggregator(), now);
+				this.nodeCounts.put(sum.dataCentre(), new NodeCount(sum.liveNodes(), now));
 			}
 		}
 		else if (message instanceof NodeMessage.Introduction introduction) {
@@ -145,10 +145,10 @@
 
 	private double processor(String node) {
 		if (node.equals(this.self.name())) {
-			return this.self.processor();
+			return this.self.processorCores();
 		}
 		NodeRecord known = this.nodes.get(node);
-		return (known != null) ? known.processor() : 0;
+		return (known != null) ? known.processorCores() : 0;
 	}
 
 	/**
@@ -208,7 +208,7 @@
 			sendToAll(loads, effects);
 		}
 		else {
-			effects.add(new EntryEffect.Tell(localAddresses(), loads));
+			effects.add(new EntryEffect.Send(localAddresses(), loads));
 		}
 	}
 
@@ -296,7 +296,7 @@
 	void sendToLocalPeers(NodeMessage message, Effects effects) {
 		List<Address> addresses = localAddresses();
 		if (!addresses.isEmpty()) {
-			effects.add(new EntryEffect.Tell(addresses, message));
+			effects.add(new EntryEffect.Send(addresses, message));
 		}
 	}
 
@@ -312,7 +312,7 @@
 	void sendToRelays(NodeMessage message, Instant now, Effects effects) {
 		List<Address> relays = relayAddresses(now);
 		if (!relays.isEmpty()) {
-			effects.add(new EntryEffect.Tell(relays, message));
+			effects.add(new EntryEffect.Send(relays, message));
 		}
 	}
 
@@ -351,7 +351,7 @@
 	}
 
 	void sendToAll(NodeMessage message, Effects effects) {
-		effects.add(new EntryEffect.Tell(this.nodes.values().stream().map(NodeRecord::address).toList(), message));
+		effects.add(new EntryEffect.Send(this.nodes.values().stream().map(NodeRecord::address).toList(), message));
 	}
 
 	/**
@@ -362,7 +362,7 @@
 	 */
 	void sendTo(String node, NodeMessage message, Effects effects) {
 		Optional.ofNullable(this.nodes.get(node))
-			.ifPresent((known) -> effects.add(new EntryEffect.Tell(List.of(known.address()), message)));
+			.ifPresent((known) -> effects.add(new EntryEffect.Send(List.of(known.address()), message)));
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/entry/StoreRelay.java
+++ b/src/main/java/sycamorehill/logic/entry/StoreRelay.java
@@ -227,7 +227,7 @@
 		if (this.revision < 0) {
 			return new UpdateResult(true, configuration, false, false, Optional.empty());
 		}
-		boolean noChangeMissed = this.revision >= update.changedBefore();
+		boolean noChangeMissed = this.revision >= update.previousChangeRevision();
 		boolean partlyRead = this.revision > update.since() && this.revision < update.revision();
 		if (!noChangeMissed || partlyRead) {
 			return new UpdateResult(true, configuration, true, false, Optional.empty());
@@ -235,7 +235,7 @@
 		boolean apply = this.revision < update.revision() && !update.changes().isEmpty();
 		advanceRevisions(update);
 		Optional<NodeMessage.StoreNews> relayed = local ? Optional.empty()
-				: Optional.of(update.from(this.self, this.dataCentre));
+				: Optional.of(update.relayedBy(this.self, this.dataCentre));
 		return new UpdateResult(true, configuration, false, apply, relayed);
 	}
 
@@ -246,7 +246,7 @@
 		if (this.revision < update.revision()) {
 			this.revision = update.revision();
 		}
-		long changed = update.changes().isEmpty() ? update.changedBefore() : update.revision();
+		long changed = update.changes().isEmpty() ? update.previousChangeRevision() : update.revision();
 		this.changeRevision = Math.max(this.changeRevision, changed);
 	}
 
--- a/src/main/java/sycamorehill/logic/layout/DetachedMembers.java
+++ b/src/main/java/sycamorehill/logic/layout/DetachedMembers.java
@@ -68,11 +68,11 @@
 		for (TargetEntry entry : entries) {
 			LastReport previous = this.lastReports.get(entry.name());
 			int rank = entry.membership().map(Membership::rank).orElse(-1);
-			if (previous == null || previous.startMillis() != entry.bornMillis() || previous.rank() != rank) {
+			if (previous == null || previous.startMillis() != entry.startMillis() || previous.rank() != rank) {
 				if (leftHead(entry, previous)) {
-					this.detachments.put(entry.name(), new Detachment(entry.bornMillis(), now));
+					this.detachments.put(entry.name(), new Detachment(entry.startMillis(), now));
 				}
-				this.lastReports.put(entry.name(), new LastReport(entry.bornMillis(), rank));
+				this.lastReports.put(entry.name(), new LastReport(entry.startMillis(), rank));
 			}
 		}
 		if (this.lastReports.size() > entries.size()) {
@@ -89,7 +89,7 @@
 		if (previous == null) {
 			return !this.historyKnown && entry.loaded().isPresent();
 		}
-		return previous.startMillis() == entry.bornMillis() && previous.rank() > 0;
+		return previous.startMillis() == entry.startMillis() && previous.rank() > 0;
 	}
 
 	private boolean hasExpired(Detachment detachment, Instant now) {
@@ -104,7 +104,7 @@
 	 */
 	boolean isBlocked(TargetEntry engine, Instant now) {
 		Detachment detachment = this.detachments.get(engine.name());
-		return detachment != null && detachment.startMillis() == engine.bornMillis() && !hasExpired(detachment, now);
+		return detachment != null && detachment.startMillis() == engine.startMillis() && !hasExpired(detachment, now);
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/layout/DomainInventories.java
+++ b/src/main/java/sycamorehill/logic/layout/DomainInventories.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.ModelParameters;
 import sycamorehill.model.serving.TargetEntry;
 
 /**
@@ -22,7 +22,7 @@
 		return new DomainInventories();
 	}
 
-	void addGroup(ModelFigures model, TargetEntry head) {
+	void addGroup(ModelParameters model, TargetEntry head) {
 		head.domain().ifPresent((domain) -> inventoryOf(domain, head).addGroup(model));
 	}
 
--- a/src/main/java/sycamorehill/logic/layout/DomainInventory.java
+++ b/src/main/java/sycamorehill/logic/layout/DomainInventory.java
@@ -10,7 +10,7 @@
 
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.TargetName;
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.ModelParameters;
 
 /**
  * Holds the groups of one fabric domain by model, and its spare engines that the plan has
@@ -45,7 +45,7 @@
 		return this.dataCentre;
 	}
 
-	void addGroup(ModelFigures model) {
+	void addGroup(ModelParameters model) {
 		this.groups.merge(model.name(), 1, Integer::sum);
 	}
 
@@ -54,7 +54,7 @@
 		this.spareChanges++;
 	}
 
-	int groups(ModelFigures model) {
+	int groups(ModelParameters model) {
 		return this.groups.getOrDefault(model.name(), 0);
 	}
 
@@ -81,7 +81,7 @@
 	 * @param model the model
 	 * @return the spare engines, sorted by name
 	 */
-	List<SpareEngine> readySpares(ModelFigures model) {
+	List<SpareEngine> readySpares(ModelParameters model) {
 		return this.spares.values()
 			.stream()
 			.filter((spare) -> spare.ready(model))
@@ -89,7 +89,7 @@
 			.toList();
 	}
 
-	long countHolders(ModelFigures model) {
+	long countHolders(ModelParameters model) {
 		return this.spares.values().stream().filter((spare) -> spare.holds(model)).count();
 	}
 
--- a/src/main/java/sycamorehill/logic/layout/EngineCommandSender.java
+++ b/src/main/java/sycamorehill/logic/layout/EngineCommandSender.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 
 import sycamorehill.logic.Effects;
-import sycamorehill.model.serving.EngineOrderCall;
+import sycamorehill.model.serving.EngineCommand;
 import sycamorehill.model.serving.EntryEffect;
 import sycamorehill.model.serving.TargetAddress;
 import sycamorehill.model.serving.TargetEntry;
@@ -38,17 +38,17 @@
 	 * @param effects receives the resulting effects
 	 * @return whether the command was sent
 	 */
-	boolean send(TargetEntry engine, EngineOrderCall command, Instant now, Effects effects) {
+	boolean send(TargetEntry engine, EngineCommand command, Instant now, Effects effects) {
 		if (!isFree(engine, now)) {
 			return false;
 		}
-		OptionalLong count = this.tracker.acceptedCommands(engine.name(), engine.bornMillis());
+		OptionalLong count = this.tracker.acceptedCommands(engine.name(), engine.startMillis());
 		if (count.isEmpty()) {
 			requestReport(engine, now, effects);
 			return false;
 		}
 		this.tracker.recordCall(engine.name(), now);
-		effects.add(new EntryEffect.SendOrder(address(engine), command, count.getAsLong()));
+		effects.add(new EntryEffect.SendCommand(address(engine), command, count.getAsLong()));
 		return true;
 	}
 
@@ -60,9 +60,9 @@
 	 * @param now the current time
 	 * @param effects receives the resulting effects
 	 */
-	void sendWithoutCount(TargetEntry engine, EngineOrderCall command, Instant now, Effects effects) {
+	void sendWithoutCount(TargetEntry engine, EngineCommand command, Instant now, Effects effects) {
 		this.tracker.recordCall(engine.name(), now);
-		effects.add(new EntryEffect.SendOrder(address(engine), command, EntryEffect.SendOrder.ANY_COUNT));
+		effects.add(new EntryEffect.SendCommand(address(engine), command, EntryEffect.SendCommand.ANY_COUNT));
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/layout/FormingGroup.java
+++ b/src/main/java/sycamorehill/logic/layout/FormingGroup.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 import sycamorehill.model.identity.TargetName;
-import sycamorehill.model.serving.EngineOrderCall;
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.EngineCommand;
+import sycamorehill.model.serving.ModelParameters;
 import sycamorehill.model.serving.TargetEntry;
 
 /**
@@ -18,25 +18,25 @@
 
 	private final long epoch;
 
-	private final ModelFigures model;
+	private final ModelParameters model;
 
 	private final List<TargetEntry> members;
 
 	private final Set<TargetName> joinedMembers = new HashSet<>();
 
-	private FormingGroup(String name, long epoch, ModelFigures model, List<TargetEntry> members) {
+	private FormingGroup(String name, long epoch, ModelParameters model, List<TargetEntry> members) {
 		this.name = name;
 		this.epoch = epoch;
 		this.model = model;
 		this.members = List.copyOf(members);
 	}
 
-	static FormingGroup of(String name, long epoch, ModelFigures model, List<TargetEntry> members) {
+	static FormingGroup of(String name, long epoch, ModelParameters model, List<TargetEntry> members) {
 		return new FormingGroup(name, epoch, model, members);
 	}
 
-	EngineOrderCall.Join joinCommand() {
-		return new EngineOrderCall.Join(this.name, this.epoch, this.model.name(),
+	EngineCommand.Join joinCommand() {
+		return new EngineCommand.Join(this.name, this.epoch, this.model.name(),
 				this.members.stream().map(TargetEntry::name).toList());
 	}
 
@@ -60,7 +60,7 @@
 		return this.epoch;
 	}
 
-	ModelFigures model() {
+	ModelParameters model() {
 		return this.model;
 	}
 
--- a/src/main/java/sycamorehill/logic/layout/GroupBuilder.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupBuilder.java
@@ -13,8 +13,8 @@
 import sycamorehill.logic.directory.TargetDirectory;
 import sycamorehill.model.identity.TargetName;
 import sycamorehill.model.log.LogEvent;
-import sycamorehill.model.serving.EngineOrderAnswer;
-import sycamorehill.model.serving.EngineOrderCall;
+import sycamorehill.model.serving.EngineCommand;
+import sycamorehill.model.serving.EngineCommandAnswer;
 import sycamorehill.model.serving.MemberState;
 import sycamorehill.model.serving.TargetEntry;
 
@@ -117,7 +117,7 @@
 	private void sendJoins(FormingGroup group, Instant now, Effects effects) {
 		for (TargetEntry member : group.members()) {
 			boolean listed = this.directory.find(member.name())
-				.filter((entry) -> entry.memberOf(group.name(), group.epoch()))
+				.filter((entry) -> entry.isMemberOf(group.name(), group.epoch()))
 				.isPresent();
 			if (!listed && !group.hasJoined(member.name())) {
 				this.commandSender.send(member, group.joinCommand(), now, effects);
@@ -135,7 +135,7 @@
 		MemberState headState = GroupView.memberState(group.head());
 		if (headState == MemberState.JOINING && !isForming(group)) {
 			Instant since = this.joiningSince.computeIfAbsent(group.key(), (key) -> now);
-			return now.isAfter(since.plus(group.model().coldLoad().multipliedBy(JOIN_TIMEOUT_FACTOR)));
+			return now.isAfter(since.plus(group.model().coldLoadTime().multipliedBy(JOIN_TIMEOUT_FACTOR)));
 		}
 		this.joiningSince.remove(group.key());
 		return headState == MemberState.BROKEN || headState == MemberState.CLOSING;
@@ -157,7 +157,7 @@
 			this.formingGroups.remove(group.key());
 			Instant answeredAt = this.openedAt.get(group.key());
 			if (answeredAt == null || now.isAfter(answeredAt.plus(OPEN_RETRY_DELAY))) {
-				this.commandSender.send(group.head(), new EngineOrderCall.Open(group.name(), group.epoch()), now,
+				this.commandSender.send(group.head(), new EngineCommand.Open(group.name(), group.epoch()), now,
 						effects);
 			}
 		}
@@ -169,22 +169,22 @@
 	 * @param join the command
 	 * @param answer the answer
 	 */
-	void handleJoinAnswer(TargetName engine, EngineOrderCall.Join join, EngineOrderAnswer answer) {
+	void handleJoinAnswer(TargetName engine, EngineCommand.Join join, EngineCommandAnswer answer) {
 		FormingGroup group = this.formingGroups.get(new GroupKey(join.group(), join.epoch()));
 		if (group == null) {
 			return;
 		}
-		if (answer.holds()) {
+		if (answer.isSuccessful()) {
 			group.recordJoined(engine);
 		}
-		else if (answer == EngineOrderAnswer.OUTDATED || answer == EngineOrderAnswer.OTHER_TARGET
-				|| answer == EngineOrderAnswer.NOTHING_LISTENS) {
+		else if (answer == EngineCommandAnswer.OUTDATED || answer == EngineCommandAnswer.OTHER_TARGET
+				|| answer == EngineCommandAnswer.NOTHING_LISTENS) {
 			this.formingGroups.remove(new GroupKey(join.group(), join.epoch()));
 		}
 	}
 
-	void handleOpenAnswer(EngineOrderCall.Open open, EngineOrderAnswer answer, Instant now) {
-		if (answer.holds()) {
+	void handleOpenAnswer(EngineCommand.Open open, EngineCommandAnswer answer, Instant now) {
+		if (answer.isSuccessful()) {
 			this.openedAt.put(new GroupKey(open.group(), open.epoch()), now);
 		}
 	}
--- a/src/main/java/sycamorehill/logic/layout/GroupController.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupController.java
@@ -13,8 +13,8 @@
 import sycamorehill.model.identity.TargetName;
 import sycamorehill.model.log.LogEvent;
 import sycamorehill.model.serving.Configuration;
-import sycamorehill.model.serving.EngineOrderAnswer;
-import sycamorehill.model.serving.EngineOrderCall;
+import sycamorehill.model.serving.EngineCommand;
+import sycamorehill.model.serving.EngineCommandAnswer;
 import sycamorehill.model.serving.EngineReport;
 import sycamorehill.model.serving.EntryEffect;
 import sycamorehill.model.serving.EntrySettings;
@@ -22,7 +22,7 @@
 import sycamorehill.model.serving.LeaseAnswer;
 import sycamorehill.model.serving.Membership;
 import sycamorehill.model.serving.NodeMessage;
-import sycamorehill.model.serving.ServiceFigures;
+import sycamorehill.model.serving.ServiceParameters;
 import sycamorehill.model.serving.TargetEntry;
 
 /**
@@ -152,7 +152,7 @@
 	 * @param now the current time
 	 * @param effects receives the resulting effects
 	 */
-	public void handleCommandAnswer(TargetName engine, EngineOrderCall command, EngineOrderAnswer answer, Instant now,
+	public void handleCommandAnswer(TargetName engine, EngineCommand command, EngineCommandAnswer answer, Instant now,
 			Effects effects) {
 		effects.log(LogEvent.ENGINE_ORDER, "engine=" + engine + " order=" + command + " answer=" + answer);
 		switch (answer) {
@@ -162,7 +162,7 @@
 		}
 		for (ServiceGroups service : this.services.values()) {
 			service.handleCommandAnswer(engine, command, answer, now)
-				.ifPresent((end) -> effects.add(new EntryEffect.TellAll(
+				.ifPresent((end) -> effects.add(new EntryEffect.Broadcast(
 						new NodeMessage.GroupEnded(this.settings.nodeName(), end.head(), end.group(), end.epoch()))));
 		}
 	}
@@ -176,10 +176,10 @@
 	 */
 	public void handleReport(TargetName engine, EngineReport report, Instant now, Effects effects) {
 		this.directory.applyReport(engine, report)
-			.ifPresent((change) -> effects
-				.add(new EntryEffect.TellAll(new NodeMessage.TargetsSeen(this.settings.nodeName(), List.of(change)))));
-		long startMillis = this.directory.find(engine).map(TargetEntry::bornMillis).orElse(0L);
-		this.commandTracker.recordCount(engine, startMillis, report.ordersAccepted());
+			.ifPresent((change) -> effects.add(
+					new EntryEffect.Broadcast(new NodeMessage.TargetsSeen(this.settings.nodeName(), List.of(change)))));
+		long startMillis = this.directory.find(engine).map(TargetEntry::startMillis).orElse(0L);
+		this.commandTracker.recordCount(engine, startMillis, report.acceptedCommands());
 		this.unreachable.recordReached(engine, now);
 		this.vanished.handleReport(engine, report);
 		report.membership()
@@ -200,13 +200,13 @@
 			return;
 		}
 		for (TargetEntry entry : this.directory.all()) {
-			boolean member = entry.memberOf(membership.get().group(), membership.get().epoch());
+			boolean member = entry.isMemberOf(membership.get().group(), membership.get().epoch());
 			if (member && this.commandSender.isFree(entry, now)) {
 				this.commandSender.requestReport(entry, now, effects);
 			}
 		}
 		for (TargetEntry entry : this.directory.vanished()) {
-			if (entry.memberOf(membership.get().group(), membership.get().epoch())) {
+			if (entry.isMemberOf(membership.get().group(), membership.get().epoch())) {
 				this.vanished.suspect(entry, now);
 				this.commandSender.requestReport(entry, now, effects);
 			}
@@ -237,7 +237,7 @@
 	 * @param now the current time
 	 * @param effects receives the resulting effects
 	 */
-	public void handleReportFailure(TargetName engine, EngineOrderAnswer answer, Instant now, Effects effects) {
+	public void handleReportFailure(TargetName engine, EngineCommandAnswer answer, Instant now, Effects effects) {
 		this.commandTracker.recordFailure(engine, now);
 		this.vanished.handleReportFailure(engine, now);
 		this.directory.find(engine).ifPresent((entry) -> {
@@ -271,7 +271,7 @@
 		}
 		this.lastPlanned = now;
 		this.unreachable.keepOnlyPresent();
-		for (ServiceFigures service : status.configuration().get().services().values()) {
+		for (ServiceParameters service : status.configuration().get().services().values()) {
 			service.engines()
 				.ifPresent((parameters) -> groupsOf(service.name()).control(parameters, status.groupActivity(), now,
 						effects));
--- a/src/main/java/sycamorehill/logic/layout/GroupDisbander.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupDisbander.java
@@ -14,8 +14,8 @@
 import sycamorehill.logic.directory.TargetDirectory;
 import sycamorehill.model.identity.TargetName;
 import sycamorehill.model.log.LogEvent;
-import sycamorehill.model.serving.EngineOrderAnswer;
-import sycamorehill.model.serving.EngineOrderCall;
+import sycamorehill.model.serving.EngineCommand;
+import sycamorehill.model.serving.EngineCommandAnswer;
 import sycamorehill.model.serving.MemberState;
 import sycamorehill.model.serving.TargetEntry;
 
@@ -165,14 +165,14 @@
 	private void endHead(GroupView group, Disbanding state, boolean complete, Instant now, Effects effects) {
 		if (state.head != null) {
 			boolean closeFirst = complete && now.isBefore(state.since.plus(MAXIMUM_CLOSING_TIME)) && isServing(group);
-			sendToHead(state, closeFirst ? new EngineOrderCall.Close(group.name(), group.epoch())
-					: new EngineOrderCall.Leave(group.name(), group.epoch()), now, effects);
+			sendToHead(state, closeFirst ? new EngineCommand.Close(group.name(), group.epoch())
+					: new EngineCommand.Leave(group.name(), group.epoch()), now, effects);
 		}
 	}
 
 	private static Disbanding start(GroupView group, Instant now, Effects effects) {
 		effects.log(LogEvent.GROUP_CHANGED, "group=" + group.name() + " epoch=" + group.epoch() + " disbanding seen="
-				+ group.members().size() + " of=" + group.model().size() + " head-seen=" + group.headReported());
+				+ group.members().size() + " of=" + group.model().groupSize() + " head-seen=" + group.headReported());
 		return new Disbanding(now);
 	}
 
@@ -192,7 +192,7 @@
 			if (!isHead && reachability.isReachable(member) && this.commandSender.isFree(member, now)
 					&& state.askedToLeave.add(member.name())) {
 				state.detachRequestedAt = now;
-				this.commandSender.sendWithoutCount(member, new EngineOrderCall.Leave(group.name(), group.epoch()), now,
+				this.commandSender.sendWithoutCount(member, new EngineCommand.Leave(group.name(), group.epoch()), now,
 						effects);
 				return;
 			}
@@ -205,10 +205,11 @@
 			return false;
 		}
 		Optional<TargetEntry> present = this.directory.find(state.head.name());
-		return present.isPresent() && (present.get().anotherLife(state.head) || !group.reportedBy(present.get()));
+		return present.isPresent()
+				&& (present.get().isOtherIncarnation(state.head) || !group.reportedBy(present.get()));
 	}
 
-	private void sendToHead(Disbanding state, EngineOrderCall command, Instant now, Effects effects) {
+	private void sendToHead(Disbanding state, EngineCommand command, Instant now, Effects effects) {
 		boolean repeated = command.getClass().equals(state.lastCommand);
 		if ((repeated && now.isBefore(state.lastCommandAt.plus(COMMAND_RETRY_DELAY)))
 				|| !this.commandSender.isFree(state.head, now)) {
@@ -229,7 +230,7 @@
 	 * @param now the current time
 	 * @return the group, if it no longer serves from now on
 	 */
-	Optional<GroupEnd> handleLeaveAnswer(TargetName engine, EngineOrderCall.Leave command, EngineOrderAnswer answer,
+	Optional<GroupEnd> handleLeaveAnswer(TargetName engine, EngineCommand.Leave command, EngineCommandAnswer answer,
 			Instant now) {
 		boolean confirmed = switch (answer) {
 			case BEGUN, HOLDS_ALREADY, CONFLICT, OTHER_TARGET -> true;
@@ -302,7 +303,7 @@
 
 		private Instant detachedAt;
 
-		private Class<? extends EngineOrderCall> lastCommand;
+		private Class<? extends EngineCommand> lastCommand;
 
 		private Instant lastCommandAt = Instant.MIN;
 
--- a/src/main/java/sycamorehill/logic/layout/GroupLeaseManager.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupLeaseManager.java
@@ -157,7 +157,7 @@
 		this.failedRenewals = 0;
 		this.nextCallAt = now.plus(EXPIRY_TIME);
 		effects
-			.add(new EntryEffect.TellAll(new NodeMessage.LeaseGivenUp(nodeName(this.ownIdentity), this.ownIdentity)));
+			.add(new EntryEffect.Broadcast(new NodeMessage.LeaseGivenUp(nodeName(this.ownIdentity), this.ownIdentity)));
 	}
 
 	/**
@@ -278,7 +278,7 @@
 		if (this.holding) {
 			Lease held = this.lastLease.orElseThrow();
 			effects.add(new EntryEffect.ReplaceLease(new Lease("", held.term(), held.revision())));
-			effects.add(new EntryEffect.TellAll(
+			effects.add(new EntryEffect.Broadcast(
 					new NodeMessage.LeaseGivenUp(nodeName(this.ownIdentity), this.ownIdentity)));
 			effects.log(LogEvent.GROUP_LEASE, "given back term=" + held.term());
 		}
--- a/src/main/java/sycamorehill/logic/layout/GroupSummary.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupSummary.java
@@ -8,8 +8,8 @@
 import sycamorehill.logic.directory.GroupView;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.log.LogEvent;
-import sycamorehill.model.serving.EngineFigures;
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.EngineParameters;
+import sycamorehill.model.serving.ModelParameters;
 import sycamorehill.model.serving.TargetEntry;
 
 /**
@@ -32,13 +32,13 @@
 		return new GroupSummary(service);
 	}
 
-	void write(EngineFigures parameters, ServiceSnapshot snapshot, Instant now, Effects effects) {
+	void write(EngineParameters parameters, ServiceSnapshot snapshot, Instant now, Effects effects) {
 		if (now.isBefore(this.lastWritten.plus(INTERVAL))) {
 			return;
 		}
 		this.lastWritten = now;
 		StringBuilder line = new StringBuilder("service=" + this.service);
-		for (ModelFigures model : parameters.models()) {
+		for (ModelParameters model : parameters.models()) {
 			line.append(" serving-").append(model.name()).append('=').append(snapshot.countServing(model));
 			line.append(" free-holding-").append(model.name()).append('=').append(snapshot.countHolding(model));
 		}
@@ -62,11 +62,11 @@
 	record ServiceSnapshot(List<GroupView> activeGroups, List<TargetEntry> freeEngines, int formingCount,
 			int disbandingCount, int stagingCount) {
 
-		private long countServing(ModelFigures model) {
+		private long countServing(ModelParameters model) {
 			return this.activeGroups.stream().filter((group) -> group.model().equals(model) && group.serving()).count();
 		}
 
-		private long countHolding(ModelFigures model) {
+		private long countHolding(ModelParameters model) {
 			return this.freeEngines.stream().filter((engine) -> engine.staged().contains(model.name())).count();
 		}
 
--- a/src/main/java/sycamorehill/logic/layout/LayoutPlan.java
+++ b/src/main/java/sycamorehill/logic/layout/LayoutPlan.java
@@ -12,8 +12,8 @@
 import java.util.function.Predicate;
 
 import sycamorehill.model.identity.DataCentreName;
-import sycamorehill.model.serving.EngineFigures;
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.EngineParameters;
+import sycamorehill.model.serving.ModelParameters;
 import sycamorehill.model.serving.TargetEntry;
 
 /**
@@ -40,7 +40,7 @@
 	 */
 	private static final double MEMBER_OFFSET = 0.1;
 
-	private final EngineFigures parameters;
+	private final EngineParameters parameters;
 
 	private final DesiredGroupCounts desiredCounts;
 
@@ -56,12 +56,13 @@
 
 	private final List<Load> loads = new ArrayList<>();
 
-	private LayoutPlan(EngineFigures parameters, DesiredGroupCounts desiredCounts, List<DomainInventory> inventories) {
+	private LayoutPlan(EngineParameters parameters, DesiredGroupCounts desiredCounts,
+			List<DomainInventory> inventories) {
 		this.parameters = parameters;
 		this.desiredCounts = desiredCounts;
 		this.inventories = inventories;
 		for (DomainInventory inventory : inventories) {
-			for (ModelFigures model : parameters.models()) {
+			for (ModelParameters model : parameters.models()) {
 				addToCounts(model, inventory, inventory.groups(model));
 			}
 		}
@@ -74,7 +75,7 @@
 	 * @param inventories the inventories of all fabric domains, which the plan uses up
 	 * @return the steps that are due, the most urgent first
 	 */
-	static Steps of(EngineFigures parameters, DesiredGroupCounts desiredCounts, List<DomainInventory> inventories) {
+	static Steps of(EngineParameters parameters, DesiredGroupCounts desiredCounts, List<DomainInventory> inventories) {
 		LayoutPlan plan = new LayoutPlan(parameters, desiredCounts, inventories);
 		plan.formReadyGroups();
 		plan.planMissingGroups();
@@ -82,37 +83,38 @@
 		return new Steps(plan.formations, plan.loads);
 	}
 
-	private void addToCounts(ModelFigures model, DomainInventory inventory, int count) {
+	private void addToCounts(ModelParameters model, DomainInventory inventory, int count) {
 		this.groupCount.merge(model.name(), count, Integer::sum);
 		this.localGroupCount.computeIfAbsent(inventory.dataCentre(), (name) -> new HashMap<>())
 			.merge(model.name(), count, Integer::sum);
 	}
 
-	private void addGroup(ModelFigures model, DomainInventory inventory) {
+	private void addGroup(ModelParameters model, DomainInventory inventory) {
 		inventory.addGroup(model);
 		addToCounts(model, inventory, 1);
 	}
 
-	private int groupCount(ModelFigures model) {
+	private int groupCount(ModelParameters model) {
 		return this.groupCount.getOrDefault(model.name(), 0);
 	}
 
-	private int localGroupCount(ModelFigures model, DomainInventory inventory) {
+	private int localGroupCount(ModelParameters model, DomainInventory inventory) {
 		return this.localGroupCount.get(inventory.dataCentre()).getOrDefault(model.name(), 0);
 	}
 
-	private boolean lacksGroups(ModelFigures model) {
+	private boolean lacksGroups(ModelParameters model) {
 		return groupCount(model) < this.desiredCounts.desired(model);
 	}
 
 	// Returns the models that have fewer groups than their limit, the scarcest first.
-	private List<ModelFigures> scarcestModels(Function<ModelFigures, Integer> limit) {
+	private List<ModelParameters> scarcestModels(Function<ModelParameters, Integer> limit) {
 		return this.parameters.models()
 			.stream()
 			.filter((model) -> groupCount(model) < limit.apply(model))
 			.sorted(Comparator
-				.comparingDouble((ModelFigures model) -> (groupCount(model) + 0.5) / this.desiredCounts.desired(model))
-				.thenComparing(ModelFigures::name))
+				.comparingDouble(
+						(ModelParameters model) -> (groupCount(model) + 0.5) / this.desiredCounts.desired(model))
+				.thenComparing(ModelParameters::name))
 			.toList();
 	}
 
@@ -125,13 +127,13 @@
 		}
 	}
 
-	private boolean form(ModelFigures model) {
+	private boolean form(ModelParameters model) {
 		Optional<DomainInventory> best = this.inventories.stream()
-			.filter((inventory) -> inventory.readySpares(model).size() >= model.size())
+			.filter((inventory) -> inventory.readySpares(model).size() >= model.groupSize())
 			.min(Comparator.comparingInt((DomainInventory inventory) -> localGroupCount(model, inventory))
 				.thenComparing(DomainInventory::domain));
 		best.ifPresent((inventory) -> {
-			List<SpareEngine> members = inventory.readySpares(model).subList(0, model.size());
+			List<SpareEngine> members = inventory.readySpares(model).subList(0, model.groupSize());
 			inventory.removeSpares(members);
 			addGroup(model, inventory);
 			this.formations.add(new Formation(model, members.stream().map(SpareEngine::entry).toList()));
@@ -140,10 +142,10 @@
 	}
 
 	private void planMissingGroups() {
-		Set<ModelFigures> impossible = new HashSet<>();
-		Optional<ModelFigures> next = nextMissingModel(impossible);
+		Set<ModelParameters> impossible = new HashSet<>();
+		Optional<ModelParameters> next = nextMissingModel(impossible);
 		while (next.isPresent()) {
-			ModelFigures model = next.get();
+			ModelParameters model = next.get();
 			if (!reserve(bestCompleteReservation(model)) && !reserve(bestPartialReservation(model))) {
 				impossible.add(model);
 			}
@@ -151,7 +153,7 @@
 		}
 	}
 
-	private Optional<ModelFigures> nextMissingModel(Set<ModelFigures> impossible) {
+	private Optional<ModelParameters> nextMissingModel(Set<ModelParameters> impossible) {
 		return scarcestModels(this.desiredCounts::desired).stream()
 			.filter((model) -> !impossible.contains(model))
 			.findFirst();
@@ -171,15 +173,15 @@
 
 	// Chooses the domain where a group costs least: first in groups of other models that
 	// could no longer be formed there, then in loads.
-	private Optional<Reservation> bestCompleteReservation(ModelFigures model) {
+	private Optional<Reservation> bestCompleteReservation(ModelParameters model) {
 		List<String> lackingModels = this.parameters.models()
 			.stream()
 			.filter(this::lacksGroups)
-			.map(ModelFigures::name)
+			.map(ModelParameters::name)
 			.toList();
 		return this.inventories.stream()
 			.map((inventory) -> completeReservation(model, inventory, lackingModels))
-			.filter((reservation) -> reservation.engines().size() == model.size())
+			.filter((reservation) -> reservation.engines().size() == model.groupSize())
 			.min(Comparator.comparingInt(this::groupsDisplaced)
 				.thenComparingLong(Reservation::requiredLoads)
 				.thenComparingInt((reservation) -> localGroupCount(model, reservation.inventory()))
@@ -189,7 +191,8 @@
 
 	// Planning a group changes only one domain, so the reservations of the other domains
 	// stay valid.
-	private Reservation completeReservation(ModelFigures model, DomainInventory inventory, List<String> lackingModels) {
+	private Reservation completeReservation(ModelParameters model, DomainInventory inventory,
+			List<String> lackingModels) {
 		ReservationKey key = new ReservationKey(model.name(), inventory.domain(), lackingModels);
 		CachedReservation cached = this.reservationCache.get(key);
 		if (cached != null && cached.spareChanges() == inventory.spareChanges()) {
@@ -204,23 +207,23 @@
 	// If pairs were formed of any two engines that become free, no domain would ever have
 	// enough engines for a large group again. The domain that has most of the engines is
 	// therefore reserved for the group.
-	private Optional<Reservation> bestPartialReservation(ModelFigures model) {
+	private Optional<Reservation> bestPartialReservation(ModelParameters model) {
 		return this.inventories.stream()
 			.map((inventory) -> new Reservation(model, inventory, cheapestSpares(model, inventory, (spare) -> false)))
-			.filter((reservation) -> reservation.engines().size() >= model.size() * MINIMUM_PARTIAL_SHARE)
+			.filter((reservation) -> reservation.engines().size() >= model.groupSize() * MINIMUM_PARTIAL_SHARE)
 			.max(Comparator.comparingInt((Reservation reservation) -> reservation.engines().size())
 				.thenComparingLong((reservation) -> -reservation.requiredLoads())
 				.thenComparing((reservation) -> reservation.inventory().domain()));
 	}
 
-	private static List<SpareEngine> cheapestSpares(ModelFigures model, DomainInventory inventory,
+	private static List<SpareEngine> cheapestSpares(ModelParameters model, DomainInventory inventory,
 			Predicate<SpareEngine> canChangeModel) {
 		return inventory.spares()
 			.stream()
 			.filter((spare) -> spare.holds(model) || spare.hasNoWeights() || canChangeModel.test(spare))
 			.sorted(Comparator.comparingInt((SpareEngine spare) -> assignmentCost(spare, model))
 				.thenComparing((spare) -> spare.entry().name()))
-			.limit(model.size())
+			.limit(model.groupSize())
 			.toList();
 	}
 
@@ -231,7 +234,7 @@
 				&& this.parameters.models().stream().noneMatch((model) -> spare.holds(model) && lacksGroups(model));
 	}
 
-	private static int assignmentCost(SpareEngine spare, ModelFigures model) {
+	private static int assignmentCost(SpareEngine spare, ModelParameters model) {
 		if (spare.holds(model)) {
 			return spare.loading().isEmpty() ? 0 : 1;
 		}
@@ -240,10 +243,11 @@
 
 	private int groupsDisplaced(Reservation reservation) {
 		int displaced = 0;
-		for (ModelFigures other : this.parameters.models()) {
+		for (ModelParameters other : this.parameters.models()) {
 			if (!other.equals(reservation.model()) && lacksGroups(other)) {
-				int before = reservation.inventory().spares().size() / other.size();
-				int after = (reservation.inventory().spares().size() - reservation.engines().size()) / other.size();
+				int before = reservation.inventory().spares().size() / other.groupSize();
+				int after = (reservation.inventory().spares().size() - reservation.engines().size())
+						/ other.groupSize();
 				int lackingGroups = this.desiredCounts.desired(other) - groupCount(other);
 				displaced += Math.min(before, lackingGroups) - Math.min(after, lackingGroups);
 			}
@@ -266,10 +270,10 @@
 	}
 
 	private boolean planSpareLoad(SpareEngine spare, DomainInventory inventory) {
-		ModelFigures scarcest = this.parameters.models()
+		ModelParameters scarcest = this.parameters.models()
 			.stream()
-			.min(Comparator.comparingDouble((ModelFigures model) -> spareCoverage(model, inventory, 0))
-				.thenComparing(ModelFigures::name))
+			.min(Comparator.comparingDouble((ModelParameters model) -> spareCoverage(model, inventory, 0))
+				.thenComparing(ModelParameters::name))
 			.orElseThrow();
 		boolean worthwhile = !spare.holds(scarcest)
 				&& (spare.hasNoWeights() || (spare.reassignable() && this.parameters.models()
@@ -286,8 +290,8 @@
 
 	// Returns the number of spares per member, because the next loss hits a model as
 	// often as it has members.
-	private static double spareCoverage(ModelFigures model, DomainInventory inventory, int holderChange) {
-		double members = (inventory.groups(model) + MEMBER_OFFSET) * model.size();
+	private static double spareCoverage(ModelParameters model, DomainInventory inventory, int holderChange) {
+		double members = (inventory.groups(model) + MEMBER_OFFSET) * model.groupSize();
 		return (inventory.countHolders(model) + holderChange + 0.5) / members;
 	}
 
@@ -306,7 +310,7 @@
 	 * @param model its model
 	 * @param members its engines, the head first
 	 */
-	record Formation(ModelFigures model, List<TargetEntry> members) {
+	record Formation(ModelParameters model, List<TargetEntry> members) {
 	}
 
 	/**
@@ -316,7 +320,7 @@
 	 * @param engine the engine whose host loads the weights
 	 * @param blocksGroup whether a group cannot be formed before the load has ended
 	 */
-	record Load(ModelFigures model, TargetEntry engine, boolean blocksGroup) {
+	record Load(ModelParameters model, TargetEntry engine, boolean blocksGroup) {
 	}
 
 	/**
@@ -326,7 +330,7 @@
 	 * @param inventory the domain
 	 * @param engines the engines
 	 */
-	private record Reservation(ModelFigures model, DomainInventory inventory, List<SpareEngine> engines) {
+	private record Reservation(ModelParameters model, DomainInventory inventory, List<SpareEngine> engines) {
 
 		private long requiredLoads() {
 			return this.engines.stream().filter((engine) -> !engine.holds(this.model)).count();
@@ -363,7 +367,7 @@
 		 * @param model the model
 		 * @return the number of groups
 		 */
-		int desired(ModelFigures model);
+		int desired(ModelParameters model);
 
 		/**
 		 * Returns the number of groups that are formed where engines hold the weights
@@ -371,7 +375,7 @@
 		 * @param model the model
 		 * @return the number of groups, not less than the desired number
 		 */
-		int maximum(ModelFigures model);
+		int maximum(ModelParameters model);
 
 	}
 
--- a/src/main/java/sycamorehill/logic/layout/ServiceGroups.java
+++ b/src/main/java/sycamorehill/logic/layout/ServiceGroups.java
@@ -14,9 +14,9 @@
 import sycamorehill.logic.directory.TargetDirectory;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.identity.TargetName;
-import sycamorehill.model.serving.EngineFigures;
-import sycamorehill.model.serving.EngineOrderAnswer;
-import sycamorehill.model.serving.EngineOrderCall;
+import sycamorehill.model.serving.EngineCommand;
+import sycamorehill.model.serving.EngineCommandAnswer;
+import sycamorehill.model.serving.EngineParameters;
 import sycamorehill.model.serving.EntrySettings;
 import sycamorehill.model.serving.Membership;
 import sycamorehill.model.serving.TargetEntry;
@@ -76,18 +76,18 @@
 		this.freeEngines.clear();
 	}
 
-	Optional<GroupDisbander.GroupEnd> handleCommandAnswer(TargetName engine, EngineOrderCall command,
-			EngineOrderAnswer answer, Instant now) {
-		if (command instanceof EngineOrderCall.Join join) {
+	Optional<GroupDisbander.GroupEnd> handleCommandAnswer(TargetName engine, EngineCommand command,
+			EngineCommandAnswer answer, Instant now) {
+		if (command instanceof EngineCommand.Join join) {
 			this.builder.handleJoinAnswer(engine, join, answer);
 		}
-		else if (command instanceof EngineOrderCall.Stage && !answer.holds()) {
+		else if (command instanceof EngineCommand.Stage && !answer.isSuccessful()) {
 			this.loads.recordRefused(engine);
 		}
-		else if (command instanceof EngineOrderCall.Open open) {
+		else if (command instanceof EngineCommand.Open open) {
 			this.builder.handleOpenAnswer(open, answer, now);
 		}
-		else if (command instanceof EngineOrderCall.Leave leave) {
+		else if (command instanceof EngineCommand.Leave leave) {
 			return this.disbander.handleLeaveAnswer(engine, leave, answer, now);
 		}
 		return Optional.empty();
@@ -104,7 +104,7 @@
 	 * @param now the current time
 	 * @param effects receives the resulting effects
 	 */
-	void control(EngineFigures parameters, GroupActivity groupActivity, Instant now, Effects effects) {
+	void control(EngineParameters parameters, GroupActivity groupActivity, Instant now, Effects effects) {
 		TargetDirectory directory = this.shared.directory();
 		List<TargetEntry> engines = directory.all().stream().filter(this::belongsToService).toList();
 		List<TargetEntry> vanished = directory.vanished().stream().filter(this::belongsToService).toList();
@@ -202,7 +202,7 @@
 		return this.disbander.isDisbanding(group) || this.disbander.hasEnded(group);
 	}
 
-	private LayoutPlan.Steps plan(EngineFigures parameters, List<TargetEntry> engines, List<GroupView> groups,
+	private LayoutPlan.Steps plan(EngineParameters parameters, List<TargetEntry> engines, List<GroupView> groups,
 			List<TargetEntry> freeEngines, Instant now) {
 		DomainInventories inventories = DomainInventories.create();
 		groups.stream()
@@ -224,10 +224,10 @@
 				this.freeEngines.isReassignable(engine, now));
 	}
 
-	private void execute(LayoutPlan.Steps steps, EngineFigures parameters, Instant now, Effects effects) {
+	private void execute(LayoutPlan.Steps steps, EngineParameters parameters, Instant now, Effects effects) {
 		steps.formations().forEach((formation) -> this.builder.startForming(formation, now, effects));
 		for (LayoutPlan.Load load : steps.loads()) {
-			EngineOrderCall command = new EngineOrderCall.Stage(load.model().name());
+			EngineCommand command = new EngineCommand.Stage(load.model().name());
 			if (this.loads.mayStart(load.blocksGroup(), parameters, now)
 					&& this.shared.commandSender().send(load.engine(), command, now, effects)) {
 				this.loads.recordStarted(load.engine(), load.model(), now);
--- a/src/main/java/sycamorehill/logic/layout/ShareBasedGroupCounts.java
+++ b/src/main/java/sycamorehill/logic/layout/ShareBasedGroupCounts.java
@@ -1,7 +1,7 @@
 package sycamorehill.logic.layout;
 
-import sycamorehill.model.serving.EngineFigures;
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.EngineParameters;
+import sycamorehill.model.serving.ModelParameters;
 
 /**
  * Derives the desired number of groups of each model from the share of the engines that
@@ -20,11 +20,11 @@
 	/** Minimum number of groups of a model, since any one of them may be lost. */
 	private static final int MINIMUM_GROUPS = 2;
 
-	private final EngineFigures parameters;
+	private final EngineParameters parameters;
 
 	private final int engineCount;
 
-	private ShareBasedGroupCounts(EngineFigures parameters, int engineCount) {
+	private ShareBasedGroupCounts(EngineParameters parameters, int engineCount) {
 		this.parameters = parameters;
 		this.engineCount = engineCount;
 	}
@@ -35,24 +35,25 @@
 	 * @param engineCount the number of engines
 	 * @return the group counts
 	 */
-	static ShareBasedGroupCounts of(EngineFigures parameters, int engineCount) {
+	static ShareBasedGroupCounts of(EngineParameters parameters, int engineCount) {
 		return new ShareBasedGroupCounts(parameters, engineCount);
 	}
 
 	@Override
-	public int desired(ModelFigures model) {
+	public int desired(ModelParameters model) {
 		return (int) Math.max(MINIMUM_GROUPS, Math.round(SERVING_SHARE * groupsUsingAllEngines(model)));
 	}
 
 	@Override
-	public int maximum(ModelFigures model) {
+	public int maximum(ModelParameters model) {
 		return (int) Math.max(MINIMUM_GROUPS, Math.ceil(groupsUsingAllEngines(model)));
 	}
 
-	private double groupsUsingAllEngines(ModelFigures model) {
-		double totalShare = this.parameters.models().stream().mapToDouble(ModelFigures::share).sum();
-		double share = (totalShare > 0) ? model.share() / totalShare : 1.0 / this.parameters.models().size();
-		return this.engineCount * share / model.size();
+	private double groupsUsingAllEngines(ModelParameters model) {
+		double totalShare = this.parameters.models().stream().mapToDouble(ModelParameters::expectedLoadShare).sum();
+		double share = (totalShare > 0) ? model.expectedLoadShare() / totalShare
+				: 1.0 / this.parameters.models().size();
+		return this.engineCount * share / model.groupSize();
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/layout/SpareEngine.java
+++ b/src/main/java/sycamorehill/logic/layout/SpareEngine.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.ModelParameters;
 import sycamorehill.model.serving.TargetEntry;
 
 /**
@@ -22,7 +22,7 @@
 	 * @param model the model
 	 * @return true if it needs no further load for the model
 	 */
-	boolean holds(ModelFigures model) {
+	boolean holds(ModelParameters model) {
 		return this.loading.map(model.name()::equals).orElseGet(() -> this.entry.staged().contains(model.name()));
 	}
 
@@ -31,7 +31,7 @@
 	 * @param model the model
 	 * @return true if it may join now and its host holds the weights
 	 */
-	boolean ready(ModelFigures model) {
+	boolean ready(ModelParameters model) {
 		return this.usable && this.loading.isEmpty() && this.entry.staged().contains(model.name());
 	}
 
--- a/src/main/java/sycamorehill/logic/layout/UnreachableEngines.java
+++ b/src/main/java/sycamorehill/logic/layout/UnreachableEngines.java
@@ -50,7 +50,7 @@
 	}
 
 	void add(TargetEntry engine, Instant now) {
-		this.failures.put(engine.name(), new Failure(engine.bornMillis(), now));
+		this.failures.put(engine.name(), new Failure(engine.startMillis(), now));
 		this.recoveredAt.remove(engine.name());
 	}
 
@@ -79,7 +79,7 @@
 
 	boolean contains(TargetEntry engine) {
 		Failure failure = this.failures.get(engine.name());
-		return failure != null && failure.startMillis() == engine.bornMillis();
+		return failure != null && failure.startMillis() == engine.startMillis();
 	}
 
 	/**
@@ -100,10 +100,10 @@
 	boolean isUnusable(TargetEntry member) {
 		Optional<TargetEntry> present = this.directory.find(member.name());
 		if (present.isPresent()) {
-			return present.get().anotherLife(member) || present.get().leaving() || contains(present.get());
+			return present.get().isOtherIncarnation(member) || present.get().leaving() || contains(present.get());
 		}
 		Optional<TargetEntry> lastEntry = this.directory.findVanished(member.name());
-		return lastEntry.isEmpty() || lastEntry.get().anotherLife(member) || this.vanished.isLeaving(member);
+		return lastEntry.isEmpty() || lastEntry.get().isOtherIncarnation(member) || this.vanished.isLeaving(member);
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/layout/VanishedMembers.java
+++ b/src/main/java/sycamorehill/logic/layout/VanishedMembers.java
@@ -118,7 +118,7 @@
 		this.directory.findVanished(engine).ifPresent((entry) -> {
 			this.unreachable.remove(engine);
 			boolean sameMembership = report.membership().equals(entry.membership()) || report.membership()
-				.filter((membership) -> entry.memberOf(membership.group(), membership.epoch()))
+				.filter((membership) -> entry.isMemberOf(membership.group(), membership.epoch()))
 				.isPresent();
 			if (sameMembership) {
 				this.answering.add(engine);
--- a/src/main/java/sycamorehill/logic/layout/WeightLoadTracker.java
+++ b/src/main/java/sycamorehill/logic/layout/WeightLoadTracker.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 import sycamorehill.model.identity.TargetName;
-import sycamorehill.model.serving.EngineFigures;
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.EngineParameters;
+import sycamorehill.model.serving.ModelParameters;
 import sycamorehill.model.serving.TargetEntry;
 
 /**
@@ -64,10 +64,10 @@
 
 	// The loads that the previous controller started are not known. It had at most as
 	// many running as run at full speed.
-	private void countEarlierLoads(EngineFigures parameters, Instant now) {
+	private void countEarlierLoads(EngineParameters parameters, Instant now) {
 		if (this.earlierLoadsUncounted) {
 			this.earlierLoadsUncounted = false;
-			this.budget.recordStarted(parameters.loadsAtOnce(), now);
+			this.budget.recordStarted(parameters.fullSpeedLoads(), now);
 		}
 	}
 
@@ -78,17 +78,17 @@
 	 * @param now the current time
 	 * @return true if the load may start
 	 */
-	boolean mayStart(boolean blocksGroup, EngineFigures parameters, Instant now) {
+	boolean mayStart(boolean blocksGroup, EngineParameters parameters, Instant now) {
 		countEarlierLoads(parameters, now);
 		boolean beforeTraffic = this.phase.beforeTraffic(now);
-		double maximum = parameters.loadsAtOnce()
+		double maximum = parameters.fullSpeedLoads()
 				* (beforeTraffic ? STARTUP_LOAD_FACTOR : (blocksGroup ? GROUP_LOAD_FACTOR : 1));
 		return this.loads.size() < maximum
 				&& (beforeTraffic || this.budget.allows(1, parameters.loadsPerSecond(), now));
 	}
 
-	void recordStarted(TargetEntry engine, ModelFigures model, Instant now) {
-		this.loads.put(engine.name(), new Load(model, engine.bornMillis(), now));
+	void recordStarted(TargetEntry engine, ModelParameters model, Instant now) {
+		this.loads.put(engine.name(), new Load(model, engine.startMillis(), now));
 		if (!this.phase.beforeTraffic(now)) {
 			this.budget.recordStarted(1, now);
 		}
@@ -123,9 +123,9 @@
 	}
 
 	private static boolean hasEnded(TargetEntry engine, Load load, Instant now) {
-		return engine == null || engine.bornMillis() != load.startMillis()
+		return engine == null || engine.startMillis() != load.startMillis()
 				|| engine.staged().contains(load.model().name())
-				|| now.isAfter(load.since().plus(load.model().coldLoad().multipliedBy(LOAD_TIMEOUT_FACTOR)));
+				|| now.isAfter(load.since().plus(load.model().coldLoadTime().multipliedBy(LOAD_TIMEOUT_FACTOR)));
 	}
 
 	/**
@@ -136,7 +136,7 @@
 	 * identifies its incarnation
 	 * @param since when its command was sent
 	 */
-	private record Load(ModelFigures model, long startMillis, Instant since) {
+	private record Load(ModelParameters model, long startMillis, Instant since) {
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/quarantine/ArbiterRule.java
+++ b/src/main/java/sycamorehill/logic/quarantine/ArbiterRule.java
@@ -68,7 +68,7 @@
 	}
 
 	private static void take(QuarantineStep step, IsolationAsked ask, TargetName target) {
-		Instant until = step.now().plus(step.policy().slotTime());
+		Instant until = step.now().plus(step.policy().maximumIsolationTime());
 		IsolationSlot slot = new IsolationSlot(target, ask.service(), ask.fingerprint(), ask.request(), until);
 		step.replace(step.state().withArbiter(step.state().arbiter().with(slot)));
 	}
--- a/src/main/java/sycamorehill/logic/quarantine/IsolationRule.java
+++ b/src/main/java/sycamorehill/logic/quarantine/IsolationRule.java
@@ -74,7 +74,7 @@
 			release(step, message.service(), name, message.fingerprint());
 			return;
 		}
-		Instant until = step.now().plus(step.policy().slotTime());
+		Instant until = step.now().plus(step.policy().maximumIsolationTime());
 		IsolationSlot slot = new IsolationSlot(name, message.service(), message.fingerprint(), message.request(),
 				until);
 		step.replace(step.state().withHeld(step.state().held().plus(message.request(), slot)));
--- a/src/main/java/sycamorehill/model/effect/OperatorEffect.java
+++ b/src/main/java/sycamorehill/model/effect/OperatorEffect.java
@@ -22,9 +22,9 @@
 	 * Answers where a ticket is in force.
 	 *
 	 * @param call the waiting operator
-	 * @param force where it is in force
+	 * @param rollout where it is in force
 	 */
-	record AnswerForce(OperatorCallIdentifier call, TicketForce force) implements OperatorEffect {
+	record AnswerForce(OperatorCallIdentifier call, TicketForce rollout) implements OperatorEffect {
 	}
 
 }
--- a/src/main/java/sycamorehill/model/effect/RequestEffect.java
+++ b/src/main/java/sycamorehill/model/effect/RequestEffect.java
@@ -20,10 +20,10 @@
 	 * @param attempt the attempt
 	 * @param target where to
 	 * @param handling whether the answer is to be recorded
-	 * @param patience the longest wait for the next byte
+	 * @param readTimeout the longest wait for the next byte
 	 */
 	record StartAttempt(RequestIdentifier request, AttemptIdentifier attempt, ServingTarget target, Handling handling,
-			Duration patience) implements RequestEffect {
+			Duration readTimeout) implements RequestEffect {
 	}
 
 	/**
--- a/src/main/java/sycamorehill/model/effect/TargetEffect.java
+++ b/src/main/java/sycamorehill/model/effect/TargetEffect.java
@@ -28,10 +28,10 @@
 	 * @param call the order
 	 * @param vm the VM
 	 * @param address where its engine listens
-	 * @param order the order
+	 * @param command the order
 	 * @param notAfter own monotonic time after which it must not be sent any more
 	 */
-	record SendOrder(CallIdentifier call, VmName vm, Address address, EngineOrder order,
+	record SendOrder(CallIdentifier call, VmName vm, Address address, EngineOrder command,
 			Instant notAfter) implements TargetEffect {
 	}
 
--- a/src/main/java/sycamorehill/model/platform/PlatformRequest.java
+++ b/src/main/java/sycamorehill/model/platform/PlatformRequest.java
@@ -58,9 +58,9 @@
 	 *
 	 * @param kind the kind
 	 * @param afterVersion answers as soon as an object has a higher version
-	 * @param longestWait how long the platform may hold the call
+	 * @param maximumWait how long the platform may hold the call
 	 */
-	record Watch(ObjectKind kind, long afterVersion, Duration longestWait) implements PlatformRequest {
+	record Watch(ObjectKind kind, long afterVersion, Duration maximumWait) implements PlatformRequest {
 	}
 
 }
--- a/src/main/java/sycamorehill/model/policy/GroupPolicy.java
+++ b/src/main/java/sycamorehill/model/policy/GroupPolicy.java
@@ -35,7 +35,7 @@
 	public static GroupPolicy standard() {
 		return new GroupPolicy(Duration.ofSeconds(6), Duration.ofSeconds(2), Duration.ofMillis(500),
 				Duration.ofSeconds(2), Duration.ofSeconds(2), Duration.ofSeconds(2), Duration.ofSeconds(4),
-				Duration.ofMinutes(2), 4, 3, Duration.ofMinutes(2), GroupWeights.standard().rules());
+				Duration.ofMinutes(2), 4, 3, Duration.ofMinutes(2), GroupWeights.standard().repairRules());
 	}
 
 	/**
@@ -44,28 +44,28 @@
 	 * @return the changed policy
 	 */
 	public GroupPolicy withWeights(GroupWeights weights) {
-		return withRepair(weights.rules());
+		return withRepair(weights.repairRules());
 	}
 
 	/**
 	 * The same bounds with other rules of repair.
-	 * @param changed the rules
+	 * @param repairRules the rules
 	 * @return the changed policy
 	 */
-	public GroupPolicy withRepair(RepairRules changed) {
+	public GroupPolicy withRepair(RepairRules repairRules) {
 		return new GroupPolicy(this.leaseLength, this.leaseRenewal, this.decisionInterval, this.allocationInterval,
 				this.callTimeout, this.orderWindow, this.orderRetry, this.orderRetryLongest, this.concurrentLoads,
-				this.failedLoadsBeforeStop, this.drainLongest, changed);
+				this.failedLoadsBeforeStop, this.drainLongest, repairRules);
 	}
 
 	/**
 	 * The same bounds with another number of loads at once.
-	 * @param changed the number
+	 * @param maximumLoads the number
 	 * @return the changed policy
 	 */
-	public GroupPolicy withConcurrentLoads(int changed) {
+	public GroupPolicy withConcurrentLoads(int maximumLoads) {
 		return new GroupPolicy(this.leaseLength, this.leaseRenewal, this.decisionInterval, this.allocationInterval,
-				this.callTimeout, this.orderWindow, this.orderRetry, this.orderRetryLongest, changed,
+				this.callTimeout, this.orderWindow, this.orderRetry, this.orderRetryLongest, maximumLoads,
 				this.failedLoadsBeforeStop, this.drainLongest, this.repair);
 	}
 
--- a/src/main/java/sycamorehill/model/policy/GroupWeights.java
+++ b/src/main/java/sycamorehill/model/policy/GroupWeights.java
@@ -12,11 +12,11 @@
  */
 public record GroupWeights(double downtimeShare) {
 
-	private static final Duration LONGEST_SILENCE = Duration.ofSeconds(30);
+	private static final Duration MAXIMUM_SILENCE = Duration.ofSeconds(30);
 
-	private static final Duration SHORTEST_SILENCE = Duration.ofSeconds(20);
+	private static final Duration MINIMUM_SILENCE = Duration.ofSeconds(20);
 
-	private static final double STANDBY_FROM = 0.7;
+	private static final double MINIMUM_STANDBY_SHARE = 0.7;
 
 	/**
 	 * Refuses a share out of range.
@@ -39,10 +39,10 @@
 	 * What the weights mean for repairs.
 	 * @return the rules
 	 */
-	public RepairRules rules() {
-		long range = LONGEST_SILENCE.toMillis() - SHORTEST_SILENCE.toMillis();
-		Duration silence = LONGEST_SILENCE.minusMillis(Math.round(range * this.downtimeShare));
-		return new RepairRules(silence, (this.downtimeShare >= STANDBY_FROM) ? 1 : 0, true, true, true);
+	public RepairRules repairRules() {
+		long rangeMillis = MAXIMUM_SILENCE.toMillis() - MINIMUM_SILENCE.toMillis();
+		Duration deadAfter = MAXIMUM_SILENCE.minusMillis(Math.round(rangeMillis * this.downtimeShare));
+		return new RepairRules(deadAfter, (this.downtimeShare >= MINIMUM_STANDBY_SHARE) ? 1 : 0, true, true, true);
 	}
 
 }
--- a/src/main/java/sycamorehill/model/policy/Policy.java
+++ b/src/main/java/sycamorehill/model/policy/Policy.java
@@ -30,31 +30,31 @@
 
 	/**
 	 * The same policy with other bounds of tickets.
-	 * @param changed the bounds
+	 * @param ticketPolicy the bounds
 	 * @return the policy
 	 */
-	public Policy withTicket(TicketPolicy changed) {
-		return new Policy(this.admission, this.routing, this.request, this.health, this.quarantine, this.order, changed,
-				this.membership, this.group, this.observation);
+	public Policy withTicket(TicketPolicy ticketPolicy) {
+		return new Policy(this.admission, this.routing, this.request, this.health, this.quarantine, this.order,
+				ticketPolicy, this.membership, this.group, this.observation);
 	}
 
 	/**
 	 * The same policy with other bounds of heartbeats.
-	 * @param changed the bounds
+	 * @param membershipPolicy the bounds
 	 * @return the policy
 	 */
-	public Policy withMembership(MembershipPolicy changed) {
+	public Policy withMembership(MembershipPolicy membershipPolicy) {
 		return new Policy(this.admission, this.routing, this.request, this.health, this.quarantine, this.order,
-				this.ticket, changed, this.group, this.observation);
+				this.ticket, membershipPolicy, this.group, this.observation);
 	}
 
 	/**
 	 * The same bounds with other ones for claims.
-	 * @param changed the bounds of claims
+	 * @param orderPolicy the bounds of claims
 	 * @return the changed policy
 	 */
-	public Policy withOrder(OrderPolicy changed) {
-		return new Policy(this.admission, this.routing, this.request, this.health, this.quarantine, changed,
+	public Policy withOrder(OrderPolicy orderPolicy) {
+		return new Policy(this.admission, this.routing, this.request, this.health, this.quarantine, orderPolicy,
 				this.ticket, this.membership, this.group, this.observation);
 	}
 
--- a/src/main/java/sycamorehill/model/policy/QuarantinePolicy.java
+++ b/src/main/java/sycamorehill/model/policy/QuarantinePolicy.java
@@ -36,7 +36,7 @@
 	 * How long the arbiter keeps a place for a suspect at the longest.
 	 * @return long enough for the wait for the answer, the run and its judgement
 	 */
-	public Duration slotTime() {
+	public Duration maximumIsolationTime() {
 		return this.isolationAnswer.plus(this.isolatedRun).plus(this.deathConfirm);
 	}
 
--- a/src/main/java/sycamorehill/model/serving/CallerLimits.java
+++ b/src/main/java/sycamorehill/model/serving/CallerLimits.java
@@ -5,13 +5,13 @@
 /**
  * Bounds on what a caller may send.
  *
- * @param headerBytes largest request head
- * @param bodyBytes largest request body
+ * @param maximumHeaderBytes largest request head
+ * @param maximumBodyBytes largest request body
  * @param headerTimeout longest time from the first byte of a request to the end of its
  * head
  * @param idleTimeout longest time that a connection may stay without a request
  */
-public record CallerLimits(int headerBytes, int bodyBytes, Duration headerTimeout, Duration idleTimeout) {
+public record CallerLimits(int maximumHeaderBytes, int maximumBodyBytes, Duration headerTimeout, Duration idleTimeout) {
 
 	/**
 	 * Bounds before any configuration is known: those of common HTTP servers.
--- a/src/main/java/sycamorehill/model/serving/CallerRequest.java
+++ b/src/main/java/sycamorehill/model/serving/CallerRequest.java
@@ -11,12 +11,12 @@
  * @param identifier the caller's identifier of this attempt, for logs
  * @param host the host that the caller named, in lower case, without a port
  * @param path the path without its query
- * @param key the caller's key
+ * @param apiKey the caller's key
  * @param model the model asked for
- * @param size sizes of prompt and answer
+ * @param tokenCounts sizes of prompt and answer
  * @param timeLeft how long the caller waits from the request's first byte
- * @param content hash of what would run: method, path and body
+ * @param contentHash hash of what would run: method, path and body
  */
-public record CallerRequest(long number, String identifier, String host, String path, Optional<String> key,
-		Optional<String> model, Optional<PromptSize> size, Optional<Duration> timeLeft, long content) {
+public record CallerRequest(long number, String identifier, String host, String path, Optional<String> apiKey,
+		Optional<String> model, Optional<TokenCounts> tokenCounts, Optional<Duration> timeLeft, long contentHash) {
 }
--- a/src/main/java/sycamorehill/model/serving/Configuration.java
+++ b/src/main/java/sycamorehill/model/serving/Configuration.java
@@ -13,11 +13,11 @@
  * @param routes all routes
  * @param services all services by name
  * @param limits bounds on what callers send
- * @param workspaces the workspace of each key
- * @param keysNeeded whether callers of routes that aren't open need a key
+ * @param workspacesByApiKey the workspace of each key
+ * @param requiresApiKeys whether callers of routes that aren't open need a key
  */
-public record Configuration(long version, List<Route> routes, Map<ServiceName, ServiceFigures> services,
-		CallerLimits limits, Map<String, Workspace> workspaces, boolean keysNeeded) {
+public record Configuration(long version, List<Route> routes, Map<ServiceName, ServiceParameters> services,
+		CallerLimits limits, Map<String, Workspace> workspacesByApiKey, boolean requiresApiKeys) {
 
 	/**
 	 * Copies the collections.
@@ -25,7 +25,7 @@
 	public Configuration {
 		routes = List.copyOf(routes);
 		services = Map.copyOf(services);
-		workspaces = Map.copyOf(workspaces);
+		workspacesByApiKey = Map.copyOf(workspacesByApiKey);
 	}
 
 	/**
@@ -33,7 +33,7 @@
 	 * @param name the service's name
 	 * @return the service, if the configuration names it
 	 */
-	public Optional<ServiceFigures> service(ServiceName name) {
+	public Optional<ServiceParameters> service(ServiceName name) {
 		return Optional.ofNullable(this.services.get(name));
 	}
 
--- a/src/main/java/sycamorehill/model/serving/EngineOrderCall.java
+++ b/src/main/java/sycamorehill/model/serving/EngineCommand.java
@@ -7,7 +7,7 @@
 /**
  * An order to an engine.
  */
-public sealed interface EngineOrderCall {
+public sealed interface EngineCommand {
 
 	/**
 	 * The engine takes its place in a group and loads the model.
@@ -17,7 +17,7 @@
 	 * @param model the group's model
 	 * @param members all members, the head first
 	 */
-	record Join(String group, long epoch, String model, List<TargetName> members) implements EngineOrderCall {
+	record Join(String group, long epoch, String model, List<TargetName> members) implements EngineCommand {
 	}
 
 	/**
@@ -26,7 +26,7 @@
 	 * @param group the group's name
 	 * @param epoch the group's epoch
 	 */
-	record Open(String group, long epoch) implements EngineOrderCall {
+	record Open(String group, long epoch) implements EngineCommand {
 	}
 
 	/**
@@ -35,7 +35,7 @@
 	 * @param group the group's name
 	 * @param epoch the group's epoch
 	 */
-	record Close(String group, long epoch) implements EngineOrderCall {
+	record Close(String group, long epoch) implements EngineCommand {
 	}
 
 	/**
@@ -44,7 +44,7 @@
 	 * @param group the group's name
 	 * @param epoch the group's epoch
 	 */
-	record Leave(String group, long epoch) implements EngineOrderCall {
+	record Leave(String group, long epoch) implements EngineCommand {
 	}
 
 	/**
@@ -52,7 +52,7 @@
 	 *
 	 * @param model the model
 	 */
-	record Stage(String model) implements EngineOrderCall {
+	record Stage(String model) implements EngineCommand {
 	}
 
 }
--- a/src/main/java/sycamorehill/model/serving/EngineOrderAnswer.java
+++ b/src/main/java/sycamorehill/model/serving/EngineCommandAnswer.java
@@ -3,7 +3,7 @@
 /**
  * What became of an order to an engine.
  */
-public enum EngineOrderAnswer {
+public enum EngineCommandAnswer {
 
 	/** The order has begun; the engine's count of orders went up by one. */
 	BEGUN,
@@ -33,7 +33,7 @@
 	 * Whether what the order asks for holds or is on its way.
 	 * @return true if the engine took the order or had nothing to do
 	 */
-	public boolean holds() {
+	public boolean isSuccessful() {
 		return this == BEGUN || this == HOLDS_ALREADY;
 	}
 
--- a/src/main/java/sycamorehill/model/serving/EngineReport.java
+++ b/src/main/java/sycamorehill/model/serving/EngineReport.java
@@ -6,11 +6,11 @@
 /**
  * What an engine tells of itself when asked.
  *
- * @param ordersAccepted orders that began something since that start
+ * @param acceptedCommands orders that began something since that start
  * @param staged models whose weights lie on the engine's host
  * @param membership the engine's group
  */
-public record EngineReport(long ordersAccepted, Set<String> staged, Optional<Membership> membership) {
+public record EngineReport(long acceptedCommands, Set<String> staged, Optional<Membership> membership) {
 
 	/**
 	 * Copies the staged models.
--- a/src/main/java/sycamorehill/model/serving/EntryEffect.java
+++ b/src/main/java/sycamorehill/model/serving/EntryEffect.java
@@ -20,7 +20,7 @@
 	 * @param number the request
 	 * @param timeout the bound
 	 */
-	record BoundRequest(long number, Duration timeout) implements EntryEffect {
+	record LimitRequestTime(long number, Duration timeout) implements EntryEffect {
 	}
 
 	/**
@@ -73,7 +73,7 @@
 	 *
 	 * @param number the request
 	 */
-	record GiveHeldFailure(long number) implements EntryEffect {
+	record ReturnHeldFailure(long number) implements EntryEffect {
 	}
 
 	/**
@@ -81,17 +81,18 @@
 	 *
 	 * @param number the request
 	 */
-	record BreakAnswer(long number) implements EntryEffect {
+	record AbortAnswer(long number) implements EntryEffect {
 	}
 
 	/**
 	 * Sends an order to an engine.
 	 *
 	 * @param target the engine
-	 * @param order the order
-	 * @param ordersAccepted the engine's count of orders; it refuses under another count
+	 * @param command the order
+	 * @param acceptedCommands the engine's count of orders; it refuses under another
+	 * count
 	 */
-	record SendOrder(TargetAddress target, EngineOrderCall order, long ordersAccepted) implements EntryEffect {
+	record SendCommand(TargetAddress target, EngineCommand command, long acceptedCommands) implements EntryEffect {
 
 		/** The order is good under any count. */
 		public static final long ANY_COUNT = -1;
@@ -131,7 +132,7 @@
 	 *
 	 * @param limits the bounds
 	 */
-	record LimitCallers(CallerLimits limits) implements EntryEffect {
+	record SetCallerLimits(CallerLimits limits) implements EntryEffect {
 	}
 
 	/**
@@ -140,7 +141,7 @@
 	 * @param nodes where these nodes take messages
 	 * @param version the configuration's version
 	 */
-	record TellConfiguration(List<Address> nodes, long version) implements EntryEffect {
+	record SendConfiguration(List<Address> nodes, long version) implements EntryEffect {
 	}
 
 	/**
@@ -148,7 +149,7 @@
 	 *
 	 * @param text the text
 	 */
-	record TakeConfiguration(String text) implements EntryEffect {
+	record ParseConfiguration(String text) implements EntryEffect {
 	}
 
 	/**
@@ -162,7 +163,7 @@
 	/**
 	 * Reads the changes of targets now.
 	 */
-	record ReadTargets() implements EntryEffect {
+	record ReadTargetChanges() implements EntryEffect {
 	}
 
 	/**
@@ -171,7 +172,7 @@
 	 *
 	 * @param revision the revision
 	 */
-	record TargetsKnown(long revision) implements EntryEffect {
+	record AdvanceTargetRevision(long revision) implements EntryEffect {
 	}
 
 	/**
@@ -179,7 +180,7 @@
 	 *
 	 * @param ready whether to send any
 	 */
-	record Ready(boolean ready) implements EntryEffect {
+	record SetReadiness(boolean ready) implements EntryEffect {
 	}
 
 	/**
@@ -187,7 +188,7 @@
 	 *
 	 * @param target the target
 	 */
-	record ForgetTarget(TargetAddress target) implements EntryEffect {
+	record CloseTargetConnections(TargetAddress target) implements EntryEffect {
 	}
 
 	/**
@@ -196,7 +197,7 @@
 	 * @param nodes where the nodes take messages
 	 * @param message what to tell
 	 */
-	record Tell(List<Address> nodes, NodeMessage message) implements EntryEffect {
+	record Send(List<Address> nodes, NodeMessage message) implements EntryEffect {
 	}
 
 	/**
@@ -204,7 +205,7 @@
 	 *
 	 * @param message what to tell
 	 */
-	record TellAll(NodeMessage message) implements EntryEffect {
+	record Broadcast(NodeMessage message) implements EntryEffect {
 	}
 
 	/**
@@ -212,11 +213,11 @@
 	 *
 	 * @param service the service asked for
 	 * @param outcome what became of it
-	 * @param time time since it came
-	 * @param firstAnswer time to the first event of its stream
+	 * @param elapsed time since it came
+	 * @param timeToFirstAnswer time to the first event of its stream
 	 */
-	record Finished(ServiceName service, Outcome outcome, Duration time,
-			Optional<Duration> firstAnswer) implements EntryEffect {
+	record Finished(ServiceName service, Outcome outcome, Duration elapsed,
+			Optional<Duration> timeToFirstAnswer) implements EntryEffect {
 
 		/** What became of a request. */
 		public enum Outcome {
--- a/src/main/java/sycamorehill/model/serving/EntryEvent.java
+++ b/src/main/java/sycamorehill/model/serving/EntryEvent.java
@@ -120,7 +120,7 @@
 	 * @param order the order
 	 * @param answer the answer
 	 */
-	record OrderAnswered(TargetName target, EngineOrderCall order, EngineOrderAnswer answer) implements EntryEvent {
+	record OrderAnswered(TargetName target, EngineCommand order, EngineCommandAnswer answer) implements EntryEvent {
 	}
 
 	/**
@@ -138,7 +138,7 @@
 	 * @param target the engine
 	 * @param answer what was seen instead
 	 */
-	record ReportFailed(TargetName target, EngineOrderAnswer answer) implements EntryEvent {
+	record ReportFailed(TargetName target, EngineCommandAnswer answer) implements EntryEvent {
 	}
 
 	/**
--- a/src/main/java/sycamorehill/model/serving/EntrySettings.java
+++ b/src/main/java/sycamorehill/model/serving/EntrySettings.java
@@ -12,30 +12,30 @@
  * @param nodeName the node's name
  * @param dataCentre where it runs
  * @param dataCentres all data centres
- * @param processor its share of a processor, in cores of usual speed
- * @param callers where it takes callers' connections
- * @param readiness where the balancer asks whether it is ready
- * @param neighbours where it takes messages of other nodes
- * @param store where the platform's store is reached
+ * @param processorCores its share of a processor, in cores of usual speed
+ * @param callerAddress where it takes callers' connections
+ * @param readinessAddress where the balancer asks whether it is ready
+ * @param peerAddress where it takes messages of other nodes
+ * @param storeAddress where the platform's store is reached
  * @param firstStart whether the whole system starts for the first time
  * @param stopTime time from the order to stop until the process is killed
  * @param retryWindow length of the window of the retry budget
  * @param retryRatio repeats allowed for each request, over all nodes
- * @param retryExtra repeats allowed besides in a window, over all nodes
+ * @param retryAllowance repeats allowed besides in a window, over all nodes
  * @param stallTime time after which a group that lost a member is surely broken
  * @param loadWindow length of the window in which loads from the weight store are bounded
  */
 public record EntrySettings(String nodeName, DataCentreName dataCentre, List<DataCentreName> dataCentres,
-		double processor, Address callers, Address readiness, Address neighbours, Address store, boolean firstStart,
-		Duration stopTime, Duration retryWindow, double retryRatio, double retryExtra, Duration stallTime,
-		Duration loadWindow) {
+		double processorCores, Address callerAddress, Address readinessAddress, Address peerAddress,
+		Address storeAddress, boolean firstStart, Duration stopTime, Duration retryWindow, double retryRatio,
+		double retryAllowance, Duration stallTime, Duration loadWindow) {
 
 	/**
 	 * What this node tells the others of itself.
 	 * @return its record
 	 */
-	public NodeRecord record() {
-		return new NodeRecord(this.nodeName, this.neighbours, this.dataCentre, this.processor);
+	public NodeRecord toNodeRecord() {
+		return new NodeRecord(this.nodeName, this.peerAddress, this.dataCentre, this.processorCores);
 	}
 
 }
--- a/src/main/java/sycamorehill/model/serving/LoadSum.java
+++ b/src/main/java/sycamorehill/model/serving/LoadSum.java
@@ -8,12 +8,12 @@
 /**
  * Requests that the nodes of a data centre have with targets, added up by one of them.
  *
- * @param node the node that added them up
+ * @param aggregator the node that added them up
  * @param dataCentre the data centre
- * @param nodes number of nodes that live there, as far as that node hears
+ * @param liveNodes number of nodes that live there, as far as that node hears
  * @param requests number of requests by target
  */
-public record LoadSum(String node, DataCentreName dataCentre, int nodes, Map<TargetName, Integer> requests) {
+public record LoadSum(String aggregator, DataCentreName dataCentre, int liveNodes, Map<TargetName, Integer> requests) {
 
 	/**
 	 * Copies the numbers.
--- a/src/main/java/sycamorehill/model/serving/NodeMessage.java
+++ b/src/main/java/sycamorehill/model/serving/NodeMessage.java
@@ -25,10 +25,10 @@
 	 *
 	 * @param sender the node that tells
 	 * @param dataCentre the data centre of that node
-	 * @param storeReached whether that node knows what the store shows now
+	 * @param storeReachable whether that node knows what the store shows now
 	 * @param requests number of requests by target
 	 */
-	record Loads(String sender, DataCentreName dataCentre, boolean storeReached,
+	record Loads(String sender, DataCentreName dataCentre, boolean storeReachable,
 			Map<TargetName, Integer> requests) implements NodeMessage {
 
 		/**
@@ -63,9 +63,9 @@
 	 *
 	 * @param sender the node that tells
 	 * @param target the engine
-	 * @param reading time that the engine needs to read the prompt
+	 * @param prefillTime time that the engine needs to read the prompt
 	 */
-	record Placed(String sender, TargetName target, Duration reading) implements NodeMessage {
+	record Placed(String sender, TargetName target, Duration prefillTime) implements NodeMessage {
 	}
 
 	/**
@@ -74,15 +74,15 @@
 	 * @param sender the node that tells
 	 * @param dataCentre the data centre of that node
 	 * @param configurationVersion the configuration in force there
-	 * @param changedBefore the revision of the last change that is not told here: who
-	 * knows it has missed nothing
+	 * @param previousChangeRevision the revision of the last change that is not told
+	 * here: who knows it has missed nothing
 	 * @param since the revision after which the changes were read
 	 * @param revision the revision that the node has come to
 	 * @param changes all changes of targets between these two, in their order
 	 * @param lease the right to control the groups as it was seen last
 	 * @param age time since the store answered the node that read this
 	 */
-	record StoreNews(String sender, DataCentreName dataCentre, long configurationVersion, long changedBefore,
+	record StoreNews(String sender, DataCentreName dataCentre, long configurationVersion, long previousChangeRevision,
 			long since, long revision, List<TargetChange> changes, Optional<Lease> lease,
 			Duration age) implements NodeMessage {
 
@@ -95,32 +95,32 @@
 
 		/**
 		 * News with the lease.
-		 * @param seen the lease as it was seen last
+		 * @param knownLease the lease as it was seen last
 		 * @return the news
 		 */
-		public StoreNews with(Optional<Lease> seen) {
-			return new StoreNews(this.sender, this.dataCentre, this.configurationVersion, this.changedBefore,
-					this.since, this.revision, this.changes, seen, this.age);
+		public StoreNews withLease(Optional<Lease> knownLease) {
+			return new StoreNews(this.sender, this.dataCentre, this.configurationVersion, this.previousChangeRevision,
+					this.since, this.revision, this.changes, knownLease, this.age);
 		}
 
 		/**
 		 * The same news without the changes, which each node then reads for itself.
 		 * @return the news
 		 */
-		public StoreNews announcement() {
+		public StoreNews withoutChanges() {
 			return new StoreNews(this.sender, this.dataCentre, this.configurationVersion, this.revision, this.revision,
 					this.revision, List.of(), this.lease, this.age);
 		}
 
 		/**
 		 * The same news, passed on by another node.
-		 * @param node the node that passes it on
-		 * @param place the data centre of that node
+		 * @param relay the node that passes it on
+		 * @param relayDataCentre the data centre of that node
 		 * @return the news
 		 */
-		public StoreNews from(String node, DataCentreName place) {
-			return new StoreNews(node, place, this.configurationVersion, this.changedBefore, this.since, this.revision,
-					this.changes, this.lease, this.age);
+		public StoreNews relayedBy(String relay, DataCentreName relayDataCentre) {
+			return new StoreNews(relay, relayDataCentre, this.configurationVersion, this.previousChangeRevision,
+					this.since, this.revision, this.changes, this.lease, this.age);
 		}
 
 	}
@@ -220,19 +220,19 @@
 	 * A target was lost while it ran a request.
 	 *
 	 * @param sender the node that tells
-	 * @param content hash of what ran
+	 * @param contentHash hash of what ran
 	 * @param target the target
 	 */
-	record Suspicion(String sender, long content, TargetName target) implements NodeMessage {
+	record Suspicion(String sender, long contentHash, TargetName target) implements NodeMessage {
 	}
 
 	/**
 	 * A request that was suspected was answered.
 	 *
 	 * @param sender the node that tells
-	 * @param content hash of what ran
+	 * @param contentHash hash of what ran
 	 */
-	record Cleared(String sender, long content) implements NodeMessage {
+	record Cleared(String sender, long contentHash) implements NodeMessage {
 	}
 
 }
--- a/src/main/java/sycamorehill/model/serving/NodeRecord.java
+++ b/src/main/java/sycamorehill/model/serving/NodeRecord.java
@@ -9,7 +9,7 @@
  * @param name the node
  * @param address where it takes messages of other nodes
  * @param dataCentre where it runs
- * @param processor its share of a processor, in cores of usual speed
+ * @param processorCores its share of a processor, in cores of usual speed
  */
-public record NodeRecord(String name, Address address, DataCentreName dataCentre, double processor) {
+public record NodeRecord(String name, Address address, DataCentreName dataCentre, double processorCores) {
 }
--- a/src/main/java/sycamorehill/model/serving/RequestKind.java
+++ b/src/main/java/sycamorehill/model/serving/RequestKind.java
@@ -23,7 +23,7 @@
 	 * Whether a request that may have run can be sent to another target.
 	 * @return true if a second run does no harm
 	 */
-	public boolean repeatable() {
+	public boolean isRepeatable() {
 		return this == IDEMPOTENT || this == RESUMABLE_STREAM;
 	}
 
@@ -31,7 +31,7 @@
 	 * Whether the answer is passed on event by event.
 	 * @return true for streams
 	 */
-	public boolean streaming() {
+	public boolean isStreaming() {
 		return this == RESUMABLE_STREAM || this == STREAM;
 	}
 
--- a/src/main/java/sycamorehill/model/serving/ServiceFigures.java
+++ b/src/main/java/sycamorehill/model/serving/ServiceParameters.java
@@ -12,5 +12,5 @@
  * together
  * @param engines what its model engines do; empty for plain services
  */
-public record ServiceFigures(ServiceName name, int maximumConnections, Optional<EngineFigures> engines) {
+public record ServiceParameters(ServiceName name, int maximumConnections, Optional<EngineParameters> engines) {
 }
--- a/src/main/java/sycamorehill/model/serving/TargetEntry.java
+++ b/src/main/java/sycamorehill/model/serving/TargetEntry.java
@@ -17,15 +17,15 @@
  * @param dataCentre where it runs
  * @param slots requests that it runs at once
  * @param leaving whether it is about to stop
- * @param bornMillis start of the target's process by its own wall clock, in milliseconds;
- * tells two lives under one name apart
+ * @param startMillis start of the target's process by its own wall clock, in
+ * milliseconds; tells two lives under one name apart
  * @param domain the fabric domain of an engine
  * @param staged models whose weights lie on the engine's host
  * @param loaded the model that the engine holds
  * @param membership the engine's group
  */
 public record TargetEntry(TargetName name, ServiceName service, Address address, DataCentreName dataCentre, int slots,
-		boolean leaving, long bornMillis, Optional<String> domain, Set<String> staged, Optional<String> loaded,
+		boolean leaving, long startMillis, Optional<String> domain, Set<String> staged, Optional<String> loaded,
 		Optional<Membership> membership) {
 
 	/**
@@ -41,8 +41,9 @@
 	 * @param epoch the group's epoch
 	 * @return true if it does
 	 */
-	public boolean memberOf(String group, long epoch) {
-		return this.membership.filter((seat) -> seat.group().equals(group) && seat.epoch() == epoch).isPresent();
+	public boolean isMemberOf(String group, long epoch) {
+		return this.membership.filter((current) -> current.group().equals(group) && current.epoch() == epoch)
+			.isPresent();
 	}
 
 	/**
@@ -50,19 +51,19 @@
 	 * @param other the entry to compare with
 	 * @return true if the process started anew in between
 	 */
-	public boolean anotherLife(TargetEntry other) {
-		return this.bornMillis != other.bornMillis || !this.address.equals(other.address);
+	public boolean isOtherIncarnation(TargetEntry other) {
+		return this.startMillis != other.startMillis || !this.address.equals(other.address);
 	}
 
 	/**
 	 * The same target after it has told more of itself.
-	 * @param held models whose weights lie on its host
-	 * @param seat its group
+	 * @param stagedModels models whose weights lie on its host
+	 * @param reportedMembership its group
 	 * @return its entry
 	 */
-	public TargetEntry reporting(Set<String> held, Optional<Membership> seat) {
+	public TargetEntry withReport(Set<String> stagedModels, Optional<Membership> reportedMembership) {
 		return new TargetEntry(this.name, this.service, this.address, this.dataCentre, this.slots, this.leaving,
-				this.bornMillis, this.domain, held, this.loaded, seat);
+				this.startMillis, this.domain, stagedModels, this.loaded, reportedMembership);
 	}
 
 }
--- a/src/main/java/sycamorehill/model/serving/PromptSize.java
+++ b/src/main/java/sycamorehill/model/serving/TokenCounts.java
@@ -4,7 +4,7 @@
  * What a caller tells of a request to a model.
  *
  * @param promptTokens tokens of the prompt
- * @param answerTokens most tokens of the answer
+ * @param maximumAnswerTokens most tokens of the answer
  */
-public record PromptSize(int promptTokens, int answerTokens) {
+public record TokenCounts(int promptTokens, int maximumAnswerTokens) {
 }
--- a/src/main/java/sycamorehill/objectapi/HttpPlatform.java
+++ b/src/main/java/sycamorehill/objectapi/HttpPlatform.java
@@ -105,7 +105,7 @@
 		}
 		PlatformRequest.Watch watch = (PlatformRequest.Watch) request;
 		return HttpCall.of(this.address, "GET", "/v1/watch/" + watch.kind().path() + "?after=" + watch.afterVersion()
-				+ "&wait=" + watch.longestWait().toMillis() / 1000.0, watch.longestWait().plus(WATCH_MARGIN));
+				+ "&wait=" + watch.maximumWait().toMillis() / 1000.0, watch.maximumWait().plus(WATCH_MARGIN));
 	}
 
 	private PlatformAnswer answer(PlatformRequest request, HttpAnswer answer) {
--- a/src/main/java/sycamorehill/operator/OperatorCalls.java
+++ b/src/main/java/sycamorehill/operator/OperatorCalls.java
@@ -61,7 +61,7 @@
 		else if (effect instanceof OperatorEffect.AnswerForce answer) {
 			CompletableFuture<TicketForce> waiting = this.forces.remove(answer.call());
 			if (waiting != null) {
-				waiting.complete(answer.force());
+				waiting.complete(answer.rollout());
 			}
 		}
 	}
--- a/src/main/java/sycamorehill/platform/ConfigurationDecoder.java
+++ b/src/main/java/sycamorehill/platform/ConfigurationDecoder.java
@@ -14,11 +14,11 @@
 import sycamorehill.model.identity.WorkspaceName;
 import sycamorehill.model.serving.CallerLimits;
 import sycamorehill.model.serving.Configuration;
-import sycamorehill.model.serving.EngineFigures;
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.EngineParameters;
+import sycamorehill.model.serving.ModelParameters;
 import sycamorehill.model.serving.RequestKind;
 import sycamorehill.model.serving.Route;
-import sycamorehill.model.serving.ServiceFigures;
+import sycamorehill.model.serving.ServiceParameters;
 import sycamorehill.model.serving.WeightedService;
 import sycamorehill.model.serving.Workspace;
 
@@ -36,9 +36,9 @@
 	static Configuration decode(JsonNode spec) {
 		List<Route> routes = new ArrayList<>();
 		JsonFields.list(spec, "routes").forEach((route) -> routes.add(route(route)));
-		Map<ServiceName, ServiceFigures> services = new HashMap<>();
+		Map<ServiceName, ServiceParameters> services = new HashMap<>();
 		JsonFields.list(spec, "services").forEach((service) -> {
-			ServiceFigures figures = service(service);
+			ServiceParameters figures = service(service);
 			services.put(figures.name(), figures);
 		});
 		JsonNode tenants = spec.path("tenants");
@@ -77,28 +77,28 @@
 		return services;
 	}
 
-	private static ServiceFigures service(JsonNode service) {
+	private static ServiceParameters service(JsonNode service) {
 		JsonNode engine = service.path("engine");
-		Optional<EngineFigures> engines = (engine.isObject() && engine.path("models").isArray()
+		Optional<EngineParameters> engines = (engine.isObject() && engine.path("models").isArray()
 				&& !engine.path("models").isEmpty()) ? Optional.of(engines(engine)) : Optional.empty();
-		return new ServiceFigures(ServiceName.of(JsonFields.text(service, "name")),
+		return new ServiceParameters(ServiceName.of(JsonFields.text(service, "name")),
 				(int) JsonFields.whole(service, "max_connections"), engines);
 	}
 
-	private static EngineFigures engines(JsonNode engine) {
-		List<ModelFigures> models = new ArrayList<>();
+	private static EngineParameters engines(JsonNode engine) {
+		List<ModelParameters> models = new ArrayList<>();
 		engine.path("models")
 			.forEach((model) -> models
-				.add(new ModelFigures(JsonFields.text(model, "name"), (int) JsonFields.whole(model, "size"),
+				.add(new ModelParameters(JsonFields.text(model, "name"), (int) JsonFields.whole(model, "size"),
 						JsonFields.number(model, "share"), JsonFields.number(model, "pace"),
 						JsonFields.seconds(model, "load_s"), JsonFields.seconds(model, "warm_s"))));
 		JsonNode usual = engine.path("usual");
-		return new EngineFigures((int) JsonFields.whole(engine, "batch_slots"), JsonFields.whole(engine, "kv_capacity"),
-				models, (int) JsonFields.whole(engine, "stride"), JsonFields.millis(engine, "step_ms"),
-				JsonFields.millis(engine, "per_seq_ms"), JsonFields.number(engine, "read_per_s"),
-				JsonFields.number(engine, "loads_per_s"), (int) JsonFields.whole(engine, "loads_at_once"),
-				JsonFields.millis(engine, "form_ms"), (int) JsonFields.number(usual, "prompt"),
-				(int) JsonFields.number(usual, "answer"));
+		return new EngineParameters((int) JsonFields.whole(engine, "batch_slots"),
+				JsonFields.whole(engine, "kv_capacity"), models, (int) JsonFields.whole(engine, "stride"),
+				JsonFields.millis(engine, "step_ms"), JsonFields.millis(engine, "per_seq_ms"),
+				JsonFields.number(engine, "read_per_s"), JsonFields.number(engine, "loads_per_s"),
+				(int) JsonFields.whole(engine, "loads_at_once"), JsonFields.millis(engine, "form_ms"),
+				(int) JsonFields.number(usual, "prompt"), (int) JsonFields.number(usual, "answer"));
 	}
 
 	private static CallerLimits limits(JsonNode limits) {
--- a/src/main/java/sycamorehill/platform/PlatformEngines.java
+++ b/src/main/java/sycamorehill/platform/PlatformEngines.java
@@ -15,8 +15,8 @@
 import sycamorehill.entry.CallClient;
 import sycamorehill.entry.CallFailedException;
 import sycamorehill.entry.EnginePort;
-import sycamorehill.model.serving.EngineOrderAnswer;
-import sycamorehill.model.serving.EngineOrderCall;
+import sycamorehill.model.serving.EngineCommand;
+import sycamorehill.model.serving.EngineCommandAnswer;
 import sycamorehill.model.serving.EngineReport;
 import sycamorehill.model.serving.EntryEffect;
 import sycamorehill.model.serving.TargetAddress;
@@ -54,10 +54,10 @@
 	}
 
 	@Override
-	public CompletableFuture<EngineOrderAnswer> order(TargetAddress engine, EngineOrderCall order,
+	public CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommand order,
 			long ordersAccepted) {
 		ObjectNode body = body(order);
-		if (ordersAccepted != EntryEffect.SendOrder.ANY_COUNT) {
+		if (ordersAccepted != EntryEffect.SendCommand.ANY_COUNT) {
 			body.put("expected", ordersAccepted);
 		}
 		byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
@@ -70,23 +70,23 @@
 		return new CallClient.Header(PlatformHeaders.EXPECT_INSTANCE, engine.name().value());
 	}
 
-	private ObjectNode body(EngineOrderCall order) {
+	private ObjectNode body(EngineCommand order) {
 		ObjectNode body = this.json.createObjectNode();
-		if (order instanceof EngineOrderCall.Join join) {
+		if (order instanceof EngineCommand.Join join) {
 			group(body, "join", join.group(), join.epoch()).put("model", join.model());
 			ArrayNode members = body.putArray("members");
 			join.members().forEach((member) -> members.add(member.value()));
 		}
-		else if (order instanceof EngineOrderCall.Open open) {
+		else if (order instanceof EngineCommand.Open open) {
 			group(body, "open", open.group(), open.epoch());
 		}
-		else if (order instanceof EngineOrderCall.Close close) {
+		else if (order instanceof EngineCommand.Close close) {
 			group(body, "close", close.group(), close.epoch()).put("close_mode", "queue");
 		}
-		else if (order instanceof EngineOrderCall.Leave leave) {
+		else if (order instanceof EngineCommand.Leave leave) {
 			group(body, "leave", leave.group(), leave.epoch());
 		}
-		else if (order instanceof EngineOrderCall.Stage stage) {
+		else if (order instanceof EngineCommand.Stage stage) {
 			body.put("operation", "stage").put("model", stage.model());
 		}
 		return body;
@@ -96,23 +96,23 @@
 		return body.put("operation", operation).put("group", group).put("epoch", epoch);
 	}
 
-	private static EngineOrderAnswer orderAnswer(int status) {
+	private static EngineCommandAnswer orderAnswer(int status) {
 		return switch (status) {
-			case 202 -> EngineOrderAnswer.BEGUN;
-			case 200 -> EngineOrderAnswer.HOLDS_ALREADY;
-			case 409 -> EngineOrderAnswer.CONFLICT;
-			case 412 -> EngineOrderAnswer.OUTDATED;
-			case 421 -> EngineOrderAnswer.OTHER_TARGET;
-			case 400 -> EngineOrderAnswer.UNSUPPORTED;
-			default -> EngineOrderAnswer.NOT_KNOWN;
+			case 202 -> EngineCommandAnswer.BEGUN;
+			case 200 -> EngineCommandAnswer.HOLDS_ALREADY;
+			case 409 -> EngineCommandAnswer.CONFLICT;
+			case 412 -> EngineCommandAnswer.OUTDATED;
+			case 421 -> EngineCommandAnswer.OTHER_TARGET;
+			case 400 -> EngineCommandAnswer.UNSUPPORTED;
+			default -> EngineCommandAnswer.NOT_KNOWN;
 		};
 	}
 
-	private static EngineOrderAnswer unanswered(Throwable failure) {
+	private static EngineCommandAnswer unanswered(Throwable failure) {
 		Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
 		boolean nothing = cause instanceof CallFailedException failed
 				&& failed.why() == CallFailedException.Cause.NOTHING_LISTENS;
-		return nothing ? EngineOrderAnswer.NOTHING_LISTENS : EngineOrderAnswer.NOT_KNOWN;
+		return nothing ? EngineCommandAnswer.NOTHING_LISTENS : EngineCommandAnswer.NOT_KNOWN;
 	}
 
 	@Override
@@ -133,7 +133,7 @@
 			}
 		}
 		catch (IOException | IllegalArgumentException ex) {
-			throw new CompletionException(new NoReportException(EngineOrderAnswer.NOT_KNOWN));
+			throw new CompletionException(new NoReportException(EngineCommandAnswer.NOT_KNOWN));
 		}
 		throw new CompletionException(new NoReportException(orderAnswer(answer.status())));
 	}
--- a/src/main/java/sycamorehill/platform/PlatformExchangeCodec.java
+++ b/src/main/java/sycamorehill/platform/PlatformExchangeCodec.java
@@ -19,8 +19,8 @@
 import sycamorehill.entry.Forwarding;
 import sycamorehill.entry.TargetHead;
 import sycamorehill.model.serving.EngineLoad;
-import sycamorehill.model.serving.PromptSize;
 import sycamorehill.model.serving.RequestRate;
+import sycamorehill.model.serving.TokenCounts;
 
 /**
  * Heads of requests and answers as the platform's callers and targets speak them.
@@ -56,9 +56,9 @@
 		return scheme ? Optional.of(value.substring(PlatformHeaders.KEY_SCHEME.length()).trim()) : Optional.empty();
 	}
 
-	private static Optional<PromptSize> size(HttpHeaders headers) {
+	private static Optional<TokenCounts> size(HttpHeaders headers) {
 		int[] numbers = numbers(headers.get(PlatformHeaders.PROMPT_SIZE), 2);
-		return (numbers != null) ? Optional.of(new PromptSize(numbers[0], numbers[1])) : Optional.empty();
+		return (numbers != null) ? Optional.of(new TokenCounts(numbers[0], numbers[1])) : Optional.empty();
 	}
 
 	private static int[] numbers(String text, int count) {
--- a/src/main/java/sycamorehill/platform/PlatformStore.java
+++ b/src/main/java/sycamorehill/platform/PlatformStore.java
@@ -133,7 +133,7 @@
 		body.putObject("spec")
 			.put(NODE_ADDRESS, node.address().toString())
 			.put(NODE_DATA_CENTRE, node.dataCentre().value())
-			.put(NODE_PROCESSOR, node.processor());
+			.put(NODE_PROCESSOR, node.processorCores());
 		byte[] bytes = bytes(body);
 		return done(new CallClient.Call(this.store, HttpMethod.POST, OBJECTS + NODES, bytes)).thenCompose((status) -> {
 			if (status != CONFLICT) {
--- a/src/main/java/sycamorehill/platform/UsersPlatform.java
+++ b/src/main/java/sycamorehill/platform/UsersPlatform.java
@@ -22,7 +22,7 @@
 	 */
 	public static EntryPorts ports(EntrySettings settings, CallClient client) {
 		ObjectMapper json = new ObjectMapper();
-		PlatformStore store = PlatformStore.of(client, settings.store(), json);
+		PlatformStore store = PlatformStore.of(client, settings.storeAddress(), json);
 		return new EntryPorts(PlatformExchangeCodec.create(), store.configurations(), store::configuration,
 				store.targets(), store, store, PlatformEngines.of(client, json));
 	}
--- a/src/main/java/sycamorehill/runtime/EffectRunner.java
+++ b/src/main/java/sycamorehill/runtime/EffectRunner.java
@@ -137,7 +137,7 @@
 			this.events.post(new TargetEvent.OrderAnswered(order.call(), EngineOrderResult.NOT_KNOWN));
 			return;
 		}
-		this.engines.order(order.address(), order.order())
+		this.engines.order(order.address(), order.command())
 			.thenAccept((result) -> this.events.post(new TargetEvent.OrderAnswered(order.call(), result)));
 	}
 
--- a/src/main/java/sycamorehill/standin/ObjectApi.java
+++ b/src/main/java/sycamorehill/standin/ObjectApi.java
@@ -135,12 +135,12 @@
 		Waiter waiter = new Waiter(watch, new CompletableFuture<>());
 		synchronized (this) {
 			PlatformAnswer now = this.store.call(watch);
-			if (!((PlatformAnswer.Listed) now).objects().isEmpty() || watch.longestWait().isZero()) {
+			if (!((PlatformAnswer.Listed) now).objects().isEmpty() || watch.maximumWait().isZero()) {
 				return CompletableFuture.completedFuture(listed(now));
 			}
 			this.waiters.add(waiter);
 		}
-		this.clock.schedule(() -> giveUp(waiter), watch.longestWait().toMillis(), TimeUnit.MILLISECONDS);
+		this.clock.schedule(() -> giveUp(waiter), watch.maximumWait().toMillis(), TimeUnit.MILLISECONDS);
 		return waiter.answer;
 	}
 
--- a/src/test/java/sycamorehill/entry/EntryNodeTests.java
+++ b/src/test/java/sycamorehill/entry/EntryNodeTests.java
@@ -21,8 +21,8 @@
 import sycamorehill.local.FreePorts;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.identity.DataCentreName;
-import sycamorehill.model.serving.EngineOrderAnswer;
-import sycamorehill.model.serving.EngineOrderCall;
+import sycamorehill.model.serving.EngineCommand;
+import sycamorehill.model.serving.EngineCommandAnswer;
 import sycamorehill.model.serving.EngineReport;
 import sycamorehill.model.serving.EntrySettings;
 import sycamorehill.model.serving.Lease;
@@ -95,7 +95,7 @@
 	}
 
 	private Socket connect() throws IOException {
-		Socket socket = new Socket("127.0.0.1", this.settings.callers().port());
+		Socket socket = new Socket("127.0.0.1", this.settings.callerAddress().port());
 		socket.setSoTimeout(3000);
 		return socket;
 	}
@@ -141,7 +141,7 @@
 	}
 
 	private String numbers(String path) throws IOException {
-		try (Socket socket = new Socket("127.0.0.1", this.settings.neighbours().port())) {
+		try (Socket socket = new Socket("127.0.0.1", this.settings.peerAddress().port())) {
 			socket.setSoTimeout(3000);
 			socket.getOutputStream()
 				.write(("GET " + path + " HTTP/1.1\r\nHost: node\r\nConnection: close\r\n\r\n")
@@ -351,13 +351,13 @@
 	private static final class NoEngines implements EnginePort {
 
 		@Override
-		public CompletableFuture<EngineOrderAnswer> order(TargetAddress engine, EngineOrderCall order, long count) {
-			return CompletableFuture.completedFuture(EngineOrderAnswer.NOT_KNOWN);
+		public CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommand order, long count) {
+			return CompletableFuture.completedFuture(EngineCommandAnswer.NOT_KNOWN);
 		}
 
 		@Override
 		public CompletableFuture<EngineReport> report(TargetAddress engine) {
-			return CompletableFuture.failedFuture(new NoReportException(EngineOrderAnswer.NOT_KNOWN));
+			return CompletableFuture.failedFuture(new NoReportException(EngineCommandAnswer.NOT_KNOWN));
 		}
 
 	}
--- a/src/test/java/sycamorehill/history/HistoryNode.java
+++ b/src/test/java/sycamorehill/history/HistoryNode.java
@@ -115,7 +115,7 @@
 		this.targets.put(attempt, target);
 		int resumeFrom = caller.relay.nextIndex();
 		this.world.later(() -> target.take(this, caller, attempt, resumeFrom));
-		this.world.at(start.patience(), () -> checkStall(attempt, start.patience()));
+		this.world.at(start.readTimeout(), () -> checkStall(attempt, start.readTimeout()));
 	}
 
 	private void checkStall(AttemptIdentifier attempt, Duration patience) {
--- a/src/test/java/sycamorehill/logic/dispatch/RequestDispatcherTests.java
+++ b/src/test/java/sycamorehill/logic/dispatch/RequestDispatcherTests.java
@@ -126,7 +126,7 @@
 		TargetName second = target(end(1, 1, new AttemptEnd.Failed(500)));
 		assertThat(second).isNotEqualTo(first);
 		List<EntryEffect> effects = end(1, 2, new AttemptEnd.Unknown("connection closed"));
-		assertThat(effects).contains(new EntryEffect.GiveHeldFailure(1));
+		assertThat(effects).contains(new EntryEffect.ReturnHeldFailure(1));
 	}
 
 	// A group crashes during a stream. Another group resumes the stream within the same
@@ -138,7 +138,7 @@
 		TargetName second = target(end(1, 1, new AttemptEnd.Broken("connection closed", true)));
 		assertThat(second).isNotEqualTo(first);
 		assertThat(end(1, 2, new AttemptEnd.Broken("connection closed", true)))
-			.contains(new EntryEffect.BreakAnswer(1));
+			.contains(new EntryEffect.AbortAnswer(1));
 	}
 
 	// A stream that may run only once breaks. Its answer is aborted, so that it can't be
@@ -148,7 +148,7 @@
 		arrive(1, "/single/x");
 		this.dispatcher.handleFirstEvent(1, this.now);
 		assertThat(end(1, 1, new AttemptEnd.Broken("connection closed", true)))
-			.contains(new EntryEffect.BreakAnswer(1));
+			.contains(new EntryEffect.AbortAnswer(1));
 	}
 
 	// A group lost a member and its head stalls. The stream moves to another group.
@@ -282,7 +282,7 @@
 	// beside it is cleared once that request is answered.
 	@Test
 	void aContentThatCrashedThreeTargetsIsRefusedUntilCleared() {
-		long content = ServingSamples.request(7, "/again/x").content();
+		long content = ServingSamples.request(7, "/again/x").contentHash();
 		for (String target : List.of("p1", "p2", "p3")) {
 			this.dispatcher.handleMessage(new NodeMessage.Suspicion("two", content, TargetName.of(target)), this.now,
 					Effects.begin());
--- a/src/test/java/sycamorehill/logic/entry/EntryReducerTests.java
+++ b/src/test/java/sycamorehill/logic/entry/EntryReducerTests.java
@@ -45,7 +45,7 @@
 	@Test
 	void aStoppingNodeAcceptsRequestsOnlyAsLongAsItCanFinishThem() {
 		List<EntryEffect> stopping = accept(new EntryEvent.StopOrdered(), 100);
-		assertThat(stopping).contains(new EntryEffect.Ready(false));
+		assertThat(stopping).contains(new EntryEffect.SetReadiness(false));
 		assertThat(startsAttempt(accept(new EntryEvent.RequestArrived(ServingSamples.request(1, "/again/x")), 2000)))
 			.isTrue();
 		List<EntryEffect> late = accept(new EntryEvent.RequestArrived(ServingSamples.request(2, "/again/x")), 5700);
@@ -58,25 +58,25 @@
 	@Test
 	void theConfigurationVersionNeverDecreases() {
 		assertThat(accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(4)), 10))
-			.noneMatch(EntryEffect.LimitCallers.class::isInstance);
+			.noneMatch(EntryEffect.SetCallerLimits.class::isInstance);
 		assertThat(accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(6)), 20))
-			.anyMatch(EntryEffect.LimitCallers.class::isInstance);
+			.anyMatch(EntryEffect.SetCallerLimits.class::isInstance);
 	}
 
 	@Test
 	void isReadyOnceConfigurationAndTargetsAreKnown() {
 		EntryReducer fresh = EntryReducer.of(ServingSamples.settings("one"), "one#2", new Random(1), this.start);
 		assertThat(fresh.accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(1)), this.start))
-			.doesNotContain(new EntryEffect.Ready(true));
+			.doesNotContain(new EntryEffect.SetReadiness(true));
 		assertThat(fresh.accept(new EntryEvent.TargetsListed(List.of(), 10), this.start))
-			.contains(new EntryEffect.Ready(true));
+			.contains(new EntryEffect.SetReadiness(true));
 	}
 
 	@Test
 	void sendsItsLoadsToTheOtherNodes() {
 		accept(new EntryEvent.NodesListed(List.of(ServingSamples.node("two", 7100))), 100);
 		assertThat(accept(new EntryEvent.Ticked(), 400)).anyMatch(
-				(effect) -> effect instanceof EntryEffect.Tell tell && tell.message() instanceof NodeMessage.Loads);
+				(effect) -> effect instanceof EntryEffect.Send tell && tell.message() instanceof NodeMessage.Loads);
 	}
 
 	// All nodes start at once after a loss of power, and callers reach this one 0.2 s
@@ -91,7 +91,7 @@
 		List<EntryEffect> listed = fresh.accept(new EntryEvent.TargetsListed(List.of(ServingSamples.plain("p1")), 10),
 				this.start.plusMillis(250));
 		assertThat(startsAttempt(listed)).isTrue();
-		assertThat(listed).contains(new EntryEffect.BoundRequest(1, Duration.ofMillis(5750)));
+		assertThat(listed).contains(new EntryEffect.LimitRequestTime(1, Duration.ofMillis(5750)));
 	}
 
 	// The store is away when the node starts: nobody knows for how long, so the caller is
--- a/src/test/java/sycamorehill/logic/entry/ManyNodesTests.java
+++ b/src/test/java/sycamorehill/logic/entry/ManyNodesTests.java
@@ -95,7 +95,7 @@
 	ManyNodesTests() {
 		for (int number = 0; number < NODES; number++) {
 			EntrySettings settings = settings(number);
-			this.names.put(settings.neighbours(), settings.nodeName());
+			this.names.put(settings.peerAddress(), settings.nodeName());
 			this.nodes.put(settings.nodeName(),
 					EntryReducer.of(settings, settings.nodeName() + "#1", new Random(number), this.now));
 		}
@@ -103,7 +103,7 @@
 			accept(node, new EntryEvent.ConfigurationRead(ServingSamples.configuration(1)));
 			accept(node, new EntryEvent.TargetsListed(List.of(ServingSamples.plain("p1")), this.revision));
 			accept(node, new EntryEvent.NodesListed(
-					IntStream.range(0, NODES).mapToObj((each) -> settings(each).record()).toList()));
+					IntStream.range(0, NODES).mapToObj((each) -> settings(each).toNodeRecord()).toList()));
 		});
 	}
 
@@ -114,7 +114,7 @@
 	private List<EntryEffect> accept(String node, EntryEvent event) {
 		List<EntryEffect> effects = this.nodes.get(node).accept(event, this.now);
 		for (EntryEffect effect : effects) {
-			if (effect instanceof EntryEffect.Tell tell) {
+			if (effect instanceof EntryEffect.Send tell) {
 				tell.nodes().stream().map(this.names::get).filter(this::isDelivered).forEach((to) -> {
 					this.receivedMessages.computeIfAbsent(to, (name) -> new ArrayList<>()).add(tell.message());
 					accept(to, new EntryEvent.MessageHeard(tell.message()));
@@ -123,10 +123,10 @@
 		}
 		handleConfigurationEffects(node, effects);
 		for (EntryEffect effect : effects) {
-			if (effect instanceof EntryEffect.TargetsKnown known) {
+			if (effect instanceof EntryEffect.AdvanceTargetRevision known) {
 				this.revisionsRead.merge(node, known.revision(), Math::max);
 			}
-			else if (effect instanceof EntryEffect.ReadTargets) {
+			else if (effect instanceof EntryEffect.ReadTargetChanges) {
 				readTargets(node);
 			}
 			else if (effect instanceof EntryEffect.Log log && log.line().event() == LogEvent.TARGET_NOTICE) {
@@ -143,7 +143,7 @@
 	// A text is its version's number here.
 	private void handleConfigurationEffects(String node, List<EntryEffect> effects) {
 		for (EntryEffect effect : effects) {
-			if (effect instanceof EntryEffect.TellConfiguration tell) {
+			if (effect instanceof EntryEffect.SendConfiguration tell) {
 				tell.nodes()
 					.stream()
 					.map(this.names::get)
@@ -151,7 +151,7 @@
 					.forEach((to) -> accept(to, new EntryEvent.MessageHeard(
 							new NodeMessage.ConfigurationTold(node, tell.version(), "" + tell.version()))));
 			}
-			else if (effect instanceof EntryEffect.TakeConfiguration take) {
+			else if (effect instanceof EntryEffect.ParseConfiguration take) {
 				accept(node,
 						new EntryEvent.ConfigurationHeard(ServingSamples.configuration(Long.parseLong(take.text()))));
 			}
@@ -257,7 +257,7 @@
 		assertThat(receivedSums("north-107")).anyMatch((sum) -> sum.dataCentre().value().equals("south"))
 			.filteredOn((sum) -> sum.dataCentre().value().equals("north"))
 			.isNotEmpty()
-			.allMatch((sum) -> sum.requests().equals(Map.of(TARGET, 1)) && sum.nodes() == NODES / 2);
+			.allMatch((sum) -> sum.requests().equals(Map.of(TARGET, 1)) && sum.liveNodes() == NODES / 2);
 		assertThat(receivedSums("south-130")).filteredOn((sum) -> sum.dataCentre().value().equals("north"))
 			.isNotEmpty()
 			.allMatch((sum) -> sum.requests().equals(Map.of(TARGET, 2)));
@@ -282,7 +282,7 @@
 		run(Duration.ofSeconds(2));
 		for (String node : List.of("north-105", "south-139")) {
 			assertThat(receivedSums(node)).extracting((sum) -> sum.dataCentre().value()).contains("north", "south");
-			assertThat(receivedSums(node)).noneMatch((sum) -> sum.node().equals("north-100"));
+			assertThat(receivedSums(node)).noneMatch((sum) -> sum.aggregator().equals("north-100"));
 		}
 	}
 
--- a/src/test/java/sycamorehill/logic/entry/PeerNodesTests.java
+++ b/src/test/java/sycamorehill/logic/entry/PeerNodesTests.java
@@ -53,7 +53,7 @@
 			if (peers.isLoadSendDue(now)) {
 				Effects effects = Effects.begin();
 				peers.sendLoads(loads(0, 1), now, effects);
-				sent += effects.all().stream().mapToLong((effect) -> ((EntryEffect.Tell) effect).nodes().size()).sum();
+				sent += effects.all().stream().mapToLong((effect) -> ((EntryEffect.Send) effect).nodes().size()).sum();
 			}
 		}
 		return sent;
--- a/src/test/java/sycamorehill/logic/entry/SharedLimitTests.java
+++ b/src/test/java/sycamorehill/logic/entry/SharedLimitTests.java
@@ -88,7 +88,7 @@
 	private void start(int number) {
 		IntStream.range(0, number).forEach((node) -> {
 			EntrySettings settings = settings(node);
-			this.names.put(settings.neighbours(), settings.nodeName());
+			this.names.put(settings.peerAddress(), settings.nodeName());
 			this.nodes.put(settings.nodeName(),
 					EntryReducer.of(settings, settings.nodeName() + "#1", new Random(node), this.now));
 		});
@@ -97,7 +97,7 @@
 			accept(node,
 					new EntryEvent.TargetsListed(List.of(ServingSamples.plain("p1"), ServingSamples.plain("p2")), 1));
 			accept(node, new EntryEvent.NodesListed(
-					IntStream.range(0, number).mapToObj((each) -> settings(each).record()).toList()));
+					IntStream.range(0, number).mapToObj((each) -> settings(each).toNodeRecord()).toList()));
 		});
 	}
 
@@ -107,7 +107,7 @@
 
 	private void accept(String node, EntryEvent event) {
 		for (EntryEffect effect : this.nodes.get(node).accept(event, this.now)) {
-			if (effect instanceof EntryEffect.Tell tell) {
+			if (effect instanceof EntryEffect.Send tell) {
 				tell.nodes().forEach((to) -> deliverLater(this.names.get(to), tell.message()));
 			}
 			else if (effect instanceof EntryEffect.StartAttempt start) {
--- a/src/test/java/sycamorehill/logic/entry/StoreRelayTests.java
+++ b/src/test/java/sycamorehill/logic/entry/StoreRelayTests.java
@@ -71,7 +71,8 @@
 
 	private static NodeMessage.StoreNews aged(NodeMessage.StoreNews update, Duration age) {
 		return new NodeMessage.StoreNews(update.sender(), update.dataCentre(), update.configurationVersion(),
-				update.changedBefore(), update.since(), update.revision(), update.changes(), update.lease(), age);
+				update.previousChangeRevision(), update.since(), update.revision(), update.changes(), update.lease(),
+				age);
 	}
 
 	private static TargetChange change(String target) {
@@ -86,7 +87,7 @@
 	private static List<NodeMessage.StoreNews> sentUpdates(List<EntryEffect> effects) {
 		List<NodeMessage.StoreNews> updates = new ArrayList<>();
 		for (EntryEffect effect : effects) {
-			if (effect instanceof EntryEffect.Tell tell && tell.message() instanceof NodeMessage.StoreNews update) {
+			if (effect instanceof EntryEffect.Send tell && tell.message() instanceof NodeMessage.StoreNews update) {
 				updates.add(aged(update, Duration.ZERO));
 			}
 		}
@@ -98,11 +99,11 @@
 	@Test
 	void appliesChangesFromTheReader() {
 		List<EntryEffect> effects = receive(changes("a", 100, 103, "p2"), 500);
-		assertThat(effects).contains(new EntryEffect.TargetsKnown(103))
-			.noneMatch(EntryEffect.ReadTargets.class::isInstance);
+		assertThat(effects).contains(new EntryEffect.AdvanceTargetRevision(103))
+			.noneMatch(EntryEffect.ReadTargetChanges.class::isInstance);
 		assertThat(this.node.targetsKnown()).isEqualTo(2);
 		assertThat(followsReader(1300)).isTrue();
-		assertThat(receive(changes("a", 103, 107, "p3"), 1000)).contains(new EntryEffect.TargetsKnown(107));
+		assertThat(receive(changes("a", 103, 107, "p3"), 1000)).contains(new EntryEffect.AdvanceTargetRevision(107));
 		assertThat(this.node.targetsKnown()).isEqualTo(3);
 	}
 
@@ -119,13 +120,13 @@
 	@Test
 	void readsMissedChanges() {
 		receive(changes("a", 100, 103, "p2"), 500);
-		assertThat(receive(changes("a", 105, 108, "p4"), 600)).contains(new EntryEffect.ReadTargets(),
-				new EntryEffect.TargetsKnown(103));
+		assertThat(receive(changes("a", 105, 108, "p4"), 600)).contains(new EntryEffect.ReadTargetChanges(),
+				new EntryEffect.AdvanceTargetRevision(103));
 		assertThat(this.node.targetsKnown()).isEqualTo(2);
-		assertThat(receive(progress("a", 108, 110), 950)).contains(new EntryEffect.ReadTargets());
+		assertThat(receive(progress("a", 108, 110), 950)).contains(new EntryEffect.ReadTargetChanges());
 		accept(new EntryEvent.TargetsChanged(List.of(change("p3"), change("p4")), 103, 110), 960);
-		assertThat(receive(progress("a", 108, 112), 1300)).contains(new EntryEffect.TargetsKnown(112))
-			.noneMatch(EntryEffect.ReadTargets.class::isInstance);
+		assertThat(receive(progress("a", 108, 112), 1300)).contains(new EntryEffect.AdvanceTargetRevision(112))
+			.noneMatch(EntryEffect.ReadTargetChanges.class::isInstance);
 	}
 
 	// The store's revision goes on with the writes of others, while no target
@@ -136,8 +137,8 @@
 	void appliesAChangeAfterRevisionsWithoutTargetChanges() {
 		NodeMessage.StoreNews later = new NodeMessage.StoreNews("a", NORTH, 5, 90, 140, 143, List.of(change("p2")),
 				Optional.empty(), Duration.ZERO);
-		assertThat(receive(later, 500)).contains(new EntryEffect.TargetsKnown(143))
-			.noneMatch(EntryEffect.ReadTargets.class::isInstance);
+		assertThat(receive(later, 500)).contains(new EntryEffect.AdvanceTargetRevision(143))
+			.noneMatch(EntryEffect.ReadTargetChanges.class::isInstance);
 		assertThat(this.node.targetsKnown()).isEqualTo(2);
 	}
 
@@ -146,14 +147,15 @@
 	@Test
 	void doesNotApplyPartlyReadChanges() {
 		accept(new EntryEvent.TargetsChanged(List.of(change("p2")), 100, 102), 400);
-		assertThat(receive(changes("a", 100, 103, "p3"), 500)).contains(new EntryEffect.ReadTargets());
+		assertThat(receive(changes("a", 100, 103, "p3"), 500)).contains(new EntryEffect.ReadTargetChanges());
 		assertThat(this.node.targetsKnown()).isEqualTo(2);
 	}
 
 	@Test
 	void ignoresKnownChanges() {
 		receive(changes("a", 100, 103, "p2"), 500);
-		assertThat(receive(changes("a", 100, 103, "p2"), 510)).noneMatch(EntryEffect.ReadTargets.class::isInstance);
+		assertThat(receive(changes("a", 100, 103, "p2"), 510))
+			.noneMatch(EntryEffect.ReadTargetChanges.class::isInstance);
 		assertThat(this.node.targetsKnown()).isEqualTo(2);
 	}
 
@@ -194,8 +196,8 @@
 
 	private List<Address> receivers(List<EntryEffect> effects) {
 		return effects.stream()
-			.filter(EntryEffect.Tell.class::isInstance)
-			.map(EntryEffect.Tell.class::cast)
+			.filter(EntryEffect.Send.class::isInstance)
+			.map(EntryEffect.Send.class::cast)
 			.filter((tell) -> tell.message() instanceof NodeMessage.StoreNews)
 			.flatMap((tell) -> tell.nodes().stream())
 			.toList();
@@ -245,7 +247,7 @@
 	void ignoresAnOlderStateOfAnotherDataCentre() {
 		NodeMessage.StoreNews older = new NodeMessage.StoreNews("a", SOUTH, 4, 90, 90, 95, List.of(change("p9")),
 				Optional.empty(), Duration.ZERO);
-		assertThat(receive(older, 100)).noneMatch(EntryEffect.ReadTargets.class::isInstance);
+		assertThat(receive(older, 100)).noneMatch(EntryEffect.ReadTargetChanges.class::isInstance);
 		assertThat(this.node.targetsKnown()).isEqualTo(1);
 		assertThat(this.node.configurationVersion()).isEqualTo(5);
 	}
@@ -302,7 +304,7 @@
 		assertThat(receive(newer, 100)).noneMatch(EntryEffect.ReadConfiguration.class::isInstance);
 		assertThat(receive(newer, 350)).contains(new EntryEffect.ReadConfiguration(6));
 		accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(6)), 380);
-		assertThat(receive(newer, 600)).noneMatch(EntryEffect.ReadTargets.class::isInstance)
+		assertThat(receive(newer, 600)).noneMatch(EntryEffect.ReadTargetChanges.class::isInstance)
 			.noneMatch(EntryEffect.ReadConfiguration.class::isInstance);
 	}
 
@@ -331,7 +333,7 @@
 	// takes the text that another one tells, once, and never an older one.
 	@Test
 	void appliesTheReceivedTextOfANewerConfiguration() {
-		assertThat(receiveConfiguration(6, 100)).contains(new EntryEffect.TakeConfiguration("text of 6"));
+		assertThat(receiveConfiguration(6, 100)).contains(new EntryEffect.ParseConfiguration("text of 6"));
 		accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(6)), 110);
 		assertThat(receiveConfiguration(6, 120)).isEmpty();
 		assertThat(receiveConfiguration(5, 130)).isEmpty();
@@ -349,11 +351,11 @@
 	void sendsAConfigurationThatItReadsForOthers() {
 		accept(new EntryEvent.TargetsChanged(List.of(), 100, 100), 100);
 		assertThat(accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(6)), 200))
-			.anyMatch((effect) -> effect instanceof EntryEffect.TellConfiguration tell && tell.version() == 6
+			.anyMatch((effect) -> effect instanceof EntryEffect.SendConfiguration tell && tell.version() == 6
 					&& tell.nodes().contains(Address.of("127.0.0.1", 7103)));
 		receive(progress("a", 100, 100), 300);
 		assertThat(accept(new EntryEvent.ConfigurationRead(ServingSamples.configuration(7)), 400))
-			.noneMatch(EntryEffect.TellConfiguration.class::isInstance);
+			.noneMatch(EntryEffect.SendConfiguration.class::isInstance);
 	}
 
 	// The call for the configuration hangs, and the others would rest from it for ever.
@@ -386,8 +388,8 @@
 
 	private static List<Duration> sentAges(List<EntryEffect> effects) {
 		return effects.stream()
-			.filter(EntryEffect.Tell.class::isInstance)
-			.map((effect) -> ((EntryEffect.Tell) effect).message())
+			.filter(EntryEffect.Send.class::isInstance)
+			.map((effect) -> ((EntryEffect.Send) effect).message())
 			.filter(NodeMessage.StoreNews.class::isInstance)
 			.map((message) -> ((NodeMessage.StoreNews) message).age())
 			.toList();
--- a/src/test/java/sycamorehill/logic/layout/FakeEngine.java
+++ b/src/test/java/sycamorehill/logic/layout/FakeEngine.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 
 import sycamorehill.model.identity.TargetName;
-import sycamorehill.model.serving.EngineOrderAnswer;
-import sycamorehill.model.serving.EngineOrderCall;
+import sycamorehill.model.serving.EngineCommand;
+import sycamorehill.model.serving.EngineCommandAnswer;
 import sycamorehill.model.serving.EngineReport;
 import sycamorehill.model.serving.EntryEffect;
 import sycamorehill.model.serving.MemberState;
 import sycamorehill.model.serving.Membership;
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.ModelParameters;
 import sycamorehill.model.serving.TargetEntry;
 import sycamorehill.support.ServingSamples;
 
@@ -34,13 +34,13 @@
 
 	private Optional<String> inMemory = Optional.empty();
 
-	private Optional<ModelFigures> staging = Optional.empty();
+	private Optional<ModelParameters> staging = Optional.empty();
 
 	private Instant stagedAt = Instant.MAX;
 
 	private Optional<Membership> membership = Optional.empty();
 
-	private Optional<EngineOrderCall.Join> join = Optional.empty();
+	private Optional<EngineCommand.Join> join = Optional.empty();
 
 	private Instant readyAt = Instant.MAX;
 
@@ -73,7 +73,7 @@
 		return this.membership;
 	}
 
-	Optional<EngineOrderCall.Join> join() {
+	Optional<EngineCommand.Join> join() {
 		return this.join;
 	}
 
@@ -148,80 +148,80 @@
 			.map((membership) -> new Membership(membership.group(), membership.epoch(), membership.rank(), state));
 	}
 
-	EngineOrderAnswer execute(EngineOrderCall command, long expectedCount, Instant now) {
-		if (expectedCount != EntryEffect.SendOrder.ANY_COUNT && expectedCount != this.acceptedCommands) {
-			return EngineOrderAnswer.CONFLICT;
+	EngineCommandAnswer execute(EngineCommand command, long expectedCount, Instant now) {
+		if (expectedCount != EntryEffect.SendCommand.ANY_COUNT && expectedCount != this.acceptedCommands) {
+			return EngineCommandAnswer.CONFLICT;
 		}
-		EngineOrderAnswer answer = start(command, now);
-		if (answer == EngineOrderAnswer.BEGUN) {
+		EngineCommandAnswer answer = start(command, now);
+		if (answer == EngineCommandAnswer.BEGUN) {
 			this.acceptedCommands++;
 		}
 		return answer;
 	}
 
-	private EngineOrderAnswer start(EngineOrderCall command, Instant now) {
-		if (command instanceof EngineOrderCall.Join joinCommand) {
+	private EngineCommandAnswer start(EngineCommand command, Instant now) {
+		if (command instanceof EngineCommand.Join joinCommand) {
 			return startJoin(joinCommand, now);
 		}
-		if (command instanceof EngineOrderCall.Open open) {
+		if (command instanceof EngineCommand.Open open) {
 			return switchState(open.group(), open.epoch(), MemberState.READY, MemberState.OPEN);
 		}
-		if (command instanceof EngineOrderCall.Close close) {
+		if (command instanceof EngineCommand.Close close) {
 			return switchState(close.group(), close.epoch(), MemberState.OPEN, MemberState.READY);
 		}
-		if (command instanceof EngineOrderCall.Leave leave) {
+		if (command instanceof EngineCommand.Leave leave) {
 			if (!inGroup(leave.group(), leave.epoch())) {
-				return EngineOrderAnswer.CONFLICT;
+				return EngineCommandAnswer.CONFLICT;
 			}
 			this.membership = Optional.empty();
 			this.readyAt = Instant.MAX;
 			this.acceptedCommands++;
-			return EngineOrderAnswer.HOLDS_ALREADY;
+			return EngineCommandAnswer.HOLDS_ALREADY;
 		}
-		return startStaging(((EngineOrderCall.Stage) command).model(), now);
+		return startStaging(((EngineCommand.Stage) command).model(), now);
 	}
 
-	private EngineOrderAnswer startStaging(String name, Instant now) {
+	private EngineCommandAnswer startStaging(String name, Instant now) {
 		if (this.staged.contains(name)) {
-			return EngineOrderAnswer.HOLDS_ALREADY;
+			return EngineCommandAnswer.HOLDS_ALREADY;
 		}
 		if (this.staging.isPresent()) {
-			return EngineOrderAnswer.CONFLICT;
+			return EngineCommandAnswer.CONFLICT;
 		}
-		ModelFigures model = ServingSamples.engineFigures().model(name).orElseThrow();
+		ModelParameters model = ServingSamples.engineFigures().model(name).orElseThrow();
 		this.staging = Optional.of(model);
-		this.stagedAt = now.plus(model.coldLoad());
-		return EngineOrderAnswer.BEGUN;
+		this.stagedAt = now.plus(model.coldLoadTime());
+		return EngineCommandAnswer.BEGUN;
 	}
 
-	private EngineOrderAnswer startJoin(EngineOrderCall.Join joinCommand, Instant now) {
+	private EngineCommandAnswer startJoin(EngineCommand.Join joinCommand, Instant now) {
 		if (this.membership.filter((membership) -> joinCommand.epoch() < membership.epoch()).isPresent()) {
-			return EngineOrderAnswer.OUTDATED;
+			return EngineCommandAnswer.OUTDATED;
 		}
 		if (inGroup(joinCommand.group(), joinCommand.epoch())) {
-			return EngineOrderAnswer.HOLDS_ALREADY;
+			return EngineCommandAnswer.HOLDS_ALREADY;
 		}
-		ModelFigures model = ServingSamples.engineFigures().model(joinCommand.model()).orElseThrow();
+		ModelParameters model = ServingSamples.engineFigures().model(joinCommand.model()).orElseThrow();
 		this.join = Optional.of(joinCommand);
 		this.membership = Optional.of(new Membership(joinCommand.group(), joinCommand.epoch(),
 				joinCommand.members().indexOf(this.name), MemberState.JOINING));
 		this.readyAt = now.plus(joinTime(model));
-		return EngineOrderAnswer.BEGUN;
+		return EngineCommandAnswer.BEGUN;
 	}
 
-	private Duration joinTime(ModelFigures model) {
+	private Duration joinTime(ModelParameters model) {
 		if (this.inMemory.equals(Optional.of(model.name()))) {
 			return Duration.ofMillis(200);
 		}
-		return this.staged.contains(model.name()) ? model.warmLoad() : model.coldLoad();
+		return this.staged.contains(model.name()) ? model.warmLoadTime() : model.coldLoadTime();
 	}
 
-	private EngineOrderAnswer switchState(String group, long epoch, MemberState from, MemberState to) {
+	private EngineCommandAnswer switchState(String group, long epoch, MemberState from, MemberState to) {
 		if (!inGroup(group, epoch) || this.membership.orElseThrow().state() != from) {
-			return EngineOrderAnswer.CONFLICT;
+			return EngineCommandAnswer.CONFLICT;
 		}
 		changeState(to);
-		return EngineOrderAnswer.BEGUN;
+		return EngineCommandAnswer.BEGUN;
 	}
 
 	private boolean inGroup(String group, long epoch) {
@@ -241,7 +241,7 @@
 	}
 
 	List<TargetName> members() {
-		return this.join.map(EngineOrderCall.Join::members).orElse(List.of());
+		return this.join.map(EngineCommand.Join::members).orElse(List.of());
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/layout/FakeFleet.java
+++ b/src/test/java/sycamorehill/logic/layout/FakeFleet.java
@@ -13,8 +13,8 @@
 import sycamorehill.logic.Effects;
 import sycamorehill.logic.directory.TargetDirectory;
 import sycamorehill.model.identity.TargetName;
-import sycamorehill.model.serving.EngineOrderAnswer;
-import sycamorehill.model.serving.EngineOrderCall;
+import sycamorehill.model.serving.EngineCommand;
+import sycamorehill.model.serving.EngineCommandAnswer;
 import sycamorehill.model.serving.EntryEffect;
 import sycamorehill.model.serving.Lease;
 import sycamorehill.model.serving.LeaseAnswer;
@@ -168,20 +168,20 @@
 		return this.controllers.stream().allMatch((controller) -> controller.partitionedFromStore);
 	}
 
-	private EngineOrderAnswer execute(FakeEngine engine, EngineOrderCall command, long expectedCount) {
+	private EngineCommandAnswer execute(FakeEngine engine, EngineCommand command, long expectedCount) {
 		Optional<FakeEngine> previousHead = headOf(engine);
-		Optional<EngineOrderCall.Join> previousJoin = engine.join();
-		EngineOrderAnswer answer = engine.execute(command, expectedCount, this.now);
-		if (answer == EngineOrderAnswer.CONFLICT) {
+		Optional<EngineCommand.Join> previousJoin = engine.join();
+		EngineCommandAnswer answer = engine.execute(command, expectedCount, this.now);
+		if (answer == EngineCommandAnswer.CONFLICT) {
 			this.conflicts++;
 		}
-		if (answer == EngineOrderAnswer.BEGUN && command instanceof EngineOrderCall.Join) {
+		if (answer == EngineCommandAnswer.BEGUN && command instanceof EngineCommand.Join) {
 			previousHead.filter((head) -> servesGroup(head, previousJoin)).ifPresent((head) -> {
 				throw new AssertionError(this.now + ": " + engine.name() + " was taken from "
 						+ previousJoin.get().group() + " while its head " + head.name() + " serves, by " + command);
 			});
 		}
-		if (answer == EngineOrderAnswer.BEGUN && command instanceof EngineOrderCall.Open && !allMembersReady(engine)) {
+		if (answer == EngineCommandAnswer.BEGUN && command instanceof EngineCommand.Open && !allMembersReady(engine)) {
 			throw new AssertionError(
 					this.now + ": " + engine.name() + " was opened without all members, by " + command);
 		}
@@ -198,7 +198,7 @@
 
 	// A head serves its group until it leaves, crashes, or has stalled for the stall
 	// time.
-	private boolean servesGroup(FakeEngine head, Optional<EngineOrderCall.Join> join) {
+	private boolean servesGroup(FakeEngine head, Optional<EngineCommand.Join> join) {
 		return head.isOpen() && join.isPresent()
 				&& head.membership().filter((membership) -> membership.group().equals(join.get().group())).isPresent();
 	}
@@ -230,7 +230,7 @@
 	 * @param expectedCount the command count that it names
 	 * @param executeAt when it is carried out
 	 */
-	private record DelayedCommand(TargetName engine, EngineOrderCall command, long expectedCount, Instant executeAt) {
+	private record DelayedCommand(TargetName engine, EngineCommand command, long expectedCount, Instant executeAt) {
 	}
 
 	/**
@@ -296,7 +296,7 @@
 		private void executeAll(Effects effects) {
 			for (EntryEffect effect : effects.all()) {
 				Effects next = Effects.begin();
-				if (effect instanceof EntryEffect.SendOrder command) {
+				if (effect instanceof EntryEffect.SendCommand command) {
 					send(command, next);
 				}
 				else if (effect instanceof EntryEffect.ReadReport read) {
@@ -311,22 +311,22 @@
 			}
 		}
 
-		private void send(EntryEffect.SendOrder command, Effects next) {
+		private void send(EntryEffect.SendCommand command, Effects next) {
 			FakeEngine engine = FakeFleet.this.engines.get(command.target().name());
-			EngineOrderAnswer answer;
+			EngineCommandAnswer answer;
 			if (!engine.isReachable()) {
-				answer = EngineOrderAnswer.NOTHING_LISTENS;
+				answer = EngineCommandAnswer.NOTHING_LISTENS;
 			}
 			else if (FakeFleet.this.random.nextDouble() < FakeFleet.this.delayedShare) {
 				long millis = 2000 + FakeFleet.this.random.nextInt(10_000);
-				FakeFleet.this.delayedCommands.add(new DelayedCommand(engine.name(), command.order(),
-						command.ordersAccepted(), FakeFleet.this.now.plusMillis(millis)));
-				answer = EngineOrderAnswer.NOT_KNOWN;
+				FakeFleet.this.delayedCommands.add(new DelayedCommand(engine.name(), command.command(),
+						command.acceptedCommands(), FakeFleet.this.now.plusMillis(millis)));
+				answer = EngineCommandAnswer.NOT_KNOWN;
 			}
 			else {
-				answer = execute(engine, command.order(), command.ordersAccepted());
+				answer = execute(engine, command.command(), command.acceptedCommands());
 			}
-			this.control.handleCommandAnswer(command.target().name(), command.order(), answer, FakeFleet.this.now,
+			this.control.handleCommandAnswer(command.target().name(), command.command(), answer, FakeFleet.this.now,
 					next);
 		}
 
@@ -336,7 +336,8 @@
 				this.control.handleReport(engine.name(), engine.report(), FakeFleet.this.now, next);
 			}
 			else {
-				this.control.handleReportFailure(engine.name(), EngineOrderAnswer.NOT_KNOWN, FakeFleet.this.now, next);
+				this.control.handleReportFailure(engine.name(), EngineCommandAnswer.NOT_KNOWN, FakeFleet.this.now,
+						next);
 			}
 		}
 
--- a/src/test/java/sycamorehill/logic/layout/LayoutPlanTests.java
+++ b/src/test/java/sycamorehill/logic/layout/LayoutPlanTests.java
@@ -8,8 +8,8 @@
 
 import org.junit.jupiter.api.Test;
 
-import sycamorehill.model.serving.EngineFigures;
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.EngineParameters;
+import sycamorehill.model.serving.ModelParameters;
 import sycamorehill.model.serving.TargetEntry;
 import sycamorehill.support.ServingSamples;
 
@@ -21,18 +21,18 @@
 class LayoutPlanTests {
 
 	/** A model whose groups take more than half of a domain of 11 engines. */
-	private static final ModelFigures SIX = new ModelFigures("six", 6, 0.67, 1, Duration.ofSeconds(16),
+	private static final ModelParameters SIX = new ModelParameters("six", 6, 0.67, 1, Duration.ofSeconds(16),
 			Duration.ofMillis(1600));
 
 	/** A model whose groups fit beside a group of six in a domain of 11 engines. */
-	private static final ModelFigures THREE = new ModelFigures("three", 3, 0.33, 0.6, Duration.ofSeconds(12),
+	private static final ModelParameters THREE = new ModelParameters("three", 3, 0.33, 0.6, Duration.ofSeconds(12),
 			Duration.ofMillis(1100));
 
-	private static SpareEngine spare(String name, String domain, ModelFigures... models) {
+	private static SpareEngine spare(String name, String domain, ModelParameters... models) {
 		return new SpareEngine(engine(name, domain, models), Optional.empty(), true, true);
 	}
 
-	private static TargetEntry engine(String name, String domain, ModelFigures... models) {
+	private static TargetEntry engine(String name, String domain, ModelParameters... models) {
 		TargetEntry sample = ServingSamples.engine(name, domain);
 		Set<String> staged = (models.length > 0) ? Set.of(models[0].name()) : Set.of();
 		return new TargetEntry(sample.name(), sample.service(), sample.address(), sample.dataCentre(), sample.slots(),
@@ -44,16 +44,16 @@
 				inventories(spares));
 	}
 
-	private static LayoutPlan.DesiredGroupCounts desiredCounts(ModelFigures large, int largeCount, int smallCount) {
+	private static LayoutPlan.DesiredGroupCounts desiredCounts(ModelParameters large, int largeCount, int smallCount) {
 		return new LayoutPlan.DesiredGroupCounts() {
 
 			@Override
-			public int desired(ModelFigures model) {
+			public int desired(ModelParameters model) {
 				return model.equals(large) ? largeCount : smallCount;
 			}
 
 			@Override
-			public int maximum(ModelFigures model) {
+			public int maximum(ModelParameters model) {
 				return desired(model);
 			}
 
@@ -66,10 +66,10 @@
 		return inventories.all();
 	}
 
-	private static EngineFigures sixAndThree() {
-		EngineFigures sample = ServingSamples.engineFigures();
-		return new EngineFigures(18, sample.memoryTokens(), List.of(SIX, THREE), 6, sample.stepTime(),
-				sample.stepTimePerRequest(), 56_100, 5.5, 8, sample.formTime(), 1115, 152);
+	private static EngineParameters sixAndThree() {
+		EngineParameters sample = ServingSamples.engineFigures();
+		return new EngineParameters(18, sample.cacheTokens(), List.of(SIX, THREE), 6, sample.stepTime(),
+				sample.stepTimePerRequest(), 56_100, 5.5, 8, sample.openingTime(), 1115, 152);
 	}
 
 	// Three survivors of a group of four wait for a fourth engine, and pairs are missing
--- a/src/test/java/sycamorehill/logic/layout/PlanIntervalTests.java
+++ b/src/test/java/sycamorehill/logic/layout/PlanIntervalTests.java
@@ -65,7 +65,7 @@
 	}
 
 	private boolean sendsCommandsAt(Duration after) {
-		return tick(after).stream().anyMatch(EntryEffect.SendOrder.class::isInstance);
+		return tick(after).stream().anyMatch(EntryEffect.SendCommand.class::isInstance);
 	}
 
 	// Hundreds of engines answer in the same second. A controller that makes a plan after
--- a/src/test/java/sycamorehill/platform/DecoderTests.java
+++ b/src/test/java/sycamorehill/platform/DecoderTests.java
@@ -67,10 +67,10 @@
 		Configuration configuration = ConfigurationDecoder.decode(json(CONFIGURATION));
 		assertThat(configuration.routes().get(0).kind()).isEqualTo(RequestKind.RESUMABLE_STREAM);
 		assertThat(configuration.routes().get(0).host()).isEqualTo("feed.example");
-		assertThat(configuration.routes().get(0).service(0.95)).isEqualTo(ServiceName.of("desk"));
+		assertThat(configuration.routes().get(0).selectService(0.95)).isEqualTo(ServiceName.of("desk"));
 		assertThat(configuration.services().get(ServiceName.of("pool")).engines().orElseThrow().stepTime())
 			.isEqualTo(Duration.ofNanos(7_800_000));
-		assertThat(configuration.workspaces()).containsKey("k");
+		assertThat(configuration.workspacesByApiKey()).containsKey("k");
 	}
 
 	// Another writer leaves entries that miss fields, or bytes that are no entry at all.
@@ -110,11 +110,11 @@
 				+ "bounds.retry_budget_extra=103\nbounds.stall_ms=5000\nbounds.ceiling_window_s=5\nnew.field=x\n";
 		Files.writeString(file, sound);
 		EntrySettings settings = PlatformSettings.read(file);
-		assertThat(settings.neighbours().port()).isEqualTo(7340);
+		assertThat(settings.peerAddress().port()).isEqualTo(7340);
 		assertThat(settings.stopTime()).isEqualTo(Duration.ofSeconds(8));
-		assertThat(settings.processor()).isEqualTo(1);
+		assertThat(settings.processorCores()).isEqualTo(1);
 		Files.writeString(file, sound + "limits.cpu_share=0.25\nlimits.cpu_cores=2\n");
-		assertThat(PlatformSettings.read(file).processor()).isEqualTo(0.5);
+		assertThat(PlatformSettings.read(file).processorCores()).isEqualTo(0.5);
 		Files.writeString(file, sound.replace("bind.front=127.0.0.1:81", "bind.front=nowhere"));
 		assertThatThrownBy(() -> PlatformSettings.read(file)).hasMessageContaining("bind.front");
 		Files.writeString(file, sound.replace("zone=north\n", ""));
--- a/src/test/java/sycamorehill/support/NodeGroup.java
+++ b/src/test/java/sycamorehill/support/NodeGroup.java
@@ -235,7 +235,7 @@
 			this.outcomes.put(answer.call(), answer.outcome());
 		}
 		else if (effect instanceof OperatorEffect.AnswerForce answer) {
-			this.forces.put(answer.call(), answer.force());
+			this.forces.put(answer.call(), answer.rollout());
 		}
 		else if (effect instanceof NodeEffect.WriteLog log) {
 			this.lines.add(log.line());
--- a/src/test/java/sycamorehill/support/ServingSamples.java
+++ b/src/test/java/sycamorehill/support/ServingSamples.java
@@ -15,17 +15,17 @@
 import sycamorehill.model.serving.CallerLimits;
 import sycamorehill.model.serving.CallerRequest;
 import sycamorehill.model.serving.Configuration;
-import sycamorehill.model.serving.EngineFigures;
+import sycamorehill.model.serving.EngineParameters;
 import sycamorehill.model.serving.EntrySettings;
 import sycamorehill.model.serving.MemberState;
 import sycamorehill.model.serving.Membership;
-import sycamorehill.model.serving.ModelFigures;
+import sycamorehill.model.serving.ModelParameters;
 import sycamorehill.model.serving.NodeRecord;
-import sycamorehill.model.serving.PromptSize;
 import sycamorehill.model.serving.RequestKind;
 import sycamorehill.model.serving.Route;
-import sycamorehill.model.serving.ServiceFigures;
+import sycamorehill.model.serving.ServiceParameters;
 import sycamorehill.model.serving.TargetEntry;
+import sycamorehill.model.serving.TokenCounts;
 import sycamorehill.model.serving.WeightedService;
 import sycamorehill.model.serving.Workspace;
 
@@ -41,11 +41,11 @@
 	public static final ServiceName ENGINES = ServiceName.of("engines");
 
 	/** A model served by groups of four. */
-	public static final ModelFigures LARGE = new ModelFigures("large", 4, 0.5, 1, Duration.ofSeconds(16),
+	public static final ModelParameters LARGE = new ModelParameters("large", 4, 0.5, 1, Duration.ofSeconds(16),
 			Duration.ofMillis(1600));
 
 	/** A model served by pairs. */
-	public static final ModelFigures SMALL = new ModelFigures("small", 2, 0.5, 0.6, Duration.ofSeconds(12),
+	public static final ModelParameters SMALL = new ModelParameters("small", 2, 0.5, 0.6, Duration.ofSeconds(12),
 			Duration.ofMillis(1100));
 
 	private ServingSamples() {
@@ -72,9 +72,10 @@
 	public static EntrySettings settings(int number, String dataCentre) {
 		EntrySettings sample = settings("any");
 		return new EntrySettings(dataCentre + "-" + (100 + number), DataCentreName.of(dataCentre), sample.dataCentres(),
-				sample.processor(), sample.callers(), sample.readiness(), Address.of("127.0.0.1", 8000 + number),
-				sample.store(), true, sample.stopTime(), sample.retryWindow(), sample.retryRatio(), sample.retryExtra(),
-				sample.stallTime(), sample.loadWindow());
+				sample.processorCores(), sample.callerAddress(), sample.readinessAddress(),
+				Address.of("127.0.0.1", 8000 + number), sample.storeAddress(), true, sample.stopTime(),
+				sample.retryWindow(), sample.retryRatio(), sample.retryAllowance(), sample.stallTime(),
+				sample.loadWindow());
 	}
 
 	/**
@@ -91,8 +92,8 @@
 	 * What the sample engines do.
 	 * @return the figures
 	 */
-	public static EngineFigures engineFigures() {
-		return new EngineFigures(12, 1_000_000, List.of(LARGE, SMALL), 5, Duration.ofNanos(7_800_000),
+	public static EngineParameters engineFigures() {
+		return new EngineParameters(12, 1_000_000, List.of(LARGE, SMALL), 5, Duration.ofNanos(7_800_000),
 				Duration.ofNanos(134_000), 45_900, 5, 7, Duration.ofMillis(300), 979, 154);
 	}
 
@@ -102,9 +103,9 @@
 	 * @return the configuration
 	 */
 	public static Configuration configuration(long version) {
-		Map<ServiceName, ServiceFigures> services = new HashMap<>();
-		services.put(DESK, new ServiceFigures(DESK, 96, Optional.empty()));
-		services.put(ENGINES, new ServiceFigures(ENGINES, 268, Optional.of(engineFigures())));
+		Map<ServiceName, ServiceParameters> services = new HashMap<>();
+		services.put(DESK, new ServiceParameters(DESK, 96, Optional.empty()));
+		services.put(ENGINES, new ServiceParameters(ENGINES, 268, Optional.of(engineFigures())));
 		List<Route> routes = List.of(route("/once/", RequestKind.NON_IDEMPOTENT, DESK, 1),
 				route("/again/", RequestKind.IDEMPOTENT, DESK, 2),
 				route("/stream/", RequestKind.RESUMABLE_STREAM, ENGINES, 2),
@@ -127,7 +128,7 @@
 	public static CallerRequest request(long number, String path) {
 		Optional<String> model = path.startsWith("/s") ? Optional.of(SMALL.name()) : Optional.empty();
 		return new CallerRequest(number, "r" + number, "feed.example", path, Optional.of("key"), model,
-				Optional.of(new PromptSize(700, 175)), Optional.of(Duration.ofSeconds(6)), number * 31);
+				Optional.of(new TokenCounts(700, 175)), Optional.of(Duration.ofSeconds(6)), number * 31);
 	}
 
 	/**
@@ -176,7 +177,7 @@
 	 */
 	public static TargetEntry leaving(TargetEntry entry) {
 		return new TargetEntry(entry.name(), entry.service(), entry.address(), entry.dataCentre(), entry.slots(), true,
-				entry.bornMillis(), entry.domain(), entry.staged(), entry.loaded(), entry.membership());
+				entry.startMillis(), entry.domain(), entry.staged(), entry.loaded(), entry.membership());
 	}
 
 }
