--- a/src/main/java/sycamorehill/cli/LocalCommand.java
+++ b/src/main/java/sycamorehill/cli/LocalCommand.java
@@ -11,8 +11,8 @@
 import sycamorehill.load.LoadReport;
 import sycamorehill.local.LocalSystem;
 import sycamorehill.model.identity.Address;
-import sycamorehill.model.ticket.DataCentreForce;
-import sycamorehill.model.ticket.TicketForce;
+import sycamorehill.model.ticket.DataCentreRollout;
+import sycamorehill.model.ticket.TicketRollout;
 import sycamorehill.runtime.Node;
 
 /**
@@ -39,7 +39,7 @@
 	public int run() throws Exception {
 		Duration duration = duration();
 		try (LocalSystem system = LocalSystem.start()) {
-			TicketForce force = system.fileFirstTicket();
+			TicketRollout force = system.fileFirstTicket();
 			print(force);
 			boolean serving = system.awaitServing();
 			System.out.println(serving ? "model groups serve" : "model groups do not serve");
@@ -70,8 +70,8 @@
 				&& report.orders().getOrDefault(CallOutcome.COMPLETED, 0L) > 0;
 	}
 
-	private static void print(TicketForce force) {
-		for (DataCentreForce dataCentre : force.dataCentres()) {
+	private static void print(TicketRollout force) {
+		for (DataCentreRollout dataCentre : force.dataCentres()) {
 			System.out.printf("ticket %d in force in %s on %d of %d nodes%n", force.number(), dataCentre.dataCentre(),
 					dataCentre.nodesInForce(), dataCentre.nodesKnown());
 		}
--- a/src/main/java/sycamorehill/cli/StateCommand.java
+++ b/src/main/java/sycamorehill/cli/StateCommand.java
@@ -4,7 +4,7 @@
 import com.github.rvesse.airline.annotations.Option;
 
 import sycamorehill.http.HttpAnswer;
-import sycamorehill.model.ticket.ItemInForce;
+import sycamorehill.model.ticket.AppliedItem;
 import sycamorehill.operator.StateBody;
 
 /**
@@ -32,7 +32,7 @@
 
 	private static void printText(StateBody state) {
 		System.out.println("in force: ticket " + state.number());
-		for (ItemInForce item : state.items()) {
+		for (AppliedItem item : state.items()) {
 			System.out.printf("%-12s %-30s set by ticket %d%n", item.item().key().kind(), item.item().key().name(),
 					item.setBy());
 		}
--- a/src/main/java/sycamorehill/cli/TicketCheckCommand.java
+++ b/src/main/java/sycamorehill/cli/TicketCheckCommand.java
@@ -13,8 +13,8 @@
 import sycamorehill.json.ModelJson;
 import sycamorehill.logic.ticket.TicketValidator;
 import sycamorehill.logic.ticket.ValidationResult;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.TicketDraft;
-import sycamorehill.model.ticket.Truth;
 import sycamorehill.operator.StateBody;
 
 /**
@@ -37,7 +37,7 @@
 			throw CommandException.of(ExitCode.NOT_KNOWN, tree(answer).path("detail").asText());
 		}
 		StateBody state = value(answer, StateBody.class);
-		ValidationResult result = TicketValidator.validate(draft, Truth.of(state.number(), state.items()));
+		ValidationResult result = TicketValidator.validate(draft, DesiredState.of(state.number(), state.items()));
 		if (result.faults().isEmpty()) {
 			System.out.println("sound: against the state after ticket " + state.number());
 			return ExitCode.DONE;
--- a/src/main/java/sycamorehill/engine/AttemptFailures.java
+++ b/src/main/java/sycamorehill/engine/AttemptFailures.java
@@ -20,12 +20,12 @@
 		Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
 		Throwable sorted = HttpCaller.sorted(cause);
 		if (sorted instanceof NotSentException) {
-			return new AttemptResult.NothingSent(sorted.getMessage());
+			return new AttemptResult.NotSent(sorted.getMessage());
 		}
 		if (sorted instanceof TimeoutException) {
-			return new AttemptResult.Broken(false, "no byte came for too long");
+			return new AttemptResult.Interrupted(false, "no byte came for too long");
 		}
-		return new AttemptResult.Broken(true, String.valueOf(sorted));
+		return new AttemptResult.Interrupted(true, String.valueOf(sorted));
 	}
 
 }
--- a/src/main/java/sycamorehill/engine/CompletionStream.java
+++ b/src/main/java/sycamorehill/engine/CompletionStream.java
@@ -89,12 +89,12 @@
 			event = this.json.readTree(data);
 		}
 		catch (IOException ex) {
-			end(new AttemptResult.Broken(false, "the engine sent a line that can't be read"));
+			end(new AttemptResult.Interrupted(false, "the engine sent a line that can't be read"));
 			this.cancellable.cancel();
 			return;
 		}
 		if (event.path("end").asBoolean()) {
-			end(new AttemptResult.Whole(event.path("tokens").asInt(), Optional.empty()));
+			end(new AttemptResult.Completed(event.path("tokens").asInt(), Optional.empty()));
 		}
 		else if (!this.over.get()) {
 			this.listener.token(event.path("index").asInt(), event.path("token").asText());
@@ -112,7 +112,7 @@
 
 			@Override
 			public void onComplete() {
-				end(new AttemptResult.Broken(true, "the stream ended without its end mark"));
+				end(new AttemptResult.Interrupted(true, "the stream ended without its end mark"));
 			}
 
 			@Override
@@ -122,7 +122,7 @@
 
 			@Override
 			public void cancel() {
-				end(new AttemptResult.Broken(false, "cancelled"));
+				end(new AttemptResult.Interrupted(false, "cancelled"));
 			}
 
 		};
--- a/src/main/java/sycamorehill/engine/EngineClient.java
+++ b/src/main/java/sycamorehill/engine/EngineClient.java
@@ -2,8 +2,8 @@
 
 import java.util.concurrent.CompletableFuture;
 
-import sycamorehill.model.group.EngineOrder;
-import sycamorehill.model.group.EngineOrderResult;
+import sycamorehill.model.group.EngineCommand;
+import sycamorehill.model.group.EngineCommandResult;
 import sycamorehill.model.group.VmReport;
 import sycamorehill.model.identity.Address;
 
@@ -26,7 +26,7 @@
 	 * @param order the order
 	 * @return how it ended; the future itself never fails
 	 */
-	CompletableFuture<EngineOrderResult> order(Address address, EngineOrder order);
+	CompletableFuture<EngineCommandResult> order(Address address, EngineCommand order);
 
 	/**
 	 * Sends a completion and reads its tokens.
--- a/src/main/java/sycamorehill/engine/EngineOrderBody.java
+++ b/src/main/java/sycamorehill/engine/EngineOrderBody.java
@@ -4,7 +4,7 @@
 
 import com.fasterxml.jackson.annotation.JsonInclude;
 
-import sycamorehill.model.group.EngineOrder;
+import sycamorehill.model.group.EngineCommand;
 import sycamorehill.model.group.GroupIdentity;
 import sycamorehill.model.identity.VmName;
 
@@ -22,13 +22,13 @@
 record EngineOrderBody(String type, GroupBody group, List<String> members, String model, String modelVersion,
 		long fencingNumber) {
 
-	static EngineOrderBody of(EngineOrder order) {
-		if (order instanceof EngineOrder.Join join) {
+	static EngineOrderBody of(EngineCommand order) {
+		if (order instanceof EngineCommand.Join join) {
 			List<String> members = join.members().stream().map(VmName::value).toList();
 			return new EngineOrderBody("join", GroupBody.of(join.group()), members, join.model(), join.modelVersion(),
 					join.fencingNumber());
 		}
-		GroupIdentity left = ((EngineOrder.Leave) order).group();
+		GroupIdentity left = ((EngineCommand.Leave) order).group();
 		return new EngineOrderBody("leave", GroupBody.of(left), null, null, null, order.fencingNumber());
 	}
 
--- a/src/main/java/sycamorehill/engine/HttpEngine.java
+++ b/src/main/java/sycamorehill/engine/HttpEngine.java
@@ -15,8 +15,8 @@
 import sycamorehill.http.HttpCaller;
 import sycamorehill.http.HttpClientPool;
 import sycamorehill.http.NotSentException;
-import sycamorehill.model.group.EngineOrder;
-import sycamorehill.model.group.EngineOrderResult;
+import sycamorehill.model.group.EngineCommand;
+import sycamorehill.model.group.EngineCommandResult;
 import sycamorehill.model.group.VmReport;
 import sycamorehill.model.identity.Address;
 
@@ -67,7 +67,7 @@
 	}
 
 	@Override
-	public CompletableFuture<EngineOrderResult> order(Address address, EngineOrder order) {
+	public CompletableFuture<EngineCommandResult> order(Address address, EngineCommand order) {
 		HttpCall call = HttpCall.of(address, "POST", "/engine/orders", ORDER_TIMEOUT)
 			.withBody(written(EngineOrderBody.of(order)), JSON_TYPE);
 		return this.caller.call(call).thenApply(HttpEngine::orderResult).exceptionally(HttpEngine::orderFailure);
@@ -108,19 +108,19 @@
 		}
 	}
 
-	private static EngineOrderResult orderResult(HttpAnswer answer) {
+	private static EngineCommandResult orderResult(HttpAnswer answer) {
 		if (answer.status() == ACCEPTED) {
-			return EngineOrderResult.ACCEPTED;
+			return EngineCommandResult.ACCEPTED;
 		}
 		if (answer.status() == CONFLICT) {
-			return answer.body().contains("fenced") ? EngineOrderResult.REFUSED_FENCED : EngineOrderResult.REFUSED;
+			return answer.body().contains("fenced") ? EngineCommandResult.REFUSED_FENCED : EngineCommandResult.REFUSED;
 		}
-		return EngineOrderResult.NOT_KNOWN;
+		return EngineCommandResult.NOT_KNOWN;
 	}
 
-	private static EngineOrderResult orderFailure(Throwable failure) {
-		return (failure.getCause() instanceof NotSentException) ? EngineOrderResult.REFUSED
-				: EngineOrderResult.NOT_KNOWN;
+	private static EngineCommandResult orderFailure(Throwable failure) {
+		return (failure.getCause() instanceof NotSentException) ? EngineCommandResult.REFUSED
+				: EngineCommandResult.NOT_KNOWN;
 	}
 
 }
--- a/src/main/java/sycamorehill/engine/HttpPlainService.java
+++ b/src/main/java/sycamorehill/engine/HttpPlainService.java
@@ -59,7 +59,7 @@
 				answer.body());
 		Optional<RecordedAnswer> recorded = Optional.of(whole)
 			.filter((found) -> found.body().length() <= MOST_RECORDED_CHARACTERS);
-		return new PlainAnswer(new AttemptResult.Whole(0, recorded), Optional.of(whole));
+		return new PlainAnswer(new AttemptResult.Completed(0, recorded), Optional.of(whole));
 	}
 
 }
--- a/src/main/java/sycamorehill/experiment/ControlNode.java
+++ b/src/main/java/sycamorehill/experiment/ControlNode.java
@@ -17,7 +17,7 @@
 import sycamorehill.model.effect.NodeEffect;
 import sycamorehill.model.event.Event;
 import sycamorehill.model.group.Allocation;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.identity.VmName;
@@ -26,8 +26,8 @@
 import sycamorehill.model.request.Fingerprint;
 import sycamorehill.model.request.RouteQuery;
 import sycamorehill.model.target.ServingTarget;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.Ticket;
-import sycamorehill.model.ticket.Truth;
 
 /**
  * The parts of a node that agree on tickets and on who is alive, as one value, so that
@@ -90,7 +90,7 @@
 	}
 
 	@Override
-	public Optional<Truth> truth() {
+	public Optional<DesiredState> truth() {
 		return this.ticket.log().truth();
 	}
 
@@ -125,7 +125,7 @@
 	}
 
 	@Override
-	public Optional<VmSight> sight(VmName vm) {
+	public Optional<VmObservation> sight(VmName vm) {
 		return Optional.empty();
 	}
 
--- a/src/main/java/sycamorehill/experiment/EngineModel.java
+++ b/src/main/java/sycamorehill/experiment/EngineModel.java
@@ -10,8 +10,8 @@
 
 import sycamorehill.model.group.EngineState;
 import sycamorehill.model.group.GroupIdentity;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.group.VmReport;
-import sycamorehill.model.group.VmSight;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.GroupName;
@@ -60,14 +60,14 @@
 
 	private long hits;
 
-	private Optional<VmSight> sight = Optional.empty();
+	private Optional<VmObservation> sight = Optional.empty();
 
 	private EngineModel(VirtualTime time, int number, DataCentreName dataCentre, ServiceName service, double slowness) {
 		this.time = time;
 		this.slowness = slowness;
 		GroupName group = GroupName.of(GroupSetName.of("set-" + dataCentre), number);
 		VmName vm = VmName.of("vm-" + number);
-		this.target = new ServingTarget(group.target(), service, dataCentre, Address.of("127.0.0.1", 1),
+		this.target = new ServingTarget(group.targetName(), service, dataCentre, Address.of("127.0.0.1", 1),
 				Optional.of(GroupIdentity.of(group, 1)), List.of(vm));
 		report();
 	}
@@ -81,7 +81,7 @@
 		return this.target;
 	}
 
-	Optional<VmSight> sight() {
+	Optional<VmObservation> sight() {
 		return this.sight;
 	}
 
@@ -134,7 +134,7 @@
 		VmReport report = new VmReport(this.target.members().get(0), "life", EngineState.READY, this.target.group(),
 				false, this.running, this.waiting.size(), 0, 0, ++this.reports);
 		Instant seenAt = this.time.now();
-		this.time.after(REPORT_TRANSIT, () -> this.sight = Optional.of(new VmSight(report, seenAt)));
+		this.time.after(REPORT_TRANSIT, () -> this.sight = Optional.of(new VmObservation(report, seenAt)));
 		this.time.after(REPORT_INTERVAL, this::report);
 	}
 
--- a/src/main/java/sycamorehill/experiment/ExperimentFleet.java
+++ b/src/main/java/sycamorehill/experiment/ExperimentFleet.java
@@ -22,7 +22,7 @@
 import sycamorehill.model.membership.LiveNodes;
 import sycamorehill.model.policy.Policy;
 import sycamorehill.model.request.Fingerprint;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.Priority;
 import sycamorehill.model.request.RequestDescription;
 import sycamorehill.model.target.ServingTarget;
@@ -91,7 +91,7 @@
 	}
 
 	private LiveNodes live() {
-		LiveNodes live = LiveNodes.none();
+		LiveNodes live = LiveNodes.empty();
 		for (ExperimentNode node : this.nodes) {
 			NodeIdentity identity = node.logic().self();
 			live = new LiveNodes(
@@ -146,7 +146,7 @@
 		RequestDescription request = new RequestDescription(identifier, "", SERVICE, "POST", "/", 1, 1, List.of(),
 				Priority.NORMAL, this.time.now().plus(DEADLINE), Optional.empty(), new Fingerprint(content));
 		this.counts = this.counts.plusOffered();
-		node.accept(request, Handling.REPEATABLE);
+		node.accept(request, Idempotency.REPEATABLE);
 	}
 
 	void callEvery(Duration mean, Duration length, String content) {
--- a/src/main/java/sycamorehill/experiment/ExperimentNode.java
+++ b/src/main/java/sycamorehill/experiment/ExperimentNode.java
@@ -12,7 +12,7 @@
 import sycamorehill.model.identity.AttemptIdentifier;
 import sycamorehill.model.identity.RequestIdentifier;
 import sycamorehill.model.request.AttemptResult;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RequestDescription;
 import sycamorehill.model.request.RequestOutcome;
 
@@ -38,7 +38,7 @@
 		return this.logic;
 	}
 
-	void accept(RequestDescription request, Handling handling) {
+	void accept(RequestDescription request, Idempotency handling) {
 		this.contents.put(request.identifier(), request.fingerprint().value());
 		feed(new RequestEvent.Arrived(request));
 		feed(new RequestEvent.Cleared(request, handling));
@@ -72,7 +72,8 @@
 		this.fleet.sent();
 		this.fleet.soon(() -> this.fleet.target(start.target().name()).take(this, start.attempt(), content));
 		this.fleet.time()
-			.after(start.patience(), () -> ended(start.attempt(), new AttemptResult.Broken(false, "nothing came")));
+			.after(start.patience(),
+					() -> ended(start.attempt(), new AttemptResult.Interrupted(false, "nothing came")));
 	}
 
 	void ended(AttemptIdentifier attempt, AttemptResult result) {
--- a/src/main/java/sycamorehill/experiment/ExperimentTarget.java
+++ b/src/main/java/sycamorehill/experiment/ExperimentTarget.java
@@ -58,7 +58,7 @@
 
 	void take(ExperimentNode node, AttemptIdentifier attempt, String content) {
 		if (this.fleet.time().now().isBefore(this.downUntil)) {
-			this.fleet.soon(() -> node.ended(attempt, new AttemptResult.NothingSent("refused")));
+			this.fleet.soon(() -> node.ended(attempt, new AttemptResult.NotSent("refused")));
 			return;
 		}
 		this.queue.add(new Work(node, attempt, content));
@@ -84,7 +84,7 @@
 			return;
 		}
 		this.running.remove(work.attempt());
-		this.fleet.soon(() -> work.node().ended(work.attempt(), new AttemptResult.Whole(1, Optional.empty())));
+		this.fleet.soon(() -> work.node().ended(work.attempt(), new AttemptResult.Completed(1, Optional.empty())));
 		next();
 	}
 
@@ -101,7 +101,7 @@
 		this.queue.clear();
 		for (Work work : lost) {
 			this.fleet
-				.soon(() -> work.node().ended(work.attempt(), new AttemptResult.Broken(true, "connection reset")));
+				.soon(() -> work.node().ended(work.attempt(), new AttemptResult.Interrupted(true, "connection reset")));
 		}
 	}
 
--- a/src/main/java/sycamorehill/experiment/FleetTickets.java
+++ b/src/main/java/sycamorehill/experiment/FleetTickets.java
@@ -8,11 +8,11 @@
 import sycamorehill.model.identity.GroupSetName;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.identity.WorkspaceName;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.ItemChange;
 import sycamorehill.model.ticket.ModelGroupItem;
 import sycamorehill.model.ticket.ServiceItem;
 import sycamorehill.model.ticket.TicketDraft;
-import sycamorehill.model.ticket.Truth;
 import sycamorehill.model.ticket.WorkspaceItem;
 
 /**
@@ -60,13 +60,13 @@
 	 * @param number makes it different from the others
 	 * @return the draft
 	 */
-	static TicketDraft change(Truth truth, int number) {
+	static TicketDraft change(DesiredState truth, int number) {
 		ServiceItem service = ServiceItem.model(ServiceName.of("service-" + number % SERVICES),
 				"model-" + number % SERVICES, "" + number);
 		WorkspaceItem one = workspace(number % WORKSPACES, number + 1);
 		WorkspaceItem other = workspace((number + 1) % WORKSPACES, number + 1);
-		List<ItemChange> changes = List.of(ItemChange.set(service, truth.setBy(service.key())),
-				ItemChange.set(one, truth.setBy(one.key())), ItemChange.set(other, truth.setBy(other.key())));
+		List<ItemChange> changes = List.of(ItemChange.set(service, truth.lastSetBy(service.key())),
+				ItemChange.set(one, truth.lastSetBy(one.key())), ItemChange.set(other, truth.lastSetBy(other.key())));
 		return new TicketDraft(FilingIdentifier.of("change-" + number), "experiment", "change", changes);
 	}
 
--- a/src/main/java/sycamorehill/experiment/GatewayExperiment.java
+++ b/src/main/java/sycamorehill/experiment/GatewayExperiment.java
@@ -120,7 +120,7 @@
 
 			@Override
 			public void ended(AttemptResult result) {
-				whole.complete(result instanceof AttemptResult.Whole);
+				whole.complete(result instanceof AttemptResult.Completed);
 			}
 
 		});
--- a/src/main/java/sycamorehill/experiment/ModelNode.java
+++ b/src/main/java/sycamorehill/experiment/ModelNode.java
@@ -23,7 +23,7 @@
 import sycamorehill.model.event.NodeEvent;
 import sycamorehill.model.event.RequestEvent;
 import sycamorehill.model.group.Allocation;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.AttemptIdentifier;
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.identity.ServiceName;
@@ -32,12 +32,12 @@
 import sycamorehill.model.policy.Policy;
 import sycamorehill.model.request.AttemptResult;
 import sycamorehill.model.request.Fingerprint;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RequestDescription;
 import sycamorehill.model.request.RequestOutcome;
 import sycamorehill.model.request.RouteQuery;
 import sycamorehill.model.target.ServingTarget;
-import sycamorehill.model.ticket.Truth;
+import sycamorehill.model.ticket.DesiredState;
 
 /**
  * One node's admission and routing before modelled engines; every request has one
@@ -119,8 +119,8 @@
 
 	private void end(RequestDescription request, AttemptIdentifier attempt, ServingTarget target) {
 		feed(new RequestEvent.AttemptClosed(request, attempt, target,
-				new AttemptResult.Whole(request.maximumTokens(), Optional.empty())));
-		feed(new RequestEvent.Finished(request, Handling.REPEATABLE, new RequestOutcome.Completed(),
+				new AttemptResult.Completed(request.maximumTokens(), Optional.empty())));
+		feed(new RequestEvent.Finished(request, Idempotency.REPEATABLE, new RequestOutcome.Completed(),
 				request.maximumTokens(), Optional.empty()));
 	}
 
@@ -156,13 +156,13 @@
 	}
 
 	@Override
-	public Optional<Truth> truth() {
+	public Optional<DesiredState> truth() {
 		return Optional.of(this.setup.truth());
 	}
 
 	@Override
 	public LiveNodes liveNodes() {
-		return LiveNodes.none();
+		return LiveNodes.empty();
 	}
 
 	@Override
@@ -181,7 +181,7 @@
 	}
 
 	@Override
-	public Optional<VmSight> sight(VmName vm) {
+	public Optional<VmObservation> sight(VmName vm) {
 		return this.setup.engines().get(vm).sight();
 	}
 
@@ -199,7 +199,7 @@
 	 * @param engines the engines by VM
 	 * @param targets the same as targets
 	 */
-	record Setup(Policy policy, Truth truth, TargetChooser chooser, Map<VmName, EngineModel> engines,
+	record Setup(Policy policy, DesiredState truth, TargetChooser chooser, Map<VmName, EngineModel> engines,
 			List<ServingTarget> targets) {
 	}
 
--- a/src/main/java/sycamorehill/experiment/OrderTrial.java
+++ b/src/main/java/sycamorehill/experiment/OrderTrial.java
@@ -46,7 +46,7 @@
 import sycamorehill.model.platform.PlatformValue;
 import sycamorehill.model.policy.Policy;
 import sycamorehill.model.request.Fingerprint;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.OrderKey;
 import sycamorehill.model.request.Priority;
 import sycamorehill.model.request.RecordedAnswer;
@@ -119,7 +119,7 @@
 			identities.add(identity);
 			alive = alive.plus(identity.incarnation().node(), new LiveNode(identity, false, Instant.EPOCH));
 		}
-		LiveNodes seen = this.setting.keepers() ? new LiveNodes(alive) : LiveNodes.none();
+		LiveNodes seen = this.setting.keepers() ? new LiveNodes(alive) : LiveNodes.empty();
 		for (NodeIdentity identity : identities) {
 			this.nodes.add(new OrderTrialView(identity, policy(), seen));
 			this.states.add(OrderState.initial());
@@ -154,7 +154,7 @@
 			int issuer = this.random.nextInt(this.nodes.size());
 			text = OrderNumbers.issue(this.nodes.get(issuer).self().incarnation(), this.now, this.random.nextLong());
 		}
-		OrderKey key = OrderNumbers.mark(new OrderKey(this.random.nextLong(), this.random.nextLong()), text);
+		OrderKey key = OrderNumbers.encodeOrigin(new OrderKey(this.random.nextLong(), this.random.nextLong()), text);
 		RequestIdentifier identifier = RequestIdentifier.of(this.nodes.get(node).self().incarnation(), number);
 		RequestDescription request = new RequestDescription(identifier, "", ServiceName.of("desk"), "POST", "/orders",
 				0, 0, List.of(), Priority.NORMAL, this.now.plus(DEADLINE), Optional.of(key),
@@ -162,7 +162,7 @@
 		this.counts.orders++;
 		this.counts.duringOutage += down() ? 1 : 0;
 		this.waiting.put(identifier, this.now);
-		feed(node, new RequestEvent.Admitted(request, Handling.ONCE_WITH_KEY));
+		feed(node, new RequestEvent.Admitted(request, Idempotency.ONCE_WITH_KEY));
 	}
 
 	private boolean down() {
@@ -199,7 +199,7 @@
 			this.counts.cleared++;
 			this.counts.clearedOfOutage += this.setting.down(Duration.between(Instant.EPOCH, arrived)) ? 1 : 0;
 			after(Duration.ofMillis(20 + this.random.nextInt(60)),
-					() -> feed(node, new RequestEvent.Finished(cleared.request(), Handling.ONCE_WITH_KEY,
+					() -> feed(node, new RequestEvent.Finished(cleared.request(), Idempotency.ONCE_WITH_KEY,
 							new RequestOutcome.Completed(), 0, Optional.of(ANSWER))));
 		}
 	}
--- a/src/main/java/sycamorehill/experiment/OrderTrialView.java
+++ b/src/main/java/sycamorehill/experiment/OrderTrialView.java
@@ -5,7 +5,7 @@
 
 import sycamorehill.logic.NodeView;
 import sycamorehill.model.group.Allocation;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.identity.VmName;
@@ -14,7 +14,7 @@
 import sycamorehill.model.request.Fingerprint;
 import sycamorehill.model.request.RouteQuery;
 import sycamorehill.model.target.ServingTarget;
-import sycamorehill.model.ticket.Truth;
+import sycamorehill.model.ticket.DesiredState;
 
 /**
  * What the order part reads of the others, in a trial or a history test.
@@ -26,7 +26,7 @@
 public record OrderTrialView(NodeIdentity self, Policy policy, LiveNodes liveNodes) implements NodeView {
 
 	@Override
-	public Optional<Truth> truth() {
+	public Optional<DesiredState> truth() {
 		return Optional.empty();
 	}
 
@@ -46,7 +46,7 @@
 	}
 
 	@Override
-	public Optional<VmSight> sight(VmName vm) {
+	public Optional<VmObservation> sight(VmName vm) {
 		return Optional.empty();
 	}
 
--- a/src/main/java/sycamorehill/experiment/OverloadExperiment.java
+++ b/src/main/java/sycamorehill/experiment/OverloadExperiment.java
@@ -20,10 +20,10 @@
 import sycamorehill.model.policy.AdmissionPolicy;
 import sycamorehill.model.policy.Policy;
 import sycamorehill.model.request.RequestDescription;
-import sycamorehill.model.ticket.ItemInForce;
+import sycamorehill.model.ticket.AppliedItem;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.PlainTarget;
 import sycamorehill.model.ticket.ServiceItem;
-import sycamorehill.model.ticket.Truth;
 import sycamorehill.model.ticket.WorkspaceItem;
 
 /**
@@ -130,16 +130,16 @@
 		time.runUntil(Instant.EPOCH.plus(LENGTH));
 	}
 
-	private static Truth truth() {
-		List<ItemInForce> items = new ArrayList<>();
+	private static DesiredState truth() {
+		List<AppliedItem> items = new ArrayList<>();
 		PlainTarget target = new PlainTarget(TargetName.of("t"), HERE, Address.of("127.0.0.1", 1));
-		items.add(new ItemInForce(ServiceItem.plain(ServiceName.of("desk"), List.of(target), List.of()), 1));
-		items.add(new ItemInForce(ServiceItem.model(ModelLoad.SERVICE, "model", "1"), 1));
+		items.add(new AppliedItem(ServiceItem.plain(ServiceName.of("desk"), List.of(target), List.of()), 1));
+		items.add(new AppliedItem(ServiceItem.model(ModelLoad.SERVICE, "model", "1"), 1));
 		for (int number = 0; number < Math.max(SMALL, LARGE); number++) {
-			items.add(new ItemInForce(workspace("small-" + number), 1));
-			items.add(new ItemInForce(workspace("large-" + number), 1));
+			items.add(new AppliedItem(workspace("small-" + number), 1));
+			items.add(new AppliedItem(workspace("large-" + number), 1));
 		}
-		return Truth.of(1, items);
+		return DesiredState.of(1, items);
 	}
 
 	private static WorkspaceItem workspace(String name) {
--- a/src/main/java/sycamorehill/experiment/RequestPathNode.java
+++ b/src/main/java/sycamorehill/experiment/RequestPathNode.java
@@ -22,7 +22,7 @@
 import sycamorehill.model.event.Event;
 import sycamorehill.model.event.RequestEvent;
 import sycamorehill.model.group.Allocation;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.identity.VmName;
@@ -31,7 +31,7 @@
 import sycamorehill.model.request.Fingerprint;
 import sycamorehill.model.request.RouteQuery;
 import sycamorehill.model.target.ServingTarget;
-import sycamorehill.model.ticket.Truth;
+import sycamorehill.model.ticket.DesiredState;
 
 /**
  * The parts of a node between admission and the targets, without the others: requests,
@@ -154,7 +154,7 @@
 	}
 
 	@Override
-	public Optional<Truth> truth() {
+	public Optional<DesiredState> truth() {
 		return Optional.empty();
 	}
 
@@ -186,7 +186,7 @@
 	}
 
 	@Override
-	public Optional<VmSight> sight(VmName vm) {
+	public Optional<VmObservation> sight(VmName vm) {
 		return Optional.empty();
 	}
 
--- a/src/main/java/sycamorehill/experiment/RoutingExperiment.java
+++ b/src/main/java/sycamorehill/experiment/RoutingExperiment.java
@@ -18,7 +18,7 @@
 import sycamorehill.model.identity.VmName;
 import sycamorehill.model.policy.Policy;
 import sycamorehill.model.request.RequestDescription;
-import sycamorehill.model.ticket.Truth;
+import sycamorehill.model.ticket.DesiredState;
 
 /**
  * Compares ways of choosing a target on the same seeds, before modelled engines: 60
@@ -99,7 +99,7 @@
 	private static void runOnce(TargetChooser chooser, double load, long seed, Result result) {
 		VirtualTime time = new VirtualTime();
 		Map<VmName, EngineModel> engines = engines(time);
-		ModelNode.Setup setup = new ModelNode.Setup(Policy.standard(), Truth.empty(), chooser, engines,
+		ModelNode.Setup setup = new ModelNode.Setup(Policy.standard(), DesiredState.empty(), chooser, engines,
 				engines.values().stream().map(EngineModel::target).toList());
 		Map<RequestDescription, Instant> sent = new LinkedHashMap<>();
 		List<ModelNode> nodes = new ArrayList<>();
--- a/src/main/java/sycamorehill/experiment/WholeNode.java
+++ b/src/main/java/sycamorehill/experiment/WholeNode.java
@@ -22,8 +22,8 @@
 import sycamorehill.model.event.PlatformEvent;
 import sycamorehill.model.event.RequestEvent;
 import sycamorehill.model.event.TargetEvent;
-import sycamorehill.model.group.EngineOrder;
-import sycamorehill.model.group.EngineOrderResult;
+import sycamorehill.model.group.EngineCommand;
+import sycamorehill.model.group.EngineCommandResult;
 import sycamorehill.model.group.EngineState;
 import sycamorehill.model.group.GroupIdentity;
 import sycamorehill.model.group.VmEntry;
@@ -134,7 +134,7 @@
 		else if (effect instanceof RequestEffect.StartAttempt start) {
 			this.waiting.add(new RequestEvent.FirstToken(start.attempt()));
 			this.waiting.add(new RequestEvent.AttemptEnded(start.attempt(), TOKENS,
-					new AttemptResult.Whole(TOKENS, Optional.empty())));
+					new AttemptResult.Completed(TOKENS, Optional.empty())));
 		}
 		else if (effect instanceof RequestEffect.FinishRequest) {
 			this.completed++;
@@ -169,11 +169,11 @@
 	}
 
 	private void obey(TargetEffect.SendOrder order) {
-		boolean join = order.order() instanceof EngineOrder.Join;
-		Optional<GroupIdentity> group = join ? Optional.of(((EngineOrder.Join) order.order()).group())
+		boolean join = order.order() instanceof EngineCommand.Join;
+		Optional<GroupIdentity> group = join ? Optional.of(((EngineCommand.Join) order.order()).group())
 				: Optional.empty();
 		this.engines.put(order.vm(), report(order.vm(), join ? EngineState.READY : EngineState.IDLE, group));
-		this.waiting.add(new TargetEvent.OrderAnswered(order.call(), EngineOrderResult.ACCEPTED));
+		this.waiting.add(new TargetEvent.OrderAnswered(order.call(), EngineCommandResult.ACCEPTED));
 	}
 
 	private VmReport report(VmName vm, EngineState engineState, Optional<GroupIdentity> group) {
--- a/src/main/java/sycamorehill/experiment/group/GroupTrial.java
+++ b/src/main/java/sycamorehill/experiment/group/GroupTrial.java
@@ -38,9 +38,9 @@
 import sycamorehill.model.platform.PlatformAnswer;
 import sycamorehill.model.platform.PlatformRequest;
 import sycamorehill.model.platform.StoredObject;
+import sycamorehill.model.ticket.AppliedItem;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.Item;
-import sycamorehill.model.ticket.ItemInForce;
-import sycamorehill.model.ticket.Truth;
 
 /**
  * Nodes, VMs and a platform in one thread and in virtual time. A seed gives one history.
@@ -80,7 +80,7 @@
 
 	private final List<String> log = new ArrayList<>();
 
-	private Truth truth = Truth.empty();
+	private DesiredState truth = DesiredState.empty();
 
 	private Instant now = Instant.EPOCH;
 
@@ -194,7 +194,7 @@
 		return this.check;
 	}
 
-	Truth truth() {
+	DesiredState truth() {
 		return this.truth;
 	}
 
@@ -214,13 +214,13 @@
 	 * @param items the items that it sets
 	 */
 	public void file(Item... items) {
-		Map<Object, ItemInForce> kept = new TreeMap<>();
+		Map<Object, AppliedItem> kept = new TreeMap<>();
 		this.truth.items().values().forEach((item) -> kept.put(item.item().key().toString(), item));
 		long number = this.truth.number() + 1;
 		for (Item item : items) {
-			kept.put(item.key().toString(), new ItemInForce(item, number));
+			kept.put(item.key().toString(), new AppliedItem(item, number));
 		}
-		this.truth = Truth.of(number, List.copyOf(kept.values()));
+		this.truth = DesiredState.of(number, List.copyOf(kept.values()));
 		for (TrialNode node : this.nodes) {
 			at(Duration.ofMillis(this.random.nextInt(100, 1500)), () -> node.truth(this.truth));
 		}
--- a/src/main/java/sycamorehill/experiment/group/TrialCheck.java
+++ b/src/main/java/sycamorehill/experiment/group/TrialCheck.java
@@ -18,7 +18,7 @@
 import sycamorehill.model.identity.GroupName;
 import sycamorehill.model.identity.VmName;
 import sycamorehill.model.target.ServingTarget;
-import sycamorehill.model.ticket.ItemInForce;
+import sycamorehill.model.ticket.AppliedItem;
 import sycamorehill.model.ticket.ModelGroupItem;
 
 /**
@@ -87,7 +87,7 @@
 			.items()
 			.values()
 			.stream()
-			.map(ItemInForce::item)
+			.map(AppliedItem::item)
 			.filter(ModelGroupItem.class::isInstance)
 			.map(ModelGroupItem.class::cast)
 			.toList();
--- a/src/main/java/sycamorehill/experiment/group/TrialEngine.java
+++ b/src/main/java/sycamorehill/experiment/group/TrialEngine.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Optional;
 
-import sycamorehill.model.group.EngineOrder;
-import sycamorehill.model.group.EngineOrderResult;
+import sycamorehill.model.group.EngineCommand;
+import sycamorehill.model.group.EngineCommandResult;
 import sycamorehill.model.group.EngineState;
 import sycamorehill.model.group.GroupIdentity;
 import sycamorehill.model.group.VmEntry;
@@ -187,24 +187,24 @@
 		}
 	}
 
-	EngineOrderResult order(EngineOrder order, Duration load) {
+	EngineCommandResult order(EngineCommand order, Duration load) {
 		if (order.fencingNumber() < this.highestFence && !this.ignoresFencing) {
-			return EngineOrderResult.REFUSED_FENCED;
+			return EngineCommandResult.REFUSED_FENCED;
 		}
 		this.highestFence = Math.max(this.highestFence, order.fencingNumber());
-		if (order instanceof EngineOrder.Leave leave) {
+		if (order instanceof EngineCommand.Leave leave) {
 			if (this.group.equals(Optional.of(leave.group()))) {
 				become(EngineState.IDLE, Optional.empty(), List.of());
 			}
-			return EngineOrderResult.ACCEPTED;
+			return EngineCommandResult.ACCEPTED;
 		}
-		EngineOrder.Join join = (EngineOrder.Join) order;
+		EngineCommand.Join join = (EngineCommand.Join) order;
 		if (!this.group.equals(Optional.of(join.group())) || this.state == EngineState.FAILED) {
 			become(EngineState.LOADING, Optional.of(join.group()), join.members());
 			this.loadLeft = load;
 			this.loads++;
 		}
-		return EngineOrderResult.ACCEPTED;
+		return EngineCommandResult.ACCEPTED;
 	}
 
 	private void become(EngineState changed, Optional<GroupIdentity> changedGroup, List<VmName> changedMembers) {
--- a/src/main/java/sycamorehill/experiment/group/TrialNode.java
+++ b/src/main/java/sycamorehill/experiment/group/TrialNode.java
@@ -22,7 +22,7 @@
 import sycamorehill.model.event.Event;
 import sycamorehill.model.group.Allocation;
 import sycamorehill.model.group.Fleet;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.identity.VmName;
@@ -31,7 +31,7 @@
 import sycamorehill.model.request.Fingerprint;
 import sycamorehill.model.request.RouteQuery;
 import sycamorehill.model.target.ServingTarget;
-import sycamorehill.model.ticket.Truth;
+import sycamorehill.model.ticket.DesiredState;
 
 /**
  * The parts of a node that see VMs and control groups, as one value in a trial.
@@ -52,9 +52,9 @@
 
 	private Policy policy;
 
-	private Truth truth = Truth.empty();
+	private DesiredState truth = DesiredState.empty();
 
-	private LiveNodes liveNodes = LiveNodes.none();
+	private LiveNodes liveNodes = LiveNodes.empty();
 
 	private ObservationState observation = ObservationState.initial();
 
@@ -165,7 +165,7 @@
 		return this.held;
 	}
 
-	void truth(Truth changed) {
+	void truth(DesiredState changed) {
 		this.truth = changed;
 	}
 
@@ -231,7 +231,7 @@
 	}
 
 	@Override
-	public Optional<Truth> truth() {
+	public Optional<DesiredState> truth() {
 		return Optional.of(this.truth);
 	}
 
@@ -256,8 +256,8 @@
 	}
 
 	@Override
-	public Optional<VmSight> sight(VmName vm) {
-		return fleet().sight(vm);
+	public Optional<VmObservation> sight(VmName vm) {
+		return fleet().observation(vm);
 	}
 
 	@Override
--- a/src/main/java/sycamorehill/experiment/group/TrialVms.java
+++ b/src/main/java/sycamorehill/experiment/group/TrialVms.java
@@ -12,7 +12,7 @@
 
 import sycamorehill.model.effect.TargetEffect;
 import sycamorehill.model.event.TargetEvent;
-import sycamorehill.model.group.EngineOrderResult;
+import sycamorehill.model.group.EngineCommandResult;
 import sycamorehill.model.group.EngineState;
 import sycamorehill.model.group.GroupIdentity;
 import sycamorehill.model.group.VmEntry;
@@ -216,7 +216,7 @@
 			return;
 		}
 		if (node.clock(now).isAfter(order.notAfter())) {
-			this.trial.deliver(node, new TargetEvent.OrderAnswered(order.call(), EngineOrderResult.REFUSED));
+			this.trial.deliver(node, new TargetEvent.OrderAnswered(order.call(), EngineCommandResult.REFUSED));
 			return;
 		}
 		boolean late = this.trial.random().nextDouble() < this.lateOrders;
@@ -229,7 +229,7 @@
 		boolean reached = node.reaches(order.vm()) && engine.answers(this.trial.now());
 		if (reached) {
 			int before = engine.running();
-			EngineOrderResult result = engine.order(order.order(), this.settings.load());
+			EngineCommandResult result = engine.order(order.order(), this.settings.load());
 			this.trial.check().ordered(engine, before);
 			if (this.trial.random().nextDouble() >= this.lostAnswers) {
 				this.trial.at(LINK,
@@ -238,7 +238,7 @@
 			}
 		}
 		this.trial.at(ASK_TIMEOUT, () -> this.trial.deliver(node,
-				new TargetEvent.OrderAnswered(order.call(), EngineOrderResult.NOT_KNOWN)));
+				new TargetEvent.OrderAnswered(order.call(), EngineCommandResult.NOT_KNOWN)));
 	}
 
 	private record Snapshot(Instant at, List<VmEntry> entries) {
--- a/src/main/java/sycamorehill/gateway/ChatExchange.java
+++ b/src/main/java/sycamorehill/gateway/ChatExchange.java
@@ -105,13 +105,13 @@
 		}
 		if (decision.verdict() == TokenVerdict.GAP) {
 			this.handle.cancel();
-			over(attempt, new AttemptResult.Broken(false, "a token is missing before index " + index));
+			over(attempt, new AttemptResult.Interrupted(false, "a token is missing before index " + index));
 		}
 		return false;
 	}
 
 	private synchronized void end(AttemptIdentifier attempt, AttemptResult result) {
-		if (!(result instanceof AttemptResult.Whole whole)) {
+		if (!(result instanceof AttemptResult.Completed whole)) {
 			over(attempt, result);
 			return;
 		}
@@ -121,7 +121,7 @@
 			ended(attempt, result);
 		}
 		else if (decision.verdict() == TokenVerdict.CUT) {
-			over(attempt, new AttemptResult.Broken(false, "the end mark does not fit the tokens that came"));
+			over(attempt, new AttemptResult.Interrupted(false, "the end mark does not fit the tokens that came"));
 		}
 	}
 
--- a/src/main/java/sycamorehill/gateway/ContentHashes.java
+++ b/src/main/java/sycamorehill/gateway/ContentHashes.java
@@ -36,7 +36,7 @@
 			.putString(idempotencyKey)
 			.get();
 		OrderKey hashed = new OrderKey(hash.getMostSignificantBits(), hash.getLeastSignificantBits());
-		return OrderNumbers.mark(hashed, idempotencyKey);
+		return OrderNumbers.encodeOrigin(hashed, idempotencyKey);
 	}
 
 }
--- a/src/main/java/sycamorehill/json/ModelJson.java
+++ b/src/main/java/sycamorehill/json/ModelJson.java
@@ -10,7 +10,7 @@
 import com.fasterxml.jackson.datatype.pcollections.PCollectionsModule;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-import sycamorehill.model.group.EngineOrder;
+import sycamorehill.model.group.EngineCommand;
 import sycamorehill.model.request.RequestOutcome;
 import sycamorehill.model.ticket.FilingOutcome;
 import sycamorehill.model.ticket.Item;
@@ -71,9 +71,9 @@
 		mapper.registerSubtypes(new NamedType(FilingOutcome.Accepted.class, "ACCEPTED"),
 				new NamedType(FilingOutcome.Refused.class, "REFUSED"),
 				new NamedType(FilingOutcome.NotKnown.class, "NOT_KNOWN"));
-		mapper.addMixIn(EngineOrder.class, TypedByProperty.class);
-		mapper.registerSubtypes(new NamedType(EngineOrder.Join.class, "JOIN"),
-				new NamedType(EngineOrder.Leave.class, "LEAVE"));
+		mapper.addMixIn(EngineCommand.class, TypedByProperty.class);
+		mapper.registerSubtypes(new NamedType(EngineCommand.Join.class, "JOIN"),
+				new NamedType(EngineCommand.Leave.class, "LEAVE"));
 	}
 
 	@JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
--- a/src/main/java/sycamorehill/local/FirstTicket.java
+++ b/src/main/java/sycamorehill/local/FirstTicket.java
@@ -9,10 +9,10 @@
 import sycamorehill.model.identity.GroupSetName;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.identity.WorkspaceName;
+import sycamorehill.model.ticket.IdempotencyRule;
 import sycamorehill.model.ticket.ItemChange;
 import sycamorehill.model.ticket.ModelGroupItem;
 import sycamorehill.model.ticket.PlainTarget;
-import sycamorehill.model.ticket.RepeatRule;
 import sycamorehill.model.ticket.ServiceItem;
 import sycamorehill.model.ticket.TicketDraft;
 import sycamorehill.model.ticket.WorkspaceItem;
@@ -43,8 +43,9 @@
 	static TicketDraft create(List<DataCentreName> dataCentres, Map<ServiceName, List<PlainTarget>> plainTargets) {
 		List<ItemChange> changes = new ArrayList<>();
 		changes.add(ItemChange.set(ServiceItem.model(CHAT, "drafting-model", "1"), 0));
-		changes.add(ItemChange
-			.set(ServiceItem.plain(ORDERS, plainTargets.get(ORDERS), List.of(new RepeatRule("GET", "/", true))), 0));
+		changes.add(ItemChange.set(
+				ServiceItem.plain(ORDERS, plainTargets.get(ORDERS), List.of(new IdempotencyRule("GET", "/", true))),
+				0));
 		for (DataCentreName dataCentre : dataCentres) {
 			changes.add(ItemChange.set(new ModelGroupItem(GroupSetName.of("drafting-" + dataCentre), CHAT, dataCentre,
 					2, MEMBERS, 0, false, true), 0));
--- a/src/main/java/sycamorehill/local/LocalSystem.java
+++ b/src/main/java/sycamorehill/local/LocalSystem.java
@@ -24,9 +24,9 @@
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.NodeName;
 import sycamorehill.model.policy.Policy;
-import sycamorehill.model.ticket.DataCentreForce;
+import sycamorehill.model.ticket.DataCentreRollout;
 import sycamorehill.model.ticket.FilingOutcome;
-import sycamorehill.model.ticket.TicketForce;
+import sycamorehill.model.ticket.TicketRollout;
 import sycamorehill.runtime.MonotonicClock;
 import sycamorehill.runtime.Node;
 import sycamorehill.settings.NodeSettings;
@@ -97,13 +97,13 @@
 	 * @return where it is in force
 	 * @throws Exception if it is not accepted, or not in force in time
 	 */
-	public TicketForce fileFirstTicket() throws Exception {
+	public TicketRollout fileFirstTicket() throws Exception {
 		FilingOutcome outcome = fileUntilAccepted();
 		if (!(outcome instanceof FilingOutcome.Accepted accepted)) {
 			throw new IllegalStateException("the first ticket was not accepted: " + outcome);
 		}
 		Instant bound = this.clock.instant().plus(FORCE_BOUND);
-		TicketForce force = show(accepted.number());
+		TicketRollout force = show(accepted.number());
 		while (!inForce(force) && this.clock.instant().isBefore(bound)) {
 			TimeUnit.MILLISECONDS.sleep(POLL_MILLISECONDS);
 			force = show(accepted.number());
@@ -116,7 +116,7 @@
 	 * @param force where it is in force
 	 * @return whether nothing is missing
 	 */
-	public static boolean inForce(TicketForce force) {
+	public static boolean inForce(TicketRollout force) {
 		return force.dataCentres().size() == DATA_CENTRES.size()
 				&& force.dataCentres().stream().allMatch(LocalSystem::everyNode);
 	}
@@ -199,7 +199,7 @@
 		return outcome;
 	}
 
-	private TicketForce show(long number) throws InterruptedException, ExecutionException {
+	private TicketRollout show(long number) throws InterruptedException, ExecutionException {
 		return this.operator.show(operatorAddress(0), number).get();
 	}
 
@@ -207,7 +207,7 @@
 		return this.nodes.get(node).settings().operatorAddress();
 	}
 
-	private static boolean everyNode(DataCentreForce force) {
+	private static boolean everyNode(DataCentreRollout force) {
 		return force.nodesKnown() > 0 && force.nodesInForce() == force.nodesKnown() && force.missing().isEmpty();
 	}
 
--- a/src/main/java/sycamorehill/local/OperatorClient.java
+++ b/src/main/java/sycamorehill/local/OperatorClient.java
@@ -12,7 +12,7 @@
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.ticket.FilingOutcome;
 import sycamorehill.model.ticket.TicketDraft;
-import sycamorehill.model.ticket.TicketForce;
+import sycamorehill.model.ticket.TicketRollout;
 
 /**
  * Files and reads tickets as an operator's program does.
@@ -65,13 +65,13 @@
 	 * @param number the ticket
 	 * @return where it is in force
 	 */
-	public CompletableFuture<TicketForce> show(Address node, long number) {
+	public CompletableFuture<TicketRollout> show(Address node, long number) {
 		return this.caller.call(HttpCall.of(node, "GET", "/operator/tickets/" + number, TIMEOUT))
-			.thenApply((answer) -> read(answer, TicketForce.class));
+			.thenApply((answer) -> read(answer, TicketRollout.class));
 	}
 
 	private <T> T read(HttpAnswer answer, Class<T> type) {
-		if (answer.status() == NO_DECISION && type == TicketForce.class) {
+		if (answer.status() == NO_DECISION && type == TicketRollout.class) {
 			throw new IllegalStateException("the node did not say where the ticket is in force: " + answer.body());
 		}
 		try {
--- a/src/main/java/sycamorehill/logic/NodeView.java
+++ b/src/main/java/sycamorehill/logic/NodeView.java
@@ -5,7 +5,7 @@
 
 import sycamorehill.model.group.Allocation;
 import sycamorehill.model.group.Fleet;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.identity.VmName;
@@ -14,8 +14,8 @@
 import sycamorehill.model.request.Fingerprint;
 import sycamorehill.model.request.RouteQuery;
 import sycamorehill.model.target.ServingTarget;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.Ticket;
-import sycamorehill.model.ticket.Truth;
 
 /**
  * What one part of the reducer may read of the others.
@@ -38,7 +38,7 @@
 	 * The state in force, once the node has one.
 	 * @return the truth; empty until it has been read from the platform or a peer
 	 */
-	Optional<Truth> truth();
+	Optional<DesiredState> truth();
 
 	/**
 	 * An accepted ticket.
@@ -101,7 +101,7 @@
 	 * @param vm the VM
 	 * @return the sight, if there ever was one
 	 */
-	Optional<VmSight> sight(VmName vm);
+	Optional<VmObservation> sight(VmName vm);
 
 	/**
 	 * The allocation of this node's data centre as last seen.
--- a/src/main/java/sycamorehill/logic/admission/AdmissionReducer.java
+++ b/src/main/java/sycamorehill/logic/admission/AdmissionReducer.java
@@ -64,7 +64,7 @@
 			recordLatency(step, first.attempt(), now, true);
 		}
 		else if (event instanceof RequestEvent.AttemptClosed closed) {
-			recordLatency(step, closed.attempt(), now, closed.result() instanceof AttemptResult.Whole);
+			recordLatency(step, closed.attempt(), now, closed.result() instanceof AttemptResult.Completed);
 		}
 		return step.result();
 	}
--- a/src/main/java/sycamorehill/logic/admission/AdmissionStep.java
+++ b/src/main/java/sycamorehill/logic/admission/AdmissionStep.java
@@ -17,7 +17,7 @@
 import sycamorehill.model.identity.WorkspaceName;
 import sycamorehill.model.peer.WorkspaceShare;
 import sycamorehill.model.policy.AdmissionPolicy;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.Priority;
 import sycamorehill.model.request.Refusal;
 import sycamorehill.model.request.RefusalReason;
@@ -186,7 +186,7 @@
 		return (load != null) ? load : ServiceLoad.fresh(this.policy, this.now);
 	}
 
-	private void enqueue(RequestDescription request, Handling handling, WorkspaceItem workspace, ServiceLoad load,
+	private void enqueue(RequestDescription request, Idempotency handling, WorkspaceItem workspace, ServiceLoad load,
 			LimitState.WorkspaceEntry entry) {
 		Instant effectiveArrival = this.now
 			.plus(this.policy.priorityStep().multipliedBy(priorityLevel(request.priority())));
--- a/src/main/java/sycamorehill/logic/admission/LimitState.java
+++ b/src/main/java/sycamorehill/logic/admission/LimitState.java
@@ -10,9 +10,9 @@
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.WorkspaceName;
 import sycamorehill.model.peer.ShareAmounts;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.ItemKey;
 import sycamorehill.model.ticket.ItemKind;
-import sycamorehill.model.ticket.Truth;
 import sycamorehill.model.ticket.WorkspaceItem;
 
 /**
@@ -49,7 +49,7 @@
 	 * @return the state
 	 */
 	LimitState withCurrentDivisor(NodeView view) {
-		Optional<Truth> truth = view.truth();
+		Optional<DesiredState> truth = view.truth();
 		if (truth.isEmpty() || truth.get().number() == this.divisorOf) {
 			return this;
 		}
--- a/src/main/java/sycamorehill/logic/admission/RequestCheck.java
+++ b/src/main/java/sycamorehill/logic/admission/RequestCheck.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 
 import sycamorehill.logic.NodeView;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.Refusal;
 import sycamorehill.model.request.RefusalReason;
 import sycamorehill.model.request.RequestDescription;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.ServiceItem;
-import sycamorehill.model.ticket.Truth;
 import sycamorehill.model.ticket.WorkspaceItem;
 
 /**
@@ -19,7 +19,7 @@
  * @param workspace whose it is, present if it passes
  * @param handling how often it may be sent
  */
-record RequestCheck(Optional<Refusal> refusal, Optional<WorkspaceItem> workspace, Handling handling) {
+record RequestCheck(Optional<Refusal> refusal, Optional<WorkspaceItem> workspace, Idempotency handling) {
 
 	private static final Duration NOT_READY_RETRY_AFTER = Duration.ofSeconds(1);
 
@@ -30,7 +30,7 @@
 	 * @return the result
 	 */
 	static RequestCheck of(RequestDescription request, NodeView view) {
-		Optional<Truth> truth = view.truth();
+		Optional<DesiredState> truth = view.truth();
 		if (truth.isEmpty()) {
 			return refused(Refusal.of(RefusalReason.NODE_NOT_READY, "the node does not know the state in force yet",
 					NOT_READY_RETRY_AFTER));
@@ -50,14 +50,14 @@
 	}
 
 	private static RequestCheck refused(Refusal refusal) {
-		return new RequestCheck(Optional.of(refusal), Optional.empty(), Handling.ONCE_WITHOUT_KEY);
+		return new RequestCheck(Optional.of(refusal), Optional.empty(), Idempotency.ONCE_WITHOUT_KEY);
 	}
 
-	private static Handling handling(RequestDescription request, ServiceItem service) {
-		if (service.repeatable(request.method(), request.path())) {
-			return Handling.REPEATABLE;
+	private static Idempotency handling(RequestDescription request, ServiceItem service) {
+		if (service.isIdempotent(request.method(), request.path())) {
+			return Idempotency.REPEATABLE;
 		}
-		return request.orderKey().isPresent() ? Handling.ONCE_WITH_KEY : Handling.ONCE_WITHOUT_KEY;
+		return request.orderKey().isPresent() ? Idempotency.ONCE_WITH_KEY : Idempotency.ONCE_WITHOUT_KEY;
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/admission/ShareAccount.java
+++ b/src/main/java/sycamorehill/logic/admission/ShareAccount.java
@@ -113,7 +113,7 @@
 	 * @return whether the account must be kept
 	 */
 	boolean holdsLoans(Instant now) {
-		return !total(this.borrowed, now).negligible() || !total(this.lent, now).negligible();
+		return !total(this.borrowed, now).isNegligible() || !total(this.lent, now).isNegligible();
 	}
 
 	private static ShareAccount of(ShareAmounts owned, PMap<NodeIncarnation, LoanSet> borrowed,
--- a/src/main/java/sycamorehill/logic/admission/ShareExchange.java
+++ b/src/main/java/sycamorehill/logic/admission/ShareExchange.java
@@ -177,7 +177,7 @@
 		Coordinators coordinators = null;
 		for (WorkspaceName workspace : workspaces) {
 			WorkspaceEntry entry = this.state.entry(workspace, this.now, this.view);
-			if (!entry.nextAsk().isAfter(this.now) && !shortfall(workspace, entry, true).negligible()) {
+			if (!entry.nextAsk().isAfter(this.now) && !shortfall(workspace, entry, true).isNegligible()) {
 				coordinators = (coordinators != null) ? coordinators : Coordinators.of(this.view.liveNodes());
 				ask(workspace, entry, coordinators, asks);
 			}
@@ -230,7 +230,7 @@
 
 	private static void add(Map<Recipient, List<WorkspaceShare>> asks, NodeIdentity to, ShareAsk.Scope scope,
 			WorkspaceName workspace, ShareAmounts amounts) {
-		if (!amounts.negligible()) {
+		if (!amounts.isNegligible()) {
 			asks.computeIfAbsent(new Recipient(to, scope), (recipient) -> new ArrayList<>())
 				.add(new WorkspaceShare(workspace, amounts));
 		}
@@ -269,7 +269,7 @@
 		// limit.
 		ShareAmounts loan = new ShareAmounts(amounts.requests(), amounts.tokens(),
 				Math.max(amounts.inFlight(), alreadyLent.inFlight()));
-		if (loan.negligible()) {
+		if (loan.isNegligible()) {
 			return;
 		}
 		put(want.workspace(), entry.with(entry.account().lend(borrower.incarnation(), loan, end, this.now)));
@@ -332,7 +332,7 @@
 			NodeIdentity borrower = outstanding.getKey();
 			OutstandingAsks.OutstandingAsk ask = outstanding.getValue();
 			ShareAmounts alreadyLent = entry.account().lentTo(borrower.incarnation(), this.now);
-			if (ask.answersLeft() > 0 && !borrower.equals(lender) && !ask.amounts().minus(alreadyLent).negligible()) {
+			if (ask.answersLeft() > 0 && !borrower.equals(lender) && !ask.amounts().minus(alreadyLent).isNegligible()) {
 				WorkspaceEntry current = this.state.entry(workspace, this.now, this.view);
 				put(workspace, current.with(current.wants().plus(borrower, ask.answered())));
 				List<WorkspaceShare> loans = new ArrayList<>();
--- a/src/main/java/sycamorehill/logic/admission/TicketedDataCentres.java
+++ b/src/main/java/sycamorehill/logic/admission/TicketedDataCentres.java
@@ -4,12 +4,12 @@
 import org.pcollections.TreePMap;
 
 import sycamorehill.model.identity.DataCentreName;
+import sycamorehill.model.ticket.AppliedItem;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.Item;
-import sycamorehill.model.ticket.ItemInForce;
 import sycamorehill.model.ticket.ModelGroupItem;
 import sycamorehill.model.ticket.PlainTarget;
 import sycamorehill.model.ticket.ServiceItem;
-import sycamorehill.model.ticket.Truth;
 
 /**
  * The data centres that tickets name. All nodes with the same truth find the same, cut
@@ -20,9 +20,9 @@
 	private TicketedDataCentres() {
 	}
 
-	static PMap<DataCentreName, Boolean> of(Truth truth) {
+	static PMap<DataCentreName, Boolean> of(DesiredState truth) {
 		PMap<DataCentreName, Boolean> named = TreePMap.empty();
-		for (ItemInForce found : truth.items().values()) {
+		for (AppliedItem found : truth.items().values()) {
 			named = named.plusAll(of(found.item()));
 		}
 		return named;
--- a/src/main/java/sycamorehill/logic/admission/WaitingRequest.java
+++ b/src/main/java/sycamorehill/logic/admission/WaitingRequest.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 
 import sycamorehill.model.identity.WorkspaceName;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RequestDescription;
 
 /**
@@ -16,7 +16,7 @@
  * @param arrivedAt when it came
  * @param leaveBy when it is refused at the latest if it still waits
  */
-record WaitingRequest(RequestDescription request, Handling handling, WorkspaceName workspace, QueuePosition place,
+record WaitingRequest(RequestDescription request, Idempotency handling, WorkspaceName workspace, QueuePosition place,
 		Instant arrivedAt, Instant leaveBy) {
 
 	/**
--- a/src/main/java/sycamorehill/logic/group/AllocationController.java
+++ b/src/main/java/sycamorehill/logic/group/AllocationController.java
@@ -17,16 +17,16 @@
 import sycamorehill.model.group.Fleet;
 import sycamorehill.model.group.GroupRecord;
 import sycamorehill.model.group.VmEntry;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.GroupName;
 import sycamorehill.model.identity.VmName;
-import sycamorehill.model.ticket.ItemInForce;
+import sycamorehill.model.ticket.AppliedItem;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.ItemKey;
 import sycamorehill.model.ticket.ItemKind;
 import sycamorehill.model.ticket.ModelGroupItem;
 import sycamorehill.model.ticket.ServiceItem;
 import sycamorehill.model.ticket.ServiceKind;
-import sycamorehill.model.ticket.Truth;
 
 /**
  * Makes the decisions of the node that holds the controller lease.
@@ -71,14 +71,17 @@
 		}
 		PMap<VmName, Instant> failures = step.state().failedAt();
 		for (VmName vm : claimed) {
-			if (fleet.sight(vm).map(VmSight::report).filter((seen) -> seen.state() == EngineState.FAILED).isPresent()) {
+			if (fleet.observation(vm)
+				.map(VmObservation::report)
+				.filter((seen) -> seen.state() == EngineState.FAILED)
+				.isPresent()) {
 				failures = failures.plus(vm, step.now());
 			}
 		}
 		VmSilences silences = step.state()
 			.silences()
 			.update(fleet, known.get().groups().values(), known.get().standbys().keySet(),
-					step.view().liveNodes().dutiful(step.view().self().dataCentre()).size() > 1, step.now(),
+					step.view().liveNodes().notStoppingIn(step.view().self().dataCentre()).size() > 1, step.now(),
 					step.view().policy().observation().reportInterval());
 		step.update(step.state().withObservations(phases, silences, failures));
 		requestReports(step, silences);
@@ -111,7 +114,7 @@
 	 */
 	static void decide(GroupStep step) {
 		GroupState state = step.state();
-		Optional<Truth> truth = step.view().truth();
+		Optional<DesiredState> truth = step.view().truth();
 		boolean ready = state.lease().isHeld(step.now()) && state.allocation().known().isPresent()
 				&& state.allocation().attempt().isEmpty() && step.view().fleet().listedAt().isPresent();
 		if (!ready || truth.isEmpty()) {
@@ -128,19 +131,19 @@
 		EngineCommandDispatcher.dispatch(step, EngineReconciler.requiredCommands(allocation, context));
 	}
 
-	private static PlanContext context(GroupStep step, Truth truth) {
+	private static PlanContext context(GroupStep step, DesiredState truth) {
 		GroupState state = step.state();
 		return new PlanContext(step.now(), step.view().fleet(), specifications(step.view(), truth), state.silences(),
 				state.phaseSince(), state.failedAt(), step.view().policy().observation(), step.policy());
 	}
 
-	private static List<GroupSpecification> specifications(NodeView view, Truth truth) {
+	private static List<GroupSpecification> specifications(NodeView view, DesiredState truth) {
 		List<GroupSpecification> specifications = new ArrayList<>();
-		for (ItemInForce set : truth.groupSets(view.self().dataCentre())) {
+		for (AppliedItem set : truth.groupSets(view.self().dataCentre())) {
 			ModelGroupItem item = (ModelGroupItem) set.item();
 			Optional<ServiceItem> service = truth.service(item.service())
 				.filter((found) -> found.kind() == ServiceKind.MODEL);
-			long setBy = truth.setBy(ItemKey.of(ItemKind.SERVICE, item.service().value()));
+			long setBy = truth.lastSetBy(ItemKey.of(ItemKind.SERVICE, item.service().value()));
 			service.ifPresent((found) -> specifications.add(GroupSpecification.of(set, found, setBy)));
 		}
 		return specifications;
--- a/src/main/java/sycamorehill/logic/group/EngineCommandDispatcher.java
+++ b/src/main/java/sycamorehill/logic/group/EngineCommandDispatcher.java
@@ -8,7 +8,7 @@
 import sycamorehill.logic.group.EngineReconciler.RequiredCommand;
 import sycamorehill.model.effect.TargetEffect;
 import sycamorehill.model.event.TargetEvent;
-import sycamorehill.model.group.EngineOrderResult;
+import sycamorehill.model.group.EngineCommandResult;
 import sycamorehill.model.group.VmEntry;
 import sycamorehill.model.identity.CallIdentifier;
 import sycamorehill.model.identity.CallOwner;
@@ -91,14 +91,14 @@
 	}
 
 	static void handleAnswer(GroupStep step, TargetEvent.OrderAnswered answered) {
-		if (answered.result() == EngineOrderResult.REFUSED_FENCED) {
+		if (answered.result() == EngineCommandResult.REFUSED_FENCED) {
 			// The engine knows a higher fencing number, so another node has acquired the
 			// lease.
 			step.log(LogEvent.GROUP_ORDER_FENCED, "command " + answered.call().number());
 			step.update(step.state().withLease(step.state().lease().withHeldUntil(step.now()).withReadFirst()));
 			return;
 		}
-		if (answered.result() != EngineOrderResult.ACCEPTED) {
+		if (answered.result() != EngineCommandResult.ACCEPTED) {
 			return;
 		}
 		for (Map.Entry<VmName, LastEngineCommand> entry : step.state().orders().entrySet()) {
--- a/src/main/java/sycamorehill/logic/group/EngineReconciler.java
+++ b/src/main/java/sycamorehill/logic/group/EngineReconciler.java
@@ -8,14 +8,14 @@
 import java.util.Set;
 
 import sycamorehill.model.group.Allocation;
-import sycamorehill.model.group.EngineOrder;
+import sycamorehill.model.group.EngineCommand;
 import sycamorehill.model.group.EngineState;
 import sycamorehill.model.group.GroupIdentity;
 import sycamorehill.model.group.GroupPhase;
 import sycamorehill.model.group.GroupRecord;
 import sycamorehill.model.group.VmEntry;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.group.VmReport;
-import sycamorehill.model.group.VmSight;
 import sycamorehill.model.identity.VmName;
 
 /**
@@ -59,7 +59,7 @@
 		if (isMember) {
 			return Optional.empty();
 		}
-		EngineOrder order = new EngineOrder.Leave(group.get(), allocation.fencingNumber());
+		EngineCommand order = new EngineCommand.Leave(group.get(), allocation.fencingNumber());
 		return Optional.of(new RequiredCommand(entry, order));
 	}
 
@@ -80,7 +80,7 @@
 			// engine that was recently observed in no group receives a join command.
 			boolean isFree = report.isPresent() && report.get().group().isEmpty() && !report.get().leaving();
 			if (entry != null && isFree) {
-				commands.add(new RequiredCommand(entry, new EngineOrder.Join(record.identity(), record.members(),
+				commands.add(new RequiredCommand(entry, new EngineCommand.Join(record.identity(), record.members(),
 						record.model(), record.modelVersion(), allocation.fencingNumber())));
 			}
 		}
@@ -149,7 +149,9 @@
 	}
 
 	private static Optional<VmReport> freshReport(PlanContext context, VmName vm) {
-		return context.fleet().freshSight(vm, context.now(), context.observation().freshness()).map(VmSight::report);
+		return context.fleet()
+			.freshObservation(vm, context.now(), context.observation().freshness())
+			.map(VmObservation::report);
 	}
 
 	/**
@@ -158,7 +160,7 @@
 	 * @param entry the VM
 	 * @param command the command
 	 */
-	record RequiredCommand(VmEntry entry, EngineOrder command) {
+	record RequiredCommand(VmEntry entry, EngineCommand command) {
 
 	}
 
--- a/src/main/java/sycamorehill/logic/group/GroupPublisher.java
+++ b/src/main/java/sycamorehill/logic/group/GroupPublisher.java
@@ -27,7 +27,7 @@
 import sycamorehill.model.identity.NodeIncarnation;
 import sycamorehill.model.membership.LiveNode;
 import sycamorehill.model.peer.GroupFacts;
-import sycamorehill.model.peer.GroupSetSights;
+import sycamorehill.model.peer.GroupSetObservations;
 import sycamorehill.model.peer.GroupsSent;
 import sycamorehill.model.policy.ObservationPolicy;
 
@@ -116,7 +116,7 @@
 						record.modelVersion()));
 			}
 		}
-		List<GroupSetSights> columns = sets.entrySet()
+		List<GroupSetObservations> columns = sets.entrySet()
 			.stream()
 			.map((entry) -> entry.getValue().toObservations(entry.getKey()))
 			.toList();
@@ -171,21 +171,21 @@
 
 	private static GroupsSent relayedMessage(GroupStep step, GroupsSent message, NodeIncarnation root, long round,
 			long delay) {
-		List<GroupSetSights> relayedSets = message.sets().stream().map((set) -> addDelay(set, delay)).toList();
+		List<GroupSetObservations> relayedSets = message.sets().stream().map((set) -> addDelay(set, delay)).toList();
 		return new GroupsSent(message.dataCentre(), root, round, step.now().toEpochMilli(), message.allocationVersion(),
 				message.listHash(), relayedSets, message.facts());
 	}
 
-	private static GroupSetSights addDelay(GroupSetSights set, long delay) {
+	private static GroupSetObservations addDelay(GroupSetObservations set, long delay) {
 		List<Integer> ages = set.ages().stream().map((age) -> (int) (age + delay)).toList();
-		return new GroupSetSights(set.set(), set.ordinals(), set.generations(), ages, set.running(), set.queued(),
+		return new GroupSetObservations(set.set(), set.ordinals(), set.generations(), ages, set.running(), set.queued(),
 				set.tokensPerSecond(), set.freeCacheTokens());
 	}
 
 	private static void forward(GroupStep step, GroupsSent message) {
 		int fanOut = step.view().policy().observation().relayFanOut();
 		List<NodeIdentity> order = new ArrayList<>();
-		for (LiveNode node : Rendezvous.order(step.view().liveNodes().dutiful(step.view().self().dataCentre()),
+		for (LiveNode node : Rendezvous.order(step.view().liveNodes().notStoppingIn(step.view().self().dataCentre()),
 				message.root().toString())) {
 			if (!node.identity().incarnation().equals(message.root())) {
 				order.add(node.identity());
@@ -225,7 +225,7 @@
 			this.ordinals.add(record.identity().name().ordinal());
 			this.generations.add(record.identity().generation());
 			this.ages.add((int) Duration.between(oldest, now).toMillis());
-			fleet.sight(record.head()).ifPresent((seen) -> {
+			fleet.observation(record.head()).ifPresent((seen) -> {
 				this.running.add(seen.report().running());
 				this.queued.add(seen.report().queued());
 				this.tokensPerSecond.add((int) Math.round(seen.report().tokensPerSecond()));
@@ -233,8 +233,8 @@
 			});
 		}
 
-		GroupSetSights toObservations(GroupSetName set) {
-			return new GroupSetSights(set, this.ordinals, this.generations, this.ages, this.running, this.queued,
+		GroupSetObservations toObservations(GroupSetName set) {
+			return new GroupSetObservations(set, this.ordinals, this.generations, this.ages, this.running, this.queued,
 					this.tokensPerSecond, this.freeCacheTokens);
 		}
 
--- a/src/main/java/sycamorehill/logic/group/GroupSpecification.java
+++ b/src/main/java/sycamorehill/logic/group/GroupSpecification.java
@@ -2,7 +2,7 @@
 
 import sycamorehill.model.group.GroupRecord;
 import sycamorehill.model.identity.ServiceName;
-import sycamorehill.model.ticket.ItemInForce;
+import sycamorehill.model.ticket.AppliedItem;
 import sycamorehill.model.ticket.ModelGroupItem;
 import sycamorehill.model.ticket.ServiceItem;
 
@@ -17,7 +17,7 @@
  */
 record GroupSpecification(ModelGroupItem set, ServiceName service, String model, String modelVersion, long ticket) {
 
-	static GroupSpecification of(ItemInForce set, ServiceItem service, long serviceSetBy) {
+	static GroupSpecification of(AppliedItem set, ServiceItem service, long serviceSetBy) {
 		return new GroupSpecification((ModelGroupItem) set.item(), service.name(), service.model(),
 				service.modelVersion(), Math.max(set.setBy(), serviceSetBy));
 	}
--- a/src/main/java/sycamorehill/logic/group/LastEngineCommand.java
+++ b/src/main/java/sycamorehill/logic/group/LastEngineCommand.java
@@ -2,7 +2,7 @@
 
 import java.time.Instant;
 
-import sycamorehill.model.group.EngineOrder;
+import sycamorehill.model.group.EngineCommand;
 
 /**
  * Records the last command sent to an engine.
@@ -13,6 +13,6 @@
  * @param tries the number of times the same command had been sent before
  * @param notBefore the earliest time at which the same command may be sent again
  */
-public record LastEngineCommand(long call, EngineOrder order, Instant sentAt, int tries, Instant notBefore) {
+public record LastEngineCommand(long call, EngineCommand order, Instant sentAt, int tries, Instant notBefore) {
 
 }
--- a/src/main/java/sycamorehill/logic/group/PlanContext.java
+++ b/src/main/java/sycamorehill/logic/group/PlanContext.java
@@ -14,8 +14,8 @@
 import sycamorehill.model.group.GroupIdentity;
 import sycamorehill.model.group.GroupRecord;
 import sycamorehill.model.group.VmEntry;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.group.VmReport;
-import sycamorehill.model.group.VmSight;
 import sycamorehill.model.group.VmStatus;
 import sycamorehill.model.identity.FabricDomain;
 import sycamorehill.model.identity.GroupName;
@@ -44,7 +44,7 @@
 	private static final Duration ROUTING_STOP_DELAY = Duration.ofSeconds(2);
 
 	boolean isReady(VmName vm, GroupIdentity identity) {
-		return this.fleet.seenReady(vm, identity, this.now, this.observation.freshness());
+		return this.fleet.isObservedReady(vm, identity, this.now, this.observation.freshness());
 	}
 
 	boolean isComplete(GroupRecord record) {
@@ -141,15 +141,15 @@
 			return false;
 		}
 		Instant settledAt = this.now.minus(inPhase).plus(settlingTime);
-		return this.fleet.sight(record.head())
+		return this.fleet.observation(record.head())
 			.filter((seen) -> seen.seenAt().isAfter(settledAt))
-			.map(VmSight::report)
+			.map(VmObservation::report)
 			.filter((report) -> report.running() == 0 && report.queued() == 0)
 			.isPresent();
 	}
 
 	private Optional<VmReport> freshReport(VmName vm) {
-		return this.fleet.freshSight(vm, this.now, this.observation.freshness()).map(VmSight::report);
+		return this.fleet.freshObservation(vm, this.now, this.observation.freshness()).map(VmObservation::report);
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/group/PublishedGroup.java
+++ b/src/main/java/sycamorehill/logic/group/PublishedGroup.java
@@ -5,8 +5,8 @@
 
 import sycamorehill.model.group.EngineState;
 import sycamorehill.model.group.GroupIdentity;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.group.VmReport;
-import sycamorehill.model.group.VmSight;
 import sycamorehill.model.identity.VmName;
 import sycamorehill.model.peer.GroupFacts;
 
@@ -30,10 +30,10 @@
 	 * @param head the head
 	 * @return the observation
 	 */
-	VmSight headObservation(VmName head) {
+	VmObservation headObservation(VmName head) {
 		VmReport report = new VmReport(head, "", EngineState.READY, Optional.of(this.identity), false,
 				this.load.running(), this.load.queued(), this.load.tokensPerSecond(), this.load.freeCacheTokens(), 0);
-		return new VmSight(report, this.seenAt);
+		return new VmObservation(report, this.seenAt);
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/group/PublishedGroups.java
+++ b/src/main/java/sycamorehill/logic/group/PublishedGroups.java
@@ -9,7 +9,7 @@
 import sycamorehill.model.group.GroupIdentity;
 import sycamorehill.model.identity.GroupName;
 import sycamorehill.model.peer.GroupFacts;
-import sycamorehill.model.peer.GroupSetSights;
+import sycamorehill.model.peer.GroupSetObservations;
 import sycamorehill.model.peer.GroupsSent;
 
 /**
@@ -41,7 +41,7 @@
 		}
 		boolean newer = message.allocationVersion() > this.version;
 		PMap<GroupName, PublishedGroup> known = newer ? TreePMap.empty() : this.groups;
-		for (GroupSetSights set : message.sets()) {
+		for (GroupSetObservations set : message.sets()) {
 			for (int index = 0; index < set.ordinals().size(); index++) {
 				PublishedGroup group = fromColumns(set, index, sentAt);
 				known = known.plus(group.identity().name(), mostRecent(group));
@@ -56,7 +56,7 @@
 		return new PublishedGroups(message.allocationVersion(), known);
 	}
 
-	private static PublishedGroup fromColumns(GroupSetSights set, int index, Instant sentAt) {
+	private static PublishedGroup fromColumns(GroupSetObservations set, int index, Instant sentAt) {
 		GroupName name = GroupName.of(set.set(), set.ordinals().get(index));
 		PublishedGroup.Load load = new PublishedGroup.Load(set.running().get(index), set.queued().get(index),
 				set.tokensPerSecond().get(index), set.freeCacheTokens().get(index));
--- a/src/main/java/sycamorehill/logic/group/ServingGroups.java
+++ b/src/main/java/sycamorehill/logic/group/ServingGroups.java
@@ -14,7 +14,7 @@
 import sycamorehill.model.group.GroupPhase;
 import sycamorehill.model.group.GroupRecord;
 import sycamorehill.model.group.VmEntry;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.identity.VmName;
@@ -83,9 +83,9 @@
 			}
 			boolean leaving = own && facts.get().members().stream().anyMatch(view.fleet()::isLeaving);
 			if (!leaving) {
-				targets
-					.add(new ServingTarget(group.identity().name().target(), service, dataCentre, facts.get().address(),
-							Optional.of(group.identity()), facts.get().members(), facts.get().modelVersion()));
+				targets.add(new ServingTarget(group.identity().name().targetName(), service, dataCentre,
+						facts.get().address(), Optional.of(group.identity()), facts.get().members(),
+						facts.get().modelVersion()));
 			}
 		}
 		return targets;
@@ -97,7 +97,7 @@
 	 * @param head the head
 	 * @return the observation, empty if the VM is not the head of a published group
 	 */
-	public static Optional<VmSight> publishedHeadObservation(GroupState state, VmName head) {
+	public static Optional<VmObservation> publishedHeadObservation(GroupState state, VmName head) {
 		for (PublishedGroups groups : state.spread().groups().values()) {
 			for (PublishedGroup group : groups.groups().values()) {
 				if (group.facts().filter((facts) -> facts.members().get(0).equals(head)).isPresent()) {
@@ -122,7 +122,7 @@
 	static boolean isServing(GroupRecord record, Fleet fleet, Instant now, Duration freshness) {
 		return record.phase() == GroupPhase.SERVING && record.members()
 			.stream()
-			.allMatch((vm) -> fleet.seenReady(vm, record.identity(), now, freshness) && !fleet.isLeaving(vm));
+			.allMatch((vm) -> fleet.isObservedReady(vm, record.identity(), now, freshness) && !fleet.isLeaving(vm));
 	}
 
 	private static Optional<ServingTarget> target(Allocation allocation, Fleet fleet, GroupRecord record) {
@@ -131,7 +131,7 @@
 			return Optional.empty();
 		}
 		return Optional
-			.of(new ServingTarget(record.identity().name().target(), record.service(), allocation.dataCentre(),
+			.of(new ServingTarget(record.identity().name().targetName(), record.service(), allocation.dataCentre(),
 					head.address(), Optional.of(record.identity()), record.members(), record.modelVersion()));
 	}
 
--- a/src/main/java/sycamorehill/logic/group/VmSilences.java
+++ b/src/main/java/sycamorehill/logic/group/VmSilences.java
@@ -15,8 +15,8 @@
 import sycamorehill.model.group.GroupPhase;
 import sycamorehill.model.group.GroupRecord;
 import sycamorehill.model.group.VmEntry;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.group.VmReport;
-import sycamorehill.model.group.VmSight;
 import sycamorehill.model.identity.FabricDomain;
 import sycamorehill.model.identity.VmName;
 import sycamorehill.model.policy.RepairRules;
@@ -94,14 +94,14 @@
 	}
 
 	private static boolean isSilent(Fleet fleet, VmName vm, Instant now, Duration maximumAge) {
-		return fleet.freshSight(vm, now, maximumAge).isEmpty();
+		return fleet.freshObservation(vm, now, maximumAge).isEmpty();
 	}
 
 	private static boolean reportsFailure(Fleet fleet, GroupRecord record, Instant now, Duration maximumAge) {
 		return record.members()
 			.stream()
-			.anyMatch((vm) -> fleet.freshSight(vm, now, maximumAge)
-				.map(VmSight::report)
+			.anyMatch((vm) -> fleet.freshObservation(vm, now, maximumAge)
+				.map(VmObservation::report)
 				.filter((report) -> report.state() == EngineState.FAILED)
 				.flatMap(VmReport::group)
 				.filter(record.identity()::equals)
@@ -121,7 +121,7 @@
 		for (VmEntry entry : fleet.entries().values()) {
 			int[] count = counts.computeIfAbsent(entry.domain(), (domain) -> new int[2]);
 			count[0]++;
-			if (fleet.freshSight(entry.name(), now, maximumAge).isPresent()) {
+			if (fleet.freshObservation(entry.name(), now, maximumAge).isPresent()) {
 				count[1]++;
 			}
 		}
--- a/src/main/java/sycamorehill/logic/health/HealthStep.java
+++ b/src/main/java/sycamorehill/logic/health/HealthStep.java
@@ -68,7 +68,7 @@
 	}
 
 	void closed(RequestEvent.AttemptClosed event) {
-		if (event.result() instanceof AttemptResult.Whole) {
+		if (event.result() instanceof AttemptResult.Completed) {
 			firstToken(event.attempt());
 		}
 		this.state = this.state.without(event.attempt());
@@ -85,10 +85,10 @@
 	}
 
 	private TargetHealth after(TargetName name, TargetHealth health, AttemptResult result) {
-		if (result instanceof AttemptResult.Whole) {
+		if (result instanceof AttemptResult.Completed) {
 			return health.succeeded(this.policy.fullAllowance());
 		}
-		if (result instanceof AttemptResult.NothingSent || result instanceof AttemptResult.Broken) {
+		if (result instanceof AttemptResult.NotSent || result instanceof AttemptResult.Interrupted) {
 			return judged(name, health.connectionFailed());
 		}
 		return (result instanceof AttemptResult.FailedWhileRunning) ? judged(name, health.runFailed()) : health;
--- a/src/main/java/sycamorehill/logic/membership/Delegates.java
+++ b/src/main/java/sycamorehill/logic/membership/Delegates.java
@@ -42,7 +42,7 @@
 	 * @return the delegates, the first choice first
 	 */
 	public static List<LiveNode> in(NodeView view, DataCentreName dataCentre) {
-		return of(view.liveNodes().dutiful(dataCentre), view.policy().membership().delegates());
+		return of(view.liveNodes().notStoppingIn(dataCentre), view.policy().membership().delegates());
 	}
 
 	static long weight(NodeIdentity identity) {
--- a/src/main/java/sycamorehill/logic/membership/ForceQuestion.java
+++ b/src/main/java/sycamorehill/logic/membership/ForceQuestion.java
@@ -6,7 +6,7 @@
 
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.OperatorCallIdentifier;
-import sycamorehill.model.ticket.DataCentreForce;
+import sycamorehill.model.ticket.DataCentreRollout;
 
 /**
  * An operator who waits to hear where a ticket is in force.
@@ -17,9 +17,9 @@
  * @param answers what each data centre has said
  */
 record ForceQuestion(OperatorCallIdentifier call, long number, Instant until,
-		PMap<DataCentreName, DataCentreForce> answers) {
+		PMap<DataCentreName, DataCentreRollout> answers) {
 
-	ForceQuestion with(DataCentreForce force) {
+	ForceQuestion with(DataCentreRollout force) {
 		return new ForceQuestion(this.call, this.number, this.until, this.answers.plus(force.dataCentre(), force));
 	}
 
--- a/src/main/java/sycamorehill/logic/membership/ForceSteps.java
+++ b/src/main/java/sycamorehill/logic/membership/ForceSteps.java
@@ -18,8 +18,8 @@
 import sycamorehill.model.membership.LiveNode;
 import sycamorehill.model.peer.ForceAsked;
 import sycamorehill.model.peer.ForceSent;
-import sycamorehill.model.ticket.DataCentreForce;
-import sycamorehill.model.ticket.TicketForce;
+import sycamorehill.model.ticket.DataCentreRollout;
+import sycamorehill.model.ticket.TicketRollout;
 
 /**
  * Answers where a ticket is in force. The delegates know it from heartbeats and are asked
@@ -92,26 +92,26 @@
 
 	private static void finish(MembershipTurn turn, ForceQuestion question) {
 		turn.set(turn.progress().withQuestions(turn.progress().questions().minus(question.call().number())));
-		List<DataCentreForce> forces = new ArrayList<>();
+		List<DataCentreRollout> forces = new ArrayList<>();
 		for (DataCentreName dataCentre : dataCentres(turn)) {
-			DataCentreForce answer = question.answers().get(dataCentre);
+			DataCentreRollout answer = question.answers().get(dataCentre);
 			forces.add((answer != null) ? answer : silent(turn, dataCentre));
 		}
 		turn.add(new OperatorEffect.AnswerForce(question.call(),
-				new TicketForce(question.number(), turn.view().ticket(question.number()), forces)));
+				new TicketRollout(question.number(), turn.view().ticket(question.number()), forces)));
 	}
 
-	private static DataCentreForce silent(MembershipTurn turn, DataCentreName dataCentre) {
+	private static DataCentreRollout silent(MembershipTurn turn, DataCentreName dataCentre) {
 		DataCentreView view = turn.sightings().view(dataCentre, turn.now());
 		int known = turn.state().liveNodes().in(dataCentre).size();
 		String last = view.known() ? "the last word of it came " + seconds(turn, view.vouchedAt()) + " ago"
 				: "no word of it ever came";
 		String reason = "no delegate of " + dataCentre + " has answered; " + last
 				+ ": it may serve with an older truth";
-		return new DataCentreForce(dataCentre, 0, known, Optional.empty(), List.of(reason));
+		return new DataCentreRollout(dataCentre, 0, known, Optional.empty(), List.of(reason));
 	}
 
-	private static DataCentreForce force(MembershipTurn turn, long number) {
+	private static DataCentreRollout force(MembershipTurn turn, long number) {
 		List<String> missing = new ArrayList<>();
 		PMap<NodeName, ?> members = turn.ownView().members();
 		for (NodeName name : members.keySet()) {
@@ -127,7 +127,7 @@
 						+ " ago; if it still runs it may serve with an older truth");
 			}
 		}
-		return new DataCentreForce(turn.ownDataCentre(), inForce, members.size(), since, missing);
+		return new DataCentreRollout(turn.ownDataCentre(), inForce, members.size(), since, missing);
 	}
 
 	private static String reason(MembershipTurn turn, NodeName name) {
--- a/src/main/java/sycamorehill/logic/membership/Hearing.java
+++ b/src/main/java/sycamorehill/logic/membership/Hearing.java
@@ -12,7 +12,7 @@
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.identity.NodeName;
 import sycamorehill.model.log.LogEvent;
-import sycamorehill.model.peer.DataCentreVouch;
+import sycamorehill.model.peer.DataCentreConfirmation;
 import sycamorehill.model.peer.Heartbeat;
 import sycamorehill.model.peer.MemberEntry;
 import sycamorehill.model.peer.MembersAsked;
@@ -36,7 +36,7 @@
 		if (turn.delegate() && from.dataCentre().equals(turn.ownDataCentre())) {
 			admit(turn, new MemberEntry(from, heartbeat.stopping(), true));
 		}
-		for (DataCentreVouch vouch : vouches(turn, heartbeat)) {
+		for (DataCentreConfirmation vouch : vouches(turn, heartbeat)) {
 			vouched(turn, from, vouch, heartbeat.unheard());
 		}
 		if (heartbeat.wantsReply()) {
@@ -156,21 +156,22 @@
 		return true;
 	}
 
-	private static List<DataCentreVouch> vouches(MembershipTurn turn, Heartbeat heartbeat) {
+	private static List<DataCentreConfirmation> vouches(MembershipTurn turn, Heartbeat heartbeat) {
 		if (heartbeat.agesMillis().isEmpty() || heartbeat.viewHash() != turn.sightings().hash()) {
 			return heartbeat.vouches();
 		}
-		List<DataCentreVouch> vouches = new ArrayList<>();
+		List<DataCentreConfirmation> vouches = new ArrayList<>();
 		Iterator<Integer> ages = heartbeat.agesMillis().iterator();
 		turn.sightings().known().forEach((name, view) -> {
 			if (ages.hasNext()) {
-				vouches.add(new DataCentreVouch(name, view.hash(), ages.next()));
+				vouches.add(new DataCentreConfirmation(name, view.hash(), ages.next()));
 			}
 		});
 		return vouches;
 	}
 
-	private static void vouched(MembershipTurn turn, NodeIdentity from, DataCentreVouch vouch, List<NodeName> unheard) {
+	private static void vouched(MembershipTurn turn, NodeIdentity from, DataCentreConfirmation vouch,
+			List<NodeName> unheard) {
 		DataCentreName dataCentre = vouch.dataCentre();
 		DataCentreView view = turn.sightings().view(dataCentre, Instant.MIN);
 		boolean same = view.hash() == vouch.hash();
--- a/src/main/java/sycamorehill/logic/membership/Heartbeats.java
+++ b/src/main/java/sycamorehill/logic/membership/Heartbeats.java
@@ -11,7 +11,7 @@
 import sycamorehill.model.identity.NodeName;
 import sycamorehill.model.membership.LiveNode;
 import sycamorehill.model.membership.LiveNodes;
-import sycamorehill.model.peer.DataCentreVouch;
+import sycamorehill.model.peer.DataCentreConfirmation;
 import sycamorehill.model.peer.Heartbeat;
 
 /**
@@ -50,7 +50,7 @@
 	 */
 	static List<LiveNode> delegates(MembershipTurn turn, DataCentreName dataCentre) {
 		LiveNodes nodes = turn.state().liveNodes();
-		return Delegates.of(nodes.dutiful(dataCentre), turn.policy().delegates())
+		return Delegates.of(nodes.notStoppingIn(dataCentre), turn.policy().delegates())
 			.stream()
 			.filter((node) -> !node.identity().equals(turn.self()))
 			.toList();
@@ -111,11 +111,11 @@
 		DirectContact contact = turn.sightings().direct().get(to.incarnation().node());
 		boolean same = contact != null && contact.viewHash() == hash;
 		List<Integer> ages = new ArrayList<>();
-		List<DataCentreVouch> vouches = new ArrayList<>();
+		List<DataCentreConfirmation> vouches = new ArrayList<>();
 		for (Map.Entry<DataCentreName, DataCentreView> entry : turn.sightings().known().entrySet()) {
 			int age = ageMillis(turn, entry.getKey(), entry.getValue());
 			ages.add(age);
-			vouches.add(new DataCentreVouch(entry.getKey(), entry.getValue().hash(), age));
+			vouches.add(new DataCentreConfirmation(entry.getKey(), entry.getValue().hash(), age));
 		}
 		boolean betweenDelegates = turn.delegate() && to.dataCentre().equals(turn.ownDataCentre());
 		return new Heartbeat(turn.state().stopping(), turn.ticketNumber(), (int) turn.interval().toMillis(), false,
--- a/src/main/java/sycamorehill/logic/membership/Liveness.java
+++ b/src/main/java/sycamorehill/logic/membership/Liveness.java
@@ -110,13 +110,14 @@
 	}
 
 	private static void takeOrLeaveDuty(MembershipTurn turn) {
-		boolean chosen = Delegates.of(turn.state().liveNodes().dutiful(turn.ownDataCentre()), turn.policy().delegates())
+		boolean chosen = Delegates
+			.of(turn.state().liveNodes().notStoppingIn(turn.ownDataCentre()), turn.policy().delegates())
 			.stream()
 			.anyMatch((node) -> node.identity().equals(turn.self()));
 		// A stopping delegate without a successor goes on, or nobody would hear its data
 		// centre.
 		boolean last = turn.state().stopping() && turn.delegate()
-				&& turn.state().liveNodes().dutiful(turn.ownDataCentre()).isEmpty();
+				&& turn.state().liveNodes().notStoppingIn(turn.ownDataCentre()).isEmpty();
 		if ((chosen || last) == turn.delegate()) {
 			return;
 		}
--- a/src/main/java/sycamorehill/logic/membership/MembershipReducer.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipReducer.java
@@ -79,7 +79,7 @@
 		turn.set(turn.state().withIntroduction(turn.state().introduction().withBudget(budget)));
 		for (NodeContact contact : policy.contacts()) {
 			if (!contact.node().equals(turn.self().incarnation().node())) {
-				turn.set(turn.sightings().withContact(contact.unknownLife()));
+				turn.set(turn.sightings().withContact(contact.identityOfUnknownIncarnation()));
 			}
 		}
 		Liveness.refresh(turn);
--- a/src/main/java/sycamorehill/logic/membership/MembershipState.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipState.java
@@ -30,7 +30,7 @@
 	 */
 	public static MembershipState initial() {
 		CallBudget none = CallBudget.create(0, 0, Duration.ZERO, Duration.ZERO, 0);
-		return new MembershipState(LiveNodes.none(), Sightings.none(), Progress.none(),
+		return new MembershipState(LiveNodes.empty(), Sightings.none(), Progress.none(),
 				new IntroductionState(HashTreePMap.empty(), 1, none, Instant.MIN, Instant.MIN, Instant.MIN),
 				new MembershipTimers(Instant.MIN, Instant.MIN, -1, NodeName.of("-"), 0, Instant.MIN), Instant.EPOCH,
 				false);
--- a/src/main/java/sycamorehill/logic/membership/MembershipTurn.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipTurn.java
@@ -20,7 +20,7 @@
 import sycamorehill.model.peer.PeerMessage;
 import sycamorehill.model.platform.PlatformRequest;
 import sycamorehill.model.policy.MembershipPolicy;
-import sycamorehill.model.ticket.Truth;
+import sycamorehill.model.ticket.DesiredState;
 
 /**
  * One step under way: the state as changed so far and the effects gathered. It lives no
@@ -132,7 +132,7 @@
 	}
 
 	long ticketNumber() {
-		return this.view.truth().map(Truth::number).orElse(-1L);
+		return this.view.truth().map(DesiredState::number).orElse(-1L);
 	}
 
 	void add(Effect effect) {
--- a/src/main/java/sycamorehill/logic/node/NodeState.java
+++ b/src/main/java/sycamorehill/logic/node/NodeState.java
@@ -17,8 +17,8 @@
 import sycamorehill.logic.ticket.TicketState;
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.policy.Policy;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.Ticket;
-import sycamorehill.model.ticket.Truth;
 
 /**
  * Everything that a node knows and that its decisions rest on: a value.
@@ -56,7 +56,7 @@
 	 * The state in force, once the node has one.
 	 * @return the truth
 	 */
-	public Optional<Truth> truth() {
+	public Optional<DesiredState> truth() {
 		return this.ticket.log().truth();
 	}
 
--- a/src/main/java/sycamorehill/logic/node/StateView.java
+++ b/src/main/java/sycamorehill/logic/node/StateView.java
@@ -10,7 +10,7 @@
 import sycamorehill.logic.routing.TargetChooser;
 import sycamorehill.model.group.Allocation;
 import sycamorehill.model.group.Fleet;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.identity.VmName;
@@ -19,11 +19,11 @@
 import sycamorehill.model.request.Fingerprint;
 import sycamorehill.model.request.RouteQuery;
 import sycamorehill.model.target.ServingTarget;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.PlainTarget;
 import sycamorehill.model.ticket.ServiceItem;
 import sycamorehill.model.ticket.ServiceKind;
 import sycamorehill.model.ticket.Ticket;
-import sycamorehill.model.ticket.Truth;
 
 /**
  * What the parts read of each other, taken from one state of the node.
@@ -56,7 +56,7 @@
 	}
 
 	@Override
-	public Optional<Truth> truth() {
+	public Optional<DesiredState> truth() {
 		return this.state.ticket().log().truth();
 	}
 
@@ -112,8 +112,8 @@
 	}
 
 	@Override
-	public Optional<VmSight> sight(VmName vm) {
-		return fleet().sight(vm).or(() -> ServingGroups.publishedHeadObservation(this.state.group(), vm));
+	public Optional<VmObservation> sight(VmName vm) {
+		return fleet().observation(vm).or(() -> ServingGroups.publishedHeadObservation(this.state.group(), vm));
 	}
 
 	@Override
--- a/src/main/java/sycamorehill/logic/observation/AskTurns.java
+++ b/src/main/java/sycamorehill/logic/observation/AskTurns.java
@@ -12,7 +12,7 @@
 import sycamorehill.model.effect.Effect;
 import sycamorehill.model.effect.TargetEffect;
 import sycamorehill.model.group.VmEntry;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.VmName;
 import sycamorehill.model.policy.ObservationPolicy;
 
@@ -55,7 +55,7 @@
 	}
 
 	private static ObservationState forget(ObservationState state) {
-		PMap<VmName, VmSight> own = state.sharing().own();
+		PMap<VmName, VmObservation> own = state.sharing().own();
 		if (own.size() <= state.observed().size()) {
 			return state;
 		}
--- a/src/main/java/sycamorehill/logic/observation/FleetUpdates.java
+++ b/src/main/java/sycamorehill/logic/observation/FleetUpdates.java
@@ -9,10 +9,10 @@
 import org.pcollections.PMap;
 
 import sycamorehill.model.group.Fleet;
-import sycamorehill.model.group.LeavingMark;
 import sycamorehill.model.group.VmEntry;
+import sycamorehill.model.group.VmLeavingNotice;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.group.VmReport;
-import sycamorehill.model.group.VmSight;
 import sycamorehill.model.group.VmStatus;
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.VmName;
@@ -37,8 +37,8 @@
 	 */
 	static Fleet list(Fleet fleet, List<VmEntry> list, DataCentreName dataCentre, Instant now, Duration leavingMemory) {
 		PMap<VmName, VmEntry> entries = HashTreePMap.empty();
-		PMap<VmName, LeavingMark> leaving = fleet.leaving();
-		PMap<VmName, VmSight> sights = fleet.sights();
+		PMap<VmName, VmLeavingNotice> leaving = fleet.leaving();
+		PMap<VmName, VmObservation> sights = fleet.sights();
 		for (VmEntry entry : list) {
 			if (!entry.dataCentre().equals(dataCentre)) {
 				continue;
@@ -57,12 +57,12 @@
 	// and work goes to a VM about to vanish. It shows as streams cut off at its stop. The
 	// mark outlives the list until the VM was replaced, or every sign has said for
 	// longer than any lag that it stays.
-	private static PMap<VmName, LeavingMark> mark(PMap<VmName, LeavingMark> leaving, VmEntry entry, Instant now,
+	private static PMap<VmName, VmLeavingNotice> mark(PMap<VmName, VmLeavingNotice> leaving, VmEntry entry, Instant now,
 			Duration leavingMemory) {
 		if (entry.status() == VmStatus.LEAVING) {
-			return leaving.plus(entry.name(), new LeavingMark(entry.instance(), now));
+			return leaving.plus(entry.name(), new VmLeavingNotice(entry.instance(), now));
 		}
-		LeavingMark mark = leaving.get(entry.name());
+		VmLeavingNotice mark = leaving.get(entry.name());
 		if (mark == null) {
 			return leaving;
 		}
@@ -77,11 +77,11 @@
 	 * @param sight the sight
 	 * @return what is known now
 	 */
-	static Fleet report(Fleet fleet, VmSight sight) {
+	static Fleet report(Fleet fleet, VmObservation sight) {
 		VmReport report = sight.report();
 		VmName vm = report.vm();
 		Fleet marked = report.leaving() ? leaving(fleet, vm, sight.seenAt()) : fleet;
-		VmSight before = fleet.sights().get(vm);
+		VmObservation before = fleet.sights().get(vm);
 		if (before != null && !supersedes(sight, before)) {
 			return marked;
 		}
@@ -93,7 +93,7 @@
 	// Failure: an answer that was delayed on its way arrives after a later one and shows
 	// a member in a generation that it has left. The engine's own sequence orders the
 	// reports of one life; between lives the time of asking does.
-	static boolean supersedes(VmSight sight, VmSight before) {
+	static boolean supersedes(VmObservation sight, VmObservation before) {
 		if (sight.report().instance().equals(before.report().instance())) {
 			return sight.report().sequence() > before.report().sequence()
 					|| (sight.report().sequence() == before.report().sequence()
@@ -110,12 +110,12 @@
 	 * @return what is known now
 	 */
 	static Fleet refresh(Fleet fleet, VmName vm, Instant seenAt) {
-		VmSight before = fleet.sights().get(vm);
+		VmObservation before = fleet.sights().get(vm);
 		if (before == null || !seenAt.isAfter(before.seenAt())) {
 			return fleet;
 		}
 		return new Fleet(fleet.entries(), fleet.listedAt(),
-				fleet.sights().plus(vm, new VmSight(before.report(), seenAt)), fleet.leaving(), fleet.refusals());
+				fleet.sights().plus(vm, new VmObservation(before.report(), seenAt)), fleet.leaving(), fleet.refusals());
 	}
 
 	/**
@@ -126,14 +126,14 @@
 	 * @return what is known now
 	 */
 	static Fleet leaving(Fleet fleet, VmName vm, Instant sign) {
-		LeavingMark before = fleet.leaving().get(vm);
+		VmLeavingNotice before = fleet.leaving().get(vm);
 		VmEntry entry = fleet.entries().get(vm);
 		String instance = (entry != null) ? entry.instance() : "";
 		if (before != null && before.lastSign().isAfter(sign)) {
 			return fleet;
 		}
 		return new Fleet(fleet.entries(), fleet.listedAt(), fleet.sights(),
-				fleet.leaving().plus(vm, new LeavingMark(instance, sign)), fleet.refusals());
+				fleet.leaving().plus(vm, new VmLeavingNotice(instance, sign)), fleet.refusals());
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/observation/ObservationReducer.java
+++ b/src/main/java/sycamorehill/logic/observation/ObservationReducer.java
@@ -14,7 +14,7 @@
 import sycamorehill.model.event.NodeEvent;
 import sycamorehill.model.event.PeerEvent;
 import sycamorehill.model.event.TargetEvent;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.VmName;
 import sycamorehill.model.peer.GroupsSent;
@@ -46,7 +46,7 @@
 			return tick(state, now, view);
 		}
 		if (event instanceof TargetEvent.ReportReceived received) {
-			return Step.of(reported(state, new VmSight(received.report(), received.askedAt())));
+			return Step.of(reported(state, new VmObservation(received.report(), received.askedAt())));
 		}
 		if (event instanceof TargetEvent.ReportFailed failed && failed.refused()) {
 			return Step.of(state.withFleet(FleetUpdates.refused(state.fleet(), failed.vm(), now)));
@@ -69,10 +69,10 @@
 		return Step.of(state);
 	}
 
-	private static ObservationState reported(ObservationState state, VmSight sight) {
+	private static ObservationState reported(ObservationState state, VmObservation sight) {
 		VmName vm = sight.report().vm();
 		ObservationState seen = state.withFleet(FleetUpdates.report(state.fleet(), sight));
-		VmSight before = state.sharing().own().get(vm);
+		VmObservation before = state.sharing().own().get(vm);
 		boolean newer = before == null || FleetUpdates.supersedes(sight, before);
 		if (!newer || !state.observed().contains(vm)) {
 			return seen;
--- a/src/main/java/sycamorehill/logic/observation/ObserverDuty.java
+++ b/src/main/java/sycamorehill/logic/observation/ObserverDuty.java
@@ -30,7 +30,7 @@
 	 */
 	static PSet<VmName> of(Iterable<VmName> vms, int count, NodeView view) {
 		ObservationPolicy policy = view.policy().observation();
-		List<LiveNode> nodes = view.liveNodes().dutiful(view.self().dataCentre());
+		List<LiveNode> nodes = view.liveNodes().notStoppingIn(view.self().dataCentre());
 		PSet<VmName> observed = HashTreePSet.empty();
 		if (count == 0) {
 			return observed;
--- a/src/main/java/sycamorehill/logic/observation/Rendezvous.java
+++ b/src/main/java/sycamorehill/logic/observation/Rendezvous.java
@@ -41,7 +41,7 @@
 	 * @return the stewards, the first choice first
 	 */
 	public static List<NodeIdentity> stewards(NodeView view, DataCentreName dataCentre) {
-		return order(view.liveNodes().dutiful(dataCentre), STEWARDS).stream()
+		return order(view.liveNodes().notStoppingIn(dataCentre), STEWARDS).stream()
 			.limit(view.policy().observation().stewards())
 			.map(LiveNode::identity)
 			.toList();
--- a/src/main/java/sycamorehill/logic/observation/SharingState.java
+++ b/src/main/java/sycamorehill/logic/observation/SharingState.java
@@ -6,7 +6,7 @@
 import org.pcollections.PMap;
 import org.pcollections.PSet;
 
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.NodeName;
 import sycamorehill.model.identity.VmName;
 
@@ -21,14 +21,14 @@
  * @param clocks how far other nodes' clocks are away
  * @param observers which VMs each other observer last said that it sees
  */
-public record SharingState(PMap<VmName, VmSight> own, Instant nextAt, long lastHash, int wholesLeft, long round,
+public record SharingState(PMap<VmName, VmObservation> own, Instant nextAt, long lastHash, int wholesLeft, long round,
 		SenderClocks clocks, PMap<NodeName, PSet<VmName>> observers) {
 
 	static SharingState initial() {
 		return new SharingState(HashTreePMap.empty(), Instant.MIN, 0, 0, 0, SenderClocks.none(), HashTreePMap.empty());
 	}
 
-	SharingState withOwn(PMap<VmName, VmSight> changed) {
+	SharingState withOwn(PMap<VmName, VmObservation> changed) {
 		return new SharingState(changed, this.nextAt, this.lastHash, this.wholesLeft, this.round, this.clocks,
 				this.observers);
 	}
--- a/src/main/java/sycamorehill/logic/observation/SightSharing.java
+++ b/src/main/java/sycamorehill/logic/observation/SightSharing.java
@@ -12,8 +12,8 @@
 import sycamorehill.model.effect.Effect;
 import sycamorehill.model.effect.PeerEffect;
 import sycamorehill.model.group.Fleet;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.group.VmReport;
-import sycamorehill.model.group.VmSight;
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.identity.VmName;
 import sycamorehill.model.peer.VmSightsSent;
@@ -36,7 +36,7 @@
 	static ObservationState send(ObservationState state, Instant now, NodeView view, List<Effect> effects) {
 		ObservationPolicy policy = view.policy().observation();
 		SharingState sharing = state.sharing();
-		List<VmSight> seen = seen(state, now, policy);
+		List<VmObservation> seen = seen(state, now, policy);
 		long hash = hash(seen);
 		boolean changed = hash != sharing.lastHash();
 		if (!changed && now.isBefore(sharing.nextAt())) {
@@ -53,11 +53,11 @@
 		return state.withSharing(sharing.sent(now.plus(policy.digestInterval()), hash, wholes));
 	}
 
-	private static List<VmSight> seen(ObservationState state, Instant now, ObservationPolicy policy) {
+	private static List<VmObservation> seen(ObservationState state, Instant now, ObservationPolicy policy) {
 		Instant oldest = now.minus(policy.freshness());
-		List<VmSight> seen = new ArrayList<>();
+		List<VmObservation> seen = new ArrayList<>();
 		for (VmName vm : state.observed()) {
-			VmSight sight = state.sharing().own().get(vm);
+			VmObservation sight = state.sharing().own().get(vm);
 			if (sight != null && sight.seenAt().isAfter(oldest)) {
 				seen.add(sight);
 			}
@@ -65,11 +65,11 @@
 		return seen;
 	}
 
-	private static VmSightsSent message(List<VmSight> seen, Instant now, long hash, boolean whole) {
+	private static VmSightsSent message(List<VmObservation> seen, Instant now, long hash, boolean whole) {
 		List<VmReport> reports = new ArrayList<>();
 		List<Integer> ages = new ArrayList<>();
 		int oldest = 0;
-		for (VmSight sight : seen) {
+		for (VmObservation sight : seen) {
 			int age = (int) Duration.between(sight.seenAt(), now).toMillis();
 			oldest = Math.max(oldest, age);
 			if (whole || isLoaded(sight.report())) {
@@ -84,9 +84,9 @@
 		return report.running() + report.queued() > 0 || report.tokensPerSecond() > 0;
 	}
 
-	private static long hash(List<VmSight> sights) {
+	private static long hash(List<VmObservation> sights) {
 		long hash = 0;
-		for (VmSight sight : sights) {
+		for (VmObservation sight : sights) {
 			hash += Standing.of(sight.report());
 		}
 		return hash;
@@ -100,7 +100,7 @@
 		for (int index = 0; index < message.reports().size(); index++) {
 			VmReport report = message.reports().get(index);
 			Instant seenAt = now.minusMillis(delay + message.ages().get(index));
-			fleet = FleetUpdates.report(fleet, new VmSight(report, seenAt));
+			fleet = FleetUpdates.report(fleet, new VmObservation(report, seenAt));
 			vms = vms.plus(report.vm());
 		}
 		SharingState sharing = state.sharing().withClocks(clocks);
@@ -119,7 +119,7 @@
 	private static Fleet refresh(Fleet fleet, PSet<VmName> vms, long hash, Instant seenAt) {
 		long known = 0;
 		for (VmName vm : vms) {
-			VmSight sight = fleet.sights().get(vm);
+			VmObservation sight = fleet.sights().get(vm);
 			known += (sight != null) ? Standing.of(sight.report()) : 0;
 		}
 		if (known != hash) {
--- a/src/main/java/sycamorehill/logic/order/ClaimRules.java
+++ b/src/main/java/sycamorehill/logic/order/ClaimRules.java
@@ -7,8 +7,8 @@
 import sycamorehill.model.identity.NodeIncarnation;
 import sycamorehill.model.membership.LiveNode;
 import sycamorehill.model.order.OrderClaim;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderStatus;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.peer.OrderClaimReply;
 import sycamorehill.model.peer.OrderSettlementReply;
 import sycamorehill.model.peer.PeerMessage;
@@ -54,22 +54,23 @@
 		if (existing == null || existing.status() == OrderStatus.RELEASED) {
 			// The mark was released because its caller heard "not run": to grant it now
 			// would leave a claim that nobody runs and nobody settles.
-			return own ? verdict(operation, OrderVerdict.NOT_TAKEN, Optional.empty()) : grant(operation);
+			return own ? verdict(operation, OrderClaimDecision.NOT_TAKEN, Optional.empty()) : grant(operation);
 		}
 		if (!existing.fingerprint().equals(operation.fingerprint())) {
-			return verdict(operation, OrderVerdict.KEY_REUSED, Optional.empty());
+			return verdict(operation, OrderClaimDecision.KEY_REUSED, Optional.empty());
 		}
 		return switch (existing.status()) {
-			case RECORDED -> verdict(operation, OrderVerdict.RECORDED, existing.answer());
-			case UNKNOWN -> verdict(operation, OrderVerdict.UNKNOWN, Optional.empty());
-			default -> own ? verdict(operation, OrderVerdict.GRANTED, Optional.empty()) : held(existing, operation);
+			case RECORDED -> verdict(operation, OrderClaimDecision.RECORDED, existing.answer());
+			case UNKNOWN -> verdict(operation, OrderClaimDecision.UNKNOWN, Optional.empty());
+			default ->
+				own ? verdict(operation, OrderClaimDecision.GRANTED, Optional.empty()) : held(existing, operation);
 		};
 	}
 
 	private Decision grant(ShardOperation.Claim operation) {
 		OrderClaim claim = new OrderClaim(operation.key(), operation.fingerprint(), operation.requester().incarnation(),
 				operation.mark(), OrderStatus.CLAIMED, Optional.empty(), this.wallClock);
-		return Decision.of(Optional.of(claim), reply(operation, OrderVerdict.GRANTED, Optional.empty()));
+		return Decision.of(Optional.of(claim), reply(operation, OrderClaimDecision.GRANTED, Optional.empty()));
 	}
 
 	// The holder may have sent the order just before it died, so it is never given to
@@ -78,9 +79,9 @@
 	// and every later call would hear "still running" for ever; now it releases it.
 	private Decision held(OrderClaim existing, ShardOperation.Claim operation) {
 		Optional<NodeIdentity> holder = alive(existing.holder());
-		OrderVerdict verdict = holder.isPresent() ? OrderVerdict.RUNNING : OrderVerdict.UNKNOWN;
+		OrderClaimDecision verdict = holder.isPresent() ? OrderClaimDecision.RUNNING : OrderClaimDecision.UNKNOWN;
 		Optional<ShardBatch.Reply> reminder = holder.map((node) -> new ShardBatch.Reply(node,
-				new OrderClaimReply(existing.key(), existing.mark(), OrderVerdict.GRANTED, Optional.empty())));
+				new OrderClaimReply(existing.key(), existing.mark(), OrderClaimDecision.GRANTED, Optional.empty())));
 		return new Decision(Optional.empty(), reply(operation, verdict, Optional.empty()), reminder);
 	}
 
@@ -125,11 +126,12 @@
 				operation.mark(), OrderStatus.RELEASED, Optional.empty(), this.wallClock);
 	}
 
-	private static Decision verdict(ShardOperation operation, OrderVerdict verdict, Optional<RecordedAnswer> answer) {
+	private static Decision verdict(ShardOperation operation, OrderClaimDecision verdict,
+			Optional<RecordedAnswer> answer) {
 		return Decision.of(Optional.empty(), reply(operation, verdict, answer));
 	}
 
-	static PeerMessage reply(ShardOperation operation, OrderVerdict verdict, Optional<RecordedAnswer> answer) {
+	static PeerMessage reply(ShardOperation operation, OrderClaimDecision verdict, Optional<RecordedAnswer> answer) {
 		OrderKey key = operation.key();
 		return new OrderClaimReply(key, operation.mark(), verdict, answer);
 	}
--- a/src/main/java/sycamorehill/logic/order/IssuedClaims.java
+++ b/src/main/java/sycamorehill/logic/order/IssuedClaims.java
@@ -8,8 +8,8 @@
 import org.pcollections.TreePSet;
 
 import sycamorehill.model.order.OrderClaim;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderNumbers;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.peer.OrderSettlementReply;
 import sycamorehill.model.request.OrderKey;
 
@@ -30,14 +30,15 @@
 		OrderClaim existing = step.state().issued().get(key);
 		Duration lifetime = step.policy().issuedLifetime();
 		boolean mayBeForgotten = existing == null && OrderNumbers.age(key, step.now()).compareTo(lifetime) > 0;
-		if (mayBeForgotten || !OrderNumbers.issuedBy(key, step.view().self().incarnation())) {
+		if (mayBeForgotten || !OrderNumbers.isIssuedBy(key, step.view().self().incarnation())) {
 			refuse(step, operation);
 			return;
 		}
 		ClaimRules.Decision decision = step.rules().decide(existing, operation);
 		if (decision.change().isPresent() && existing == null
 				&& step.state().issued().size() >= step.policy().mostClaims()) {
-			step.send(operation.requester(), ClaimRules.reply(operation, OrderVerdict.NOT_TAKEN, Optional.empty()));
+			step.send(operation.requester(),
+					ClaimRules.reply(operation, OrderClaimDecision.NOT_TAKEN, Optional.empty()));
 			return;
 		}
 		decision.change().ifPresent((claim) -> put(step, claim, existing == null));
@@ -55,7 +56,7 @@
 		step.send(operation.requester(),
 				(operation instanceof ShardOperation.Settle)
 						? new OrderSettlementReply(operation.key(), operation.mark())
-						: ClaimRules.reply(operation, OrderVerdict.UNKNOWN, Optional.empty()));
+						: ClaimRules.reply(operation, OrderClaimDecision.UNKNOWN, Optional.empty()));
 	}
 
 	private static void put(OrderStep step, OrderClaim claim, boolean isNew) {
--- a/src/main/java/sycamorehill/logic/order/OrderHolder.java
+++ b/src/main/java/sycamorehill/logic/order/OrderHolder.java
@@ -7,15 +7,15 @@
 import sycamorehill.model.event.RequestEvent;
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.log.LogEvent;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderNumbers;
 import sycamorehill.model.order.OrderStatus;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.peer.OrderClaimReply;
 import sycamorehill.model.peer.OrderClaimRequest;
 import sycamorehill.model.peer.OrderSettlement;
 import sycamorehill.model.peer.OrderSettlementReply;
 import sycamorehill.model.peer.PeerMessage;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.OrderKey;
 import sycamorehill.model.request.RecordedAnswer;
 import sycamorehill.model.request.RequestDescription;
@@ -34,7 +34,7 @@
 
 	static void admitted(OrderStep step, RequestEvent.Admitted event) {
 		RequestDescription request = event.request();
-		if (event.handling() != Handling.ONCE_WITH_KEY) {
+		if (event.handling() != Idempotency.ONCE_WITH_KEY) {
 			step.raise(new RequestEvent.Cleared(request, event.handling()));
 			return;
 		}
@@ -79,7 +79,7 @@
 	}
 
 	private static Optional<NodeIdentity> keeper(OrderStep step, HeldOrder order) {
-		if (OrderNumbers.issued(order.key())) {
+		if (OrderNumbers.isIssued(order.key())) {
 			return Optional.ofNullable(ShardPlacement.issuer(order.key(), step.view()));
 		}
 		if (order.keptHere()) {
@@ -108,7 +108,7 @@
 	static void answered(OrderStep step, OrderClaimReply reply) {
 		HeldOrder order = step.state().held().get(reply.mark());
 		if (order == null) {
-			if (reply.verdict() == OrderVerdict.GRANTED) {
+			if (reply.verdict() == OrderClaimDecision.GRANTED) {
 				step.replace(step.state().with(HeldOrder.grantedTooLate(reply.key(), reply.mark(), step.now())));
 			}
 			return;
@@ -120,11 +120,11 @@
 			return;
 		}
 		RequestDescription request = order.request().orElseThrow();
-		if (reply.verdict() == OrderVerdict.GRANTED) {
+		if (reply.verdict() == OrderClaimDecision.GRANTED) {
 			step.replace(step.state().with(order.running()));
-			step.raise(new RequestEvent.Cleared(request, Handling.ONCE_WITH_KEY));
+			step.raise(new RequestEvent.Cleared(request, Idempotency.ONCE_WITH_KEY));
 		}
-		else if (reply.verdict() == OrderVerdict.NOT_TAKEN) {
+		else if (reply.verdict() == OrderClaimDecision.NOT_TAKEN) {
 			giveUp(step, order, OrderOutcomes.claimsUnavailable());
 		}
 		else {
@@ -163,7 +163,7 @@
 	// held any more is taken as given up and released, and the order would run twice.
 	private static void settle(OrderStep step, HeldOrder order) {
 		Optional<NodeIdentity> keeper = keeper(step, order);
-		if (OrderNumbers.issued(order.key()) && issuerHasForgotten(step, order)) {
+		if (OrderNumbers.isIssued(order.key()) && issuerHasForgotten(step, order)) {
 			step.replace(step.state().without(order));
 			return;
 		}
@@ -198,7 +198,7 @@
 	// the claim here is safe: the conditional update decides between the two.
 	private static void keepHere(OrderStep step, OrderKey key, String mark, HeldOrder.Phase phase) {
 		HeldOrder order = step.state().held().get(mark);
-		if (order != null && order.phase() == phase && !order.keptHere() && !OrderNumbers.issued(key)) {
+		if (order != null && order.phase() == phase && !order.keptHere() && !OrderNumbers.isIssued(key)) {
 			step.replace(step.state().with(order.keptHere(step.now())));
 		}
 	}
--- a/src/main/java/sycamorehill/logic/order/ShardBatch.java
+++ b/src/main/java/sycamorehill/logic/order/ShardBatch.java
@@ -11,8 +11,8 @@
 
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.order.OrderClaim;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderStatus;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.peer.PeerMessage;
 import sycamorehill.model.policy.OrderPolicy;
 import sycamorehill.model.request.OrderKey;
@@ -59,7 +59,7 @@
 		}
 		ClaimRules.Decision decision = decide(shard, operation, rules);
 		if (decision.change().isPresent() && shard.claims().size() + this.changes.size() >= policy.mostClaims()) {
-			PeerMessage refusal = ClaimRules.reply(operation, OrderVerdict.NOT_TAKEN, Optional.empty());
+			PeerMessage refusal = ClaimRules.reply(operation, OrderClaimDecision.NOT_TAKEN, Optional.empty());
 			return new ShardBatch(this.changes, this.bytes, this.claims, this.settlements, this.afterWrite,
 					this.atOnce.plus(new Reply(operation.requester(), refusal)), true);
 		}
@@ -104,7 +104,7 @@
 	private ShardBatch expired(ShardOperation.Claim operation, OrderClaim kept) {
 		boolean written = kept != null && kept.mark().equals(operation.mark()) && kept.status() == OrderStatus.CLAIMED;
 		return written ? answeredAtOnce(operation, ClaimRules.Decision.of(Optional.empty(),
-				ClaimRules.reply(operation, OrderVerdict.GRANTED, Optional.empty()))) : this;
+				ClaimRules.reply(operation, OrderClaimDecision.GRANTED, Optional.empty()))) : this;
 	}
 
 	private ShardBatch answeredAtOnce(ShardOperation operation, ClaimRules.Decision decision) {
--- a/src/main/java/sycamorehill/logic/order/ShardKeeper.java
+++ b/src/main/java/sycamorehill/logic/order/ShardKeeper.java
@@ -9,8 +9,8 @@
 
 import sycamorehill.model.event.PlatformEvent;
 import sycamorehill.model.log.LogEvent;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderNumbers;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.platform.PlatformAnswer;
 
 /**
@@ -31,7 +31,7 @@
 	}
 
 	static void take(OrderStep step, ShardOperation operation) {
-		if (OrderNumbers.issued(operation.key())) {
+		if (OrderNumbers.isIssued(operation.key())) {
 			IssuedClaims.take(step, operation);
 			return;
 		}
@@ -41,7 +41,8 @@
 			advance(step, withWaiting(shard, operation));
 		}
 		else if (operation instanceof ShardOperation.Claim) {
-			step.send(operation.requester(), ClaimRules.reply(operation, OrderVerdict.NOT_TAKEN, Optional.empty()));
+			step.send(operation.requester(),
+					ClaimRules.reply(operation, OrderClaimDecision.NOT_TAKEN, Optional.empty()));
 		}
 	}
 
--- a/src/main/java/sycamorehill/logic/order/ShardPlacement.java
+++ b/src/main/java/sycamorehill/logic/order/ShardPlacement.java
@@ -55,11 +55,11 @@
 	 * @return the node, or null if its issuer is not alive
 	 */
 	static NodeIdentity issuer(OrderKey key, NodeView view) {
-		if (OrderNumbers.issuedBy(key, view.self().incarnation())) {
+		if (OrderNumbers.isIssuedBy(key, view.self().incarnation())) {
 			return view.self();
 		}
 		for (LiveNode node : view.liveNodes().nodes().values()) {
-			if (OrderNumbers.issuedBy(key, node.identity().incarnation())) {
+			if (OrderNumbers.isIssuedBy(key, node.identity().incarnation())) {
 				return node.identity();
 			}
 		}
--- a/src/main/java/sycamorehill/logic/quarantine/BreakRule.java
+++ b/src/main/java/sycamorehill/logic/quarantine/BreakRule.java
@@ -8,8 +8,8 @@
 
 import sycamorehill.model.event.RequestEvent;
 import sycamorehill.model.group.EngineState;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.group.VmReport;
-import sycamorehill.model.group.VmSight;
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.identity.TargetName;
@@ -198,7 +198,7 @@
 				.isPresent());
 	}
 
-	private static boolean serves(VmSight sight, ServingTarget target) {
+	private static boolean serves(VmObservation sight, ServingTarget target) {
 		VmReport report = sight.report();
 		return report.state() == EngineState.READY && report.group().equals(target.group());
 	}
--- a/src/main/java/sycamorehill/logic/quarantine/QuarantineReducer.java
+++ b/src/main/java/sycamorehill/logic/quarantine/QuarantineReducer.java
@@ -98,14 +98,14 @@
 			return;
 		}
 		step.replace(step.state().withRunning(step.state().running().minus(attempt)));
-		if (event.result() instanceof AttemptResult.Whole) {
+		if (event.result() instanceof AttemptResult.Completed) {
 			BreakRule.answered(step, content);
 			if (step.suspect(content.fingerprint()).isPresent()) {
 				step.clear(content.fingerprint());
 				BreakRule.tellCleared(step, content.target().service(), content.fingerprint());
 			}
 		}
-		else if (event.result() instanceof AttemptResult.Broken broken && broken.connectionLost()) {
+		else if (event.result() instanceof AttemptResult.Interrupted broken && broken.connectionLost()) {
 			BreakRule.broken(step, content);
 		}
 		IsolationRule.forget(step, content.request());
--- a/src/main/java/sycamorehill/logic/request/ActiveRequest.java
+++ b/src/main/java/sycamorehill/logic/request/ActiveRequest.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 import sycamorehill.model.identity.RequestIdentifier;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RequestDescription;
 
 /**
@@ -21,7 +21,7 @@
  * @param giveUpAt until when it waits for a target
  * @param wakeAt when it is looked at again, if no event comes before
  */
-public record ActiveRequest(RequestDescription description, Optional<Handling> handling,
+public record ActiveRequest(RequestDescription description, Optional<Idempotency> handling,
 		Optional<RunningAttempt> running, AttemptHistory history, Optional<String> begunWith, boolean callerGone,
 		boolean isolated, Instant giveUpAt, Optional<Instant> wakeAt) {
 
@@ -43,10 +43,10 @@
 	}
 
 	boolean repeatable() {
-		return this.handling.equals(Optional.of(Handling.REPEATABLE));
+		return this.handling.equals(Optional.of(Idempotency.REPEATABLE));
 	}
 
-	ActiveRequest cleared(Handling how, Instant until) {
+	ActiveRequest cleared(Idempotency how, Instant until) {
 		return new ActiveRequest(this.description, Optional.of(how), this.running, this.history, this.begunWith,
 				this.callerGone, this.isolated, until, this.wakeAt);
 	}
--- a/src/main/java/sycamorehill/logic/request/AttemptHistory.java
+++ b/src/main/java/sycamorehill/logic/request/AttemptHistory.java
@@ -86,7 +86,7 @@
 	}
 
 	private static RunEvidence evidenceOf(AttemptResult result) {
-		if (result instanceof AttemptResult.RefusedBeforeRunning || result instanceof AttemptResult.NothingSent) {
+		if (result instanceof AttemptResult.RefusedBeforeRunning || result instanceof AttemptResult.NotSent) {
 			return RunEvidence.NOT_RUN;
 		}
 		return (result instanceof AttemptResult.FailedWhileRunning) ? RunEvidence.FAILED : RunEvidence.UNKNOWN;
@@ -96,7 +96,7 @@
 		if (result instanceof AttemptResult.RefusedBeforeRunning) {
 			return RefusalReason.TARGET_REFUSED;
 		}
-		if (result instanceof AttemptResult.NothingSent) {
+		if (result instanceof AttemptResult.NotSent) {
 			return RefusalReason.NO_TARGET;
 		}
 		if (result instanceof AttemptResult.Cancelled) {
@@ -110,13 +110,13 @@
 		if (result instanceof AttemptResult.RefusedBeforeRunning refused) {
 			return "the target refused before running it: " + refused.detail();
 		}
-		if (result instanceof AttemptResult.NothingSent nothingSent) {
+		if (result instanceof AttemptResult.NotSent nothingSent) {
 			return "no target could be reached: " + nothingSent.detail();
 		}
 		if (result instanceof AttemptResult.FailedWhileRunning failed) {
 			return "the target failed while running it: " + failed.detail();
 		}
-		if (result instanceof AttemptResult.Broken broken) {
+		if (result instanceof AttemptResult.Interrupted broken) {
 			return "the target was lost while running it: " + broken.detail();
 		}
 		return "the request was cancelled";
--- a/src/main/java/sycamorehill/logic/request/RequestReducer.java
+++ b/src/main/java/sycamorehill/logic/request/RequestReducer.java
@@ -120,7 +120,7 @@
 		RunningAttempt running = request.running().orElseThrow();
 		step.raise(new RequestEvent.AttemptClosed(request.description(), running.identifier(), running.target(),
 				event.result()));
-		if (event.result() instanceof AttemptResult.Whole whole) {
+		if (event.result() instanceof AttemptResult.Completed whole) {
 			step.finish(request.ended(request.history().whole(event.deliveredTokens())), new RequestOutcome.Completed(),
 					whole.recorded());
 			return;
--- a/src/main/java/sycamorehill/logic/request/RequestStep.java
+++ b/src/main/java/sycamorehill/logic/request/RequestStep.java
@@ -20,7 +20,7 @@
 import sycamorehill.model.identity.TargetName;
 import sycamorehill.model.policy.RequestPolicy;
 import sycamorehill.model.request.AttemptResult;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RecordedAnswer;
 import sycamorehill.model.request.RefusalReason;
 import sycamorehill.model.request.RequestOutcome;
@@ -152,7 +152,7 @@
 		Optional<Instant> wakeAt = (request.repeatable() && !request.begun())
 				? Optional.of(request.description().deadline()) : Optional.empty();
 		put(request.started(new RunningAttempt(identifier, target)).withWakeAt(wakeAt));
-		Handling handling = request.handling().orElseThrow();
+		Idempotency handling = request.handling().orElseThrow();
 		emit(new RequestEffect.StartAttempt(request.identifier(), identifier, target, handling, policy().patience()));
 		raise(new RequestEvent.AttemptStarted(request.description(), identifier, target));
 	}
@@ -181,7 +181,7 @@
 		request.running().ifPresent((running) -> cancel(request, running));
 		this.state = this.state.without(request.identifier());
 		emit(new RequestEffect.FinishRequest(request.identifier(), outcome));
-		raise(new RequestEvent.Finished(request.description(), request.handling().orElse(Handling.ONCE_WITHOUT_KEY),
+		raise(new RequestEvent.Finished(request.description(), request.handling().orElse(Idempotency.ONCE_WITHOUT_KEY),
 				outcome, request.history().tokens(), answer));
 	}
 
--- a/src/main/java/sycamorehill/logic/request/RetryRule.java
+++ b/src/main/java/sycamorehill/logic/request/RetryRule.java
@@ -56,7 +56,7 @@
 		if (request.callerGone() || request.history().started() >= step.policy().mostAttempts()) {
 			return false;
 		}
-		boolean certainlyNotRun = result instanceof AttemptResult.NothingSent
+		boolean certainlyNotRun = result instanceof AttemptResult.NotSent
 				|| result instanceof AttemptResult.RefusedBeforeRunning;
 		return request.repeatable() || certainlyNotRun;
 	}
@@ -82,10 +82,10 @@
 		if (result instanceof AttemptResult.RefusedBeforeRunning refused) {
 			return refused.leaving();
 		}
-		if (result instanceof AttemptResult.Broken broken) {
+		if (result instanceof AttemptResult.Interrupted broken) {
 			return broken.connectionLost();
 		}
-		return result instanceof AttemptResult.NothingSent;
+		return result instanceof AttemptResult.NotSent;
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/routing/RouteContext.java
+++ b/src/main/java/sycamorehill/logic/routing/RouteContext.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 import sycamorehill.logic.NodeView;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.policy.RoutingPolicy;
 import sycamorehill.model.request.RequestDescription;
@@ -28,7 +28,7 @@
 		return this.view.self().dataCentre();
 	}
 
-	Optional<VmSight> observation(ServingTarget target) {
+	Optional<VmObservation> observation(ServingTarget target) {
 		return target.members().isEmpty() ? Optional.empty() : this.view.sight(target.members().get(0));
 	}
 
--- a/src/main/java/sycamorehill/logic/routing/RoutingReducer.java
+++ b/src/main/java/sycamorehill/logic/routing/RoutingReducer.java
@@ -80,7 +80,7 @@
 		if (attempt == null) {
 			return state;
 		}
-		boolean whole = event.result() instanceof AttemptResult.Whole;
+		boolean whole = event.result() instanceof AttemptResult.Completed;
 		TargetLoad load = state.load(attempt.target())
 			.withEnded(event.attempt().number(), whole ? secondsSinceSent(attempt, now) : 0, now);
 		return state.withLoad(attempt.target(), load).withAttempts(state.attempts().minus(event.attempt()));
--- a/src/main/java/sycamorehill/logic/routing/TargetLoad.java
+++ b/src/main/java/sycamorehill/logic/routing/TargetLoad.java
@@ -7,8 +7,8 @@
 import org.pcollections.TreePMap;
 import org.pcollections.TreePVector;
 
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.group.VmReport;
-import sycamorehill.model.group.VmSight;
 
 /**
  * What this node itself has under way at one target, for what reports do not show yet.
@@ -35,7 +35,7 @@
 		return new TargetLoad(TreePMap.empty(), TreePVector.empty(), 1, 1, 0);
 	}
 
-	TargetLoad withSent(long attempt, Instant now, Optional<VmSight> observation) {
+	TargetLoad withSent(long attempt, Instant now, Optional<VmObservation> observation) {
 		int observedPlaces = observation.filter((found) -> found.report().queued() > 0)
 			.map((found) -> found.report().running())
 			.orElse(this.places);
@@ -68,7 +68,7 @@
 	 * @param observation the last observation of its head
 	 * @return the estimate
 	 */
-	int estimatedRequests(Optional<VmSight> observation) {
+	int estimatedRequests(Optional<VmObservation> observation) {
 		if (observation.isEmpty()) {
 			return outstanding();
 		}
@@ -83,7 +83,7 @@
 	 * @param observation the last observation of its head
 	 * @return the wait, 0 while the target is not known to be full
 	 */
-	double estimatedWait(Optional<VmSight> observation) {
+	double estimatedWait(Optional<VmObservation> observation) {
 		int capacity = observation.filter((found) -> found.report().queued() > 0)
 			.map((found) -> found.report().running())
 			.orElse(this.places);
--- a/src/main/java/sycamorehill/logic/ticket/CompactionSteps.java
+++ b/src/main/java/sycamorehill/logic/ticket/CompactionSteps.java
@@ -10,8 +10,8 @@
 import sycamorehill.model.platform.PlatformAnswer;
 import sycamorehill.model.platform.PlatformRequest;
 import sycamorehill.model.platform.StoredObject;
+import sycamorehill.model.ticket.DesiredStateSnapshot;
 import sycamorehill.model.ticket.TicketValue;
-import sycamorehill.model.ticket.TruthSnapshot;
 
 /**
  * Renews the snapshot and deletes tickets that it made superfluous. One node has the
@@ -45,7 +45,7 @@
 	static void oldSnapshotRead(TicketTurn turn, PlatformAnswer answer) {
 		Compaction compaction = turn.state().compaction();
 		if (answer instanceof PlatformAnswer.Found found) {
-			TruthSnapshot old = (TruthSnapshot) found.object().value();
+			DesiredStateSnapshot old = (DesiredStateSnapshot) found.object().value();
 			if (old.number() >= turn.log().number()) {
 				turn.set(compaction.stands(old.number(), old.deletedUpTo()).end(turn.now().plus(PAUSE)));
 				return;
@@ -120,7 +120,7 @@
 		long number = turn.log().number();
 		long floor = turn.sync().behind() ? number : Math.max(oldFloor, number - turn.policy().keptTickets());
 		turn.set(turn.state().compaction().write(number, floor));
-		TruthSnapshot snapshot = turn.log().snapshot(floor);
+		DesiredStateSnapshot snapshot = turn.log().snapshot(floor);
 		PlatformRequest request = (old != null)
 				? new PlatformRequest.Update(TicketNames.SNAPSHOT, snapshot, old.version())
 				: new PlatformRequest.Create(TicketNames.SNAPSHOT, snapshot);
--- a/src/main/java/sycamorehill/logic/ticket/Folding.java
+++ b/src/main/java/sycamorehill/logic/ticket/Folding.java
@@ -4,8 +4,8 @@
 
 import sycamorehill.model.log.LogEvent;
 import sycamorehill.model.policy.TicketPolicy;
+import sycamorehill.model.ticket.DesiredStateSnapshot;
 import sycamorehill.model.ticket.Ticket;
-import sycamorehill.model.ticket.TruthSnapshot;
 
 /**
  * Takes tickets and truths into the log, wherever they come from, and tells the others.
@@ -27,7 +27,7 @@
 		}
 	}
 
-	static void adopt(TicketTurn turn, TruthSnapshot snapshot) {
+	static void adopt(TicketTurn turn, DesiredStateSnapshot snapshot) {
 		long before = turn.log().number();
 		turn.set(turn.log().adopt(snapshot, turn.policy().keptFilings()));
 		if (turn.log().number() > before) {
--- a/src/main/java/sycamorehill/logic/ticket/ItemRules.java
+++ b/src/main/java/sycamorehill/logic/ticket/ItemRules.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
+import sycamorehill.model.ticket.IdempotencyRule;
 import sycamorehill.model.ticket.Item;
 import sycamorehill.model.ticket.ItemKey;
 import sycamorehill.model.ticket.ModelGroupItem;
 import sycamorehill.model.ticket.PlainTarget;
-import sycamorehill.model.ticket.RepeatRule;
 import sycamorehill.model.ticket.ServiceItem;
 import sycamorehill.model.ticket.ServiceKind;
 import sycamorehill.model.ticket.WorkspaceItem;
@@ -112,7 +112,7 @@
 			require(!whole || names.add(target.name()),
 					".newState.plainTargets: the name " + target.name() + " stands twice");
 		}
-		for (RepeatRule rule : service.repeatRules()) {
+		for (IdempotencyRule rule : service.repeatRules()) {
 			require(rule.method() != null && !rule.method().isBlank(),
 					".newState.repeatRules: each needs a method, or * for any");
 			require(rule.pathPrefix() != null && rule.pathPrefix().startsWith("/"),
--- a/src/main/java/sycamorehill/logic/ticket/SynchronisationSteps.java
+++ b/src/main/java/sycamorehill/logic/ticket/SynchronisationSteps.java
@@ -9,9 +9,9 @@
 import sycamorehill.model.platform.PlatformAnswer;
 import sycamorehill.model.platform.PlatformRequest;
 import sycamorehill.model.platform.StoredObject;
+import sycamorehill.model.ticket.DesiredStateSnapshot;
 import sycamorehill.model.ticket.Ticket;
 import sycamorehill.model.ticket.TicketValue;
-import sycamorehill.model.ticket.TruthSnapshot;
 
 /**
  * Learns the tickets from the platform: the snapshot if there is no truth yet, then the
@@ -69,9 +69,9 @@
 	}
 
 	static void snapshotRead(TicketTurn turn, PlatformAnswer answer) {
-		TruthSnapshot snapshot = emptySnapshot();
+		DesiredStateSnapshot snapshot = emptySnapshot();
 		if (answer instanceof PlatformAnswer.Found found) {
-			snapshot = (TruthSnapshot) found.object().value();
+			snapshot = (DesiredStateSnapshot) found.object().value();
 		}
 		else if (!(answer instanceof PlatformAnswer.Missing)) {
 			failed(turn, answer);
@@ -194,8 +194,8 @@
 		FilingSteps.platformOlder(turn);
 	}
 
-	private static TruthSnapshot emptySnapshot() {
-		return new TruthSnapshot(0, List.of(), TruthLog.FORMAT_VERSION, 0, List.of());
+	private static DesiredStateSnapshot emptySnapshot() {
+		return new DesiredStateSnapshot(0, List.of(), TruthLog.FORMAT_VERSION, 0, List.of());
 	}
 
 	private static List<Ticket> tickets(List<StoredObject> objects) {
--- a/src/main/java/sycamorehill/logic/ticket/TicketValidator.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketValidator.java
@@ -8,16 +8,16 @@
 import java.util.Optional;
 import java.util.Set;
 
+import sycamorehill.model.ticket.AppliedItem;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.Item;
 import sycamorehill.model.ticket.ItemChange;
-import sycamorehill.model.ticket.ItemInForce;
 import sycamorehill.model.ticket.ItemKey;
 import sycamorehill.model.ticket.ItemKind;
 import sycamorehill.model.ticket.ModelGroupItem;
 import sycamorehill.model.ticket.ServiceItem;
 import sycamorehill.model.ticket.ServiceKind;
 import sycamorehill.model.ticket.TicketDraft;
-import sycamorehill.model.ticket.Truth;
 import sycamorehill.model.ticket.WorkspaceItem;
 
 /**
@@ -35,15 +35,15 @@
 	/** The most bytes that the items of the truth may need in the snapshot. */
 	static final long MOST_TRUTH_BYTES = 850_000;
 
-	private final Truth truth;
+	private final DesiredState truth;
 
 	private final List<String> faults = new ArrayList<>();
 
-	private final List<ItemInForce> present = new ArrayList<>();
+	private final List<AppliedItem> present = new ArrayList<>();
 
 	private final Map<ItemKey, Item> after = new HashMap<>();
 
-	private TicketValidator(Truth truth) {
+	private TicketValidator(DesiredState truth) {
 		this.truth = truth;
 	}
 
@@ -53,7 +53,7 @@
 	 * @param truth the truth before it
 	 * @return every fault found
 	 */
-	public static ValidationResult validate(TicketDraft draft, Truth truth) {
+	public static ValidationResult validate(TicketDraft draft, DesiredState truth) {
 		TicketValidator validator = new TicketValidator(truth);
 		validator.checkWhole(draft);
 		if (validator.faults.isEmpty()) {
@@ -111,11 +111,11 @@
 	}
 
 	private void checkLastSetBy(String named, ItemChange change) {
-		long setBy = this.truth.setBy(change.key());
+		long setBy = this.truth.lastSetBy(change.key());
 		if (setBy == change.lastSetBy()) {
 			return;
 		}
-		ItemInForce item = this.truth.items().get(change.key());
+		AppliedItem item = this.truth.items().get(change.key());
 		if (item != null) {
 			this.present.add(item);
 			this.faults
--- a/src/main/java/sycamorehill/logic/ticket/TruthLog.java
+++ b/src/main/java/sycamorehill/logic/ticket/TruthLog.java
@@ -10,9 +10,9 @@
 
 import sycamorehill.model.identity.FilingIdentifier;
 import sycamorehill.model.ticket.AcceptedFiling;
+import sycamorehill.model.ticket.DesiredState;
+import sycamorehill.model.ticket.DesiredStateSnapshot;
 import sycamorehill.model.ticket.Ticket;
-import sycamorehill.model.ticket.Truth;
-import sycamorehill.model.ticket.TruthSnapshot;
 
 /**
  * The truth in force and the latest tickets behind it. The number only grows: a snapshot
@@ -26,8 +26,9 @@
  * @param filings the ticket of each of the latest filings
  * @param filingsByNumber the same by number, to forget the oldest
  */
-public record TruthLog(Optional<Truth> truth, TreePMap<Long, Ticket> tickets, TreePMap<Long, Truth> truths,
-		PMap<FilingIdentifier, Long> filings, TreePMap<Long, FilingIdentifier> filingsByNumber) {
+public record TruthLog(Optional<DesiredState> truth, TreePMap<Long, Ticket> tickets,
+		TreePMap<Long, DesiredState> truths, PMap<FilingIdentifier, Long> filings,
+		TreePMap<Long, FilingIdentifier> filingsByNumber) {
 
 	/** Version of the format in which this build writes tickets and snapshots. */
 	static final int FORMAT_VERSION = 1;
@@ -46,7 +47,7 @@
 	 * @return its number, -1 while there is no truth
 	 */
 	public long number() {
-		return this.truth.map(Truth::number).orElse(-1L);
+		return this.truth.map(DesiredState::number).orElse(-1L);
 	}
 
 	/**
@@ -54,7 +55,7 @@
 	 * @param number the ticket
 	 * @return the truth, empty if history does not reach back so far
 	 */
-	public Optional<Truth> at(long number) {
+	public Optional<DesiredState> at(long number) {
 		return Optional.ofNullable(this.truths.get(number));
 	}
 
@@ -106,9 +107,9 @@
 		if (this.truth.isEmpty() || ticket.number() != number() + 1) {
 			return this;
 		}
-		Truth next = this.truth.get().apply(ticket);
+		DesiredState next = this.truth.get().apply(ticket);
 		TreePMap<Long, Ticket> keptTickets = this.tickets.plus(ticket.number(), ticket);
-		TreePMap<Long, Truth> keptTruths = this.truths.plus(ticket.number(), next);
+		TreePMap<Long, DesiredState> keptTruths = this.truths.plus(ticket.number(), next);
 		if (keptTickets.size() > mostTickets) {
 			keptTickets = keptTickets.minus(keptTickets.firstKey());
 		}
@@ -125,11 +126,11 @@
 	 * @param mostFilings how many filings are kept
 	 * @return the log after it
 	 */
-	TruthLog adopt(TruthSnapshot snapshot, int mostFilings) {
+	TruthLog adopt(DesiredStateSnapshot snapshot, int mostFilings) {
 		if (snapshot.number() <= number()) {
 			return this;
 		}
-		Truth adopted = Truth.of(snapshot.number(), snapshot.items());
+		DesiredState adopted = DesiredState.of(snapshot.number(), snapshot.items());
 		TruthLog log = new TruthLog(Optional.of(adopted), TreePMap.empty(),
 				TreePMap.singleton(adopted.number(), adopted), this.filings, this.filingsByNumber);
 		for (AcceptedFiling filing : snapshot.filings()) {
@@ -143,13 +144,13 @@
 	 * @param deletedUpTo tickets up to this number may be deleted
 	 * @return the snapshot
 	 */
-	TruthSnapshot snapshot(long deletedUpTo) {
-		Truth present = this.truth.orElseThrow(() -> new IllegalStateException("there is no truth to keep"));
+	DesiredStateSnapshot snapshot(long deletedUpTo) {
+		DesiredState present = this.truth.orElseThrow(() -> new IllegalStateException("there is no truth to keep"));
 		List<AcceptedFiling> accepted = this.filingsByNumber.entrySet()
 			.stream()
 			.map((entry) -> new AcceptedFiling(entry.getValue(), entry.getKey()))
 			.toList();
-		return new TruthSnapshot(present.number(),
+		return new DesiredStateSnapshot(present.number(),
 				present.items()
 					.values()
 					.stream()
--- a/src/main/java/sycamorehill/logic/ticket/ValidationResult.java
+++ b/src/main/java/sycamorehill/logic/ticket/ValidationResult.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-import sycamorehill.model.ticket.ItemInForce;
+import sycamorehill.model.ticket.AppliedItem;
 
 /**
  * What is wrong with a ticket.
@@ -10,5 +10,5 @@
  * @param faults every fault found, empty for a ticket that may be accepted
  * @param presentItems the present state of the items that another ticket has changed
  */
-public record ValidationResult(List<String> faults, List<ItemInForce> presentItems) {
+public record ValidationResult(List<String> faults, List<AppliedItem> presentItems) {
 }
--- a/src/main/java/sycamorehill/model/effect/OperatorEffect.java
+++ b/src/main/java/sycamorehill/model/effect/OperatorEffect.java
@@ -2,7 +2,7 @@
 
 import sycamorehill.model.identity.OperatorCallIdentifier;
 import sycamorehill.model.ticket.FilingOutcome;
-import sycamorehill.model.ticket.TicketForce;
+import sycamorehill.model.ticket.TicketRollout;
 
 /**
  * Answers to operators.
@@ -24,7 +24,7 @@
 	 * @param call the waiting operator
 	 * @param force where it is in force
 	 */
-	record AnswerForce(OperatorCallIdentifier call, TicketForce force) implements OperatorEffect {
+	record AnswerForce(OperatorCallIdentifier call, TicketRollout force) implements OperatorEffect {
 	}
 
 }
--- a/src/main/java/sycamorehill/model/effect/RequestEffect.java
+++ b/src/main/java/sycamorehill/model/effect/RequestEffect.java
@@ -4,7 +4,7 @@
 
 import sycamorehill.model.identity.AttemptIdentifier;
 import sycamorehill.model.identity.RequestIdentifier;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RequestOutcome;
 import sycamorehill.model.target.ServingTarget;
 
@@ -22,8 +22,8 @@
 	 * @param handling whether the answer is to be recorded
 	 * @param patience the longest wait for the next byte
 	 */
-	record StartAttempt(RequestIdentifier request, AttemptIdentifier attempt, ServingTarget target, Handling handling,
-			Duration patience) implements RequestEffect {
+	record StartAttempt(RequestIdentifier request, AttemptIdentifier attempt, ServingTarget target,
+			Idempotency handling, Duration patience) implements RequestEffect {
 	}
 
 	/**
--- a/src/main/java/sycamorehill/model/effect/TargetEffect.java
+++ b/src/main/java/sycamorehill/model/effect/TargetEffect.java
@@ -2,7 +2,7 @@
 
 import java.time.Instant;
 
-import sycamorehill.model.group.EngineOrder;
+import sycamorehill.model.group.EngineCommand;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.identity.CallIdentifier;
 import sycamorehill.model.identity.DataCentreName;
@@ -31,7 +31,7 @@
 	 * @param order the order
 	 * @param notAfter own monotonic time after which it must not be sent any more
 	 */
-	record SendOrder(CallIdentifier call, VmName vm, Address address, EngineOrder order,
+	record SendOrder(CallIdentifier call, VmName vm, Address address, EngineCommand order,
 			Instant notAfter) implements TargetEffect {
 	}
 
--- a/src/main/java/sycamorehill/model/event/RequestEvent.java
+++ b/src/main/java/sycamorehill/model/event/RequestEvent.java
@@ -9,7 +9,7 @@
 import sycamorehill.model.identity.TargetName;
 import sycamorehill.model.request.AttemptResult;
 import sycamorehill.model.request.Fingerprint;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RecordedAnswer;
 import sycamorehill.model.request.RequestDescription;
 import sycamorehill.model.request.RequestOutcome;
@@ -42,7 +42,7 @@
 	 * @param request the request
 	 * @param handling how often it may be sent
 	 */
-	record Admitted(RequestDescription request, Handling handling) implements RequestEvent {
+	record Admitted(RequestDescription request, Idempotency handling) implements RequestEvent {
 	}
 
 	/**
@@ -60,7 +60,7 @@
 	 * @param request the request
 	 * @param handling how often it may be sent
 	 */
-	record Cleared(RequestDescription request, Handling handling) implements RequestEvent {
+	record Cleared(RequestDescription request, Idempotency handling) implements RequestEvent {
 	}
 
 	/**
@@ -114,7 +114,7 @@
 	 * @param tokens tokens delivered
 	 * @param answer the answer to record for an order
 	 */
-	record Finished(RequestDescription request, Handling handling, RequestOutcome outcome, int tokens,
+	record Finished(RequestDescription request, Idempotency handling, RequestOutcome outcome, int tokens,
 			Optional<RecordedAnswer> answer) implements RequestEvent {
 	}
 
--- a/src/main/java/sycamorehill/model/event/TargetEvent.java
+++ b/src/main/java/sycamorehill/model/event/TargetEvent.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 import java.util.List;
 
-import sycamorehill.model.group.EngineOrderResult;
+import sycamorehill.model.group.EngineCommandResult;
 import sycamorehill.model.group.VmEntry;
 import sycamorehill.model.group.VmReport;
 import sycamorehill.model.identity.CallIdentifier;
@@ -39,7 +39,7 @@
 	 * @param call the order
 	 * @param result how it ended
 	 */
-	record OrderAnswered(CallIdentifier call, EngineOrderResult result) implements TargetEvent {
+	record OrderAnswered(CallIdentifier call, EngineCommandResult result) implements TargetEvent {
 	}
 
 	/**
--- a/src/main/java/sycamorehill/model/group/EngineOrder.java
+++ b/src/main/java/sycamorehill/model/group/EngineCommand.java
@@ -7,7 +7,7 @@
 /**
  * An order to the engine on one VM.
  */
-public sealed interface EngineOrder {
+public sealed interface EngineCommand {
 
 	/**
 	 * The fencing number of the controller that gives the order.
@@ -25,7 +25,7 @@
 	 * @param fencingNumber fencing number of the controller
 	 */
 	record Join(GroupIdentity group, List<VmName> members, String model, String modelVersion,
-			long fencingNumber) implements EngineOrder {
+			long fencingNumber) implements EngineCommand {
 	}
 
 	/**
@@ -34,7 +34,7 @@
 	 * @param group the group and generation
 	 * @param fencingNumber fencing number of the controller
 	 */
-	record Leave(GroupIdentity group, long fencingNumber) implements EngineOrder {
+	record Leave(GroupIdentity group, long fencingNumber) implements EngineCommand {
 	}
 
 }
--- a/src/main/java/sycamorehill/model/group/EngineOrderResult.java
+++ b/src/main/java/sycamorehill/model/group/EngineCommandResult.java
@@ -3,7 +3,7 @@
 /**
  * How an order to an engine ended.
  */
-public enum EngineOrderResult {
+public enum EngineCommandResult {
 
 	/** The engine took the order. */
 	ACCEPTED,
--- a/src/main/java/sycamorehill/model/group/Fleet.java
+++ b/src/main/java/sycamorehill/model/group/Fleet.java
@@ -19,8 +19,8 @@
  * @param refusals VMs whose address has refused connections since their last sight, with
  * the time of the first refusal
  */
-public record Fleet(PMap<VmName, VmEntry> entries, Optional<Instant> listedAt, PMap<VmName, VmSight> sights,
-		PMap<VmName, LeavingMark> leaving, PMap<VmName, Instant> refusals) {
+public record Fleet(PMap<VmName, VmEntry> entries, Optional<Instant> listedAt, PMap<VmName, VmObservation> sights,
+		PMap<VmName, VmLeavingNotice> leaving, PMap<VmName, Instant> refusals) {
 
 	/**
 	 * Nothing known yet.
@@ -36,7 +36,7 @@
 	 * @param vm the VM
 	 * @return the sight, if there ever was one
 	 */
-	public Optional<VmSight> sight(VmName vm) {
+	public Optional<VmObservation> observation(VmName vm) {
 		return Optional.ofNullable(this.sights.get(vm));
 	}
 
@@ -44,13 +44,13 @@
 	 * The sight of a VM if it is not older than a bound.
 	 * @param vm the VM
 	 * @param now own monotonic time
-	 * @param bound the greatest age
+	 * @param maximumAge the greatest age
 	 * @return the sight, empty if there is none or only an old one
 	 */
-	public Optional<VmSight> freshSight(VmName vm, Instant now, Duration bound) {
-		VmSight sight = this.sights.get(vm);
-		boolean fresh = sight != null && !sight.seenAt().plus(bound).isBefore(now);
-		return fresh ? Optional.of(sight) : Optional.empty();
+	public Optional<VmObservation> freshObservation(VmName vm, Instant now, Duration maximumAge) {
+		VmObservation observation = this.sights.get(vm);
+		boolean fresh = observation != null && !observation.seenAt().plus(maximumAge).isBefore(now);
+		return fresh ? Optional.of(observation) : Optional.empty();
 	}
 
 	/**
@@ -67,11 +67,11 @@
 	 * @param vm the VM
 	 * @param identity the group and generation
 	 * @param now own monotonic time
-	 * @param bound the greatest age of the sight
+	 * @param maximumAge the greatest age of the sight
 	 * @return whether it was freshly seen so
 	 */
-	public boolean seenReady(VmName vm, GroupIdentity identity, Instant now, Duration bound) {
-		return freshSight(vm, now, bound).map(VmSight::report)
+	public boolean isObservedReady(VmName vm, GroupIdentity identity, Instant now, Duration maximumAge) {
+		return freshObservation(vm, now, maximumAge).map(VmObservation::report)
 			.filter((report) -> report.state() == EngineState.READY && !report.leaving())
 			.flatMap(VmReport::group)
 			.filter(identity::equals)
--- a/src/main/java/sycamorehill/model/group/GroupRecord.java
+++ b/src/main/java/sycamorehill/model/group/GroupRecord.java
@@ -30,14 +30,14 @@
 
 	/**
 	 * The same group in another phase.
-	 * @param changed the phase
-	 * @param why the reason, for readers
+	 * @param newPhase the phase
+	 * @param newReason the reason, for readers
 	 * @return the changed record
 	 */
-	public GroupRecord withPhase(GroupPhase changed, String why) {
-		int count = (changed == GroupPhase.SERVING) ? 0 : this.failures;
-		return new GroupRecord(this.identity, this.service, this.model, this.modelVersion, this.members, changed,
-				this.ticket, why, count);
+	public GroupRecord withPhase(GroupPhase newPhase, String newReason) {
+		int failureCount = (newPhase == GroupPhase.SERVING) ? 0 : this.failures;
+		return new GroupRecord(this.identity, this.service, this.model, this.modelVersion, this.members, newPhase,
+				this.ticket, newReason, failureCount);
 	}
 
 	/**
--- a/src/main/java/sycamorehill/model/group/LeavingMark.java
+++ b/src/main/java/sycamorehill/model/group/VmLeavingNotice.java
@@ -8,6 +8,6 @@
  * @param instance the VM list's instance at that time, empty if the list did not know it
  * @param lastSign own monotonic time of the last sign that it leaves
  */
-public record LeavingMark(String instance, Instant lastSign) {
+public record VmLeavingNotice(String instance, Instant lastSign) {
 
 }
--- a/src/main/java/sycamorehill/model/group/VmSight.java
+++ b/src/main/java/sycamorehill/model/group/VmObservation.java
@@ -8,6 +8,6 @@
  * @param report what it reported
  * @param seenAt own monotonic time from before the report was asked for
  */
-public record VmSight(VmReport report, Instant seenAt) {
+public record VmObservation(VmReport report, Instant seenAt) {
 
 }
--- a/src/main/java/sycamorehill/model/identity/Address.java
+++ b/src/main/java/sycamorehill/model/identity/Address.java
@@ -8,7 +8,7 @@
  */
 public record Address(String host, int port) {
 
-	private static final int HIGHEST_PORT = 65535;
+	private static final int MAXIMUM_PORT = 65535;
 
 	/**
 	 * Refuses a missing host or a port out of range.
@@ -17,8 +17,8 @@
 		if (host == null || host.isBlank()) {
 			throw new IllegalArgumentException("an address needs a host");
 		}
-		if (port < 1 || port > HIGHEST_PORT) {
-			throw new IllegalArgumentException("a port must be from 1 to " + HIGHEST_PORT + ", not " + port);
+		if (port < 1 || port > MAXIMUM_PORT) {
+			throw new IllegalArgumentException("a port must be from 1 to " + MAXIMUM_PORT + ", not " + port);
 		}
 	}
 
--- a/src/main/java/sycamorehill/model/identity/GroupName.java
+++ b/src/main/java/sycamorehill/model/identity/GroupName.java
@@ -22,7 +22,7 @@
 	 * The name under which requests are routed to the group.
 	 * @return the target's name
 	 */
-	public TargetName target() {
+	public TargetName targetName() {
 		return TargetName.of(toString());
 	}
 
--- a/src/main/java/sycamorehill/model/identity/Names.java
+++ b/src/main/java/sycamorehill/model/identity/Names.java
@@ -5,7 +5,7 @@
  */
 final class Names {
 
-	private static final int LONGEST_NAME = 200;
+	private static final int MAXIMUM_NAME_LENGTH = 200;
 
 	private Names() {
 	}
@@ -14,8 +14,8 @@
 		if (value == null || value.isBlank()) {
 			throw new IllegalArgumentException("a name must not be blank");
 		}
-		if (value.length() > LONGEST_NAME) {
-			throw new IllegalArgumentException("a name must not be longer than " + LONGEST_NAME + " characters");
+		if (value.length() > MAXIMUM_NAME_LENGTH) {
+			throw new IllegalArgumentException("a name must not be longer than " + MAXIMUM_NAME_LENGTH + " characters");
 		}
 	}
 
--- a/src/main/java/sycamorehill/model/membership/LiveNodes.java
+++ b/src/main/java/sycamorehill/model/membership/LiveNodes.java
@@ -19,7 +19,7 @@
 	 * No node at all.
 	 * @return an empty view
 	 */
-	public static LiveNodes none() {
+	public static LiveNodes empty() {
 		return new LiveNodes(TreePMap.empty());
 	}
 
@@ -28,7 +28,7 @@
 	 * @param dataCentre the data centre
 	 * @return its live nodes that are not stopping, by name
 	 */
-	public List<LiveNode> dutiful(DataCentreName dataCentre) {
+	public List<LiveNode> notStoppingIn(DataCentreName dataCentre) {
 		return this.nodes.values()
 			.stream()
 			.filter((node) -> !node.stopping() && node.identity().dataCentre().equals(dataCentre))
--- a/src/main/java/sycamorehill/model/membership/NodeContact.java
+++ b/src/main/java/sycamorehill/model/membership/NodeContact.java
@@ -19,7 +19,7 @@
 	 * An identity to send a first message to: the present incarnation is not known.
 	 * @return the identity with an incarnation that no node has
 	 */
-	public NodeIdentity unknownLife() {
+	public NodeIdentity identityOfUnknownIncarnation() {
 		return new NodeIdentity(NodeIncarnation.of(this.node, 0), this.dataCentre, this.peerAddress);
 	}
 
--- a/src/main/java/sycamorehill/model/order/OrderVerdict.java
+++ b/src/main/java/sycamorehill/model/order/OrderClaimDecision.java
@@ -3,7 +3,7 @@
 /**
  * What the keeper of a shard says to a claim.
  */
-public enum OrderVerdict {
+public enum OrderClaimDecision {
 
 	/** The claim is committed: its holder may send the order. */
 	GRANTED,
--- a/src/main/java/sycamorehill/model/order/OrderNumbers.java
+++ b/src/main/java/sycamorehill/model/order/OrderNumbers.java
@@ -17,7 +17,7 @@
  */
 public final class OrderNumbers {
 
-	private static final Pattern TEXT = Pattern.compile("order-(.+)-([0-9a-f]{6})-([0-9a-f]{1,16})");
+	private static final Pattern ISSUED_NUMBER = Pattern.compile("order-(.+)-([0-9a-f]{6})-([0-9a-f]{1,16})");
 
 	private static final long ISSUED_BIT = Long.MIN_VALUE;
 
@@ -45,17 +45,17 @@
 
 	/**
 	 * Marks the key of an idempotency key.
-	 * @param hashed hash over workspace, service and idempotency key
-	 * @param text the idempotency key as the caller sent it
+	 * @param hashedKey hash over workspace, service and idempotency key
+	 * @param idempotencyKey the idempotency key as the caller sent it
 	 * @return the key, marked as issued or as the caller's own
 	 */
-	public static OrderKey mark(OrderKey hashed, String text) {
-		Matcher matcher = TEXT.matcher(text);
+	public static OrderKey encodeOrigin(OrderKey hashedKey, String idempotencyKey) {
+		Matcher matcher = ISSUED_NUMBER.matcher(idempotencyKey);
 		if (!matcher.matches()) {
-			return new OrderKey(hashed.high() & ~ISSUED_BIT, hashed.low());
+			return new OrderKey(hashedKey.high() & ~ISSUED_BIT, hashedKey.low());
 		}
 		long second = Long.parseLong(matcher.group(2), 16);
-		return new OrderKey(issuerPart(matcher.group(1)) | second, hashed.low());
+		return new OrderKey(issuerBits(matcher.group(1)) | second, hashedKey.low());
 	}
 
 	/**
@@ -63,7 +63,7 @@
 	 * @param key the key
 	 * @return whether only its issuer may grant it
 	 */
-	public static boolean issued(OrderKey key) {
+	public static boolean isIssued(OrderKey key) {
 		return key.high() < 0;
 	}
 
@@ -73,8 +73,8 @@
 	 * @param node the node
 	 * @return whether it is the issuer
 	 */
-	public static boolean issuedBy(OrderKey key, NodeIncarnation node) {
-		return (key.high() & ~SECOND_MASK) == issuerPart(node.toString());
+	public static boolean isIssuedBy(OrderKey key, NodeIncarnation node) {
+		return (key.high() & ~SECOND_MASK) == issuerBits(node.toString());
 	}
 
 	/**
@@ -87,7 +87,7 @@
 		return Duration.ofSeconds((now.getEpochSecond() - key.high()) & SECOND_MASK);
 	}
 
-	private static long issuerPart(String issuer) {
+	private static long issuerBits(String issuer) {
 		long hash = FNV_OFFSET;
 		for (byte octet : issuer.getBytes(StandardCharsets.UTF_8)) {
 			hash = (hash ^ (octet & 0xff)) * FNV_PRIME;
--- a/src/main/java/sycamorehill/model/peer/DataCentreVouch.java
+++ b/src/main/java/sycamorehill/model/peer/DataCentreConfirmation.java
@@ -11,5 +11,5 @@
  * @param ageMillis how long ago a delegate of the data centre gave its word; a duration,
  * because clocks of two nodes are never compared
  */
-public record DataCentreVouch(DataCentreName dataCentre, long hash, int ageMillis) {
+public record DataCentreConfirmation(DataCentreName dataCentre, long hash, int ageMillis) {
 }
--- a/src/main/java/sycamorehill/model/peer/ForceSent.java
+++ b/src/main/java/sycamorehill/model/peer/ForceSent.java
@@ -1,6 +1,6 @@
 package sycamorehill.model.peer;
 
-import sycamorehill.model.ticket.DataCentreForce;
+import sycamorehill.model.ticket.DataCentreRollout;
 
 /**
  * Where a ticket is in force in one data centre.
@@ -8,5 +8,5 @@
  * @param call the asker's number for the question
  * @param force what the delegate knows
  */
-public record ForceSent(long call, DataCentreForce force) implements PeerMessage {
+public record ForceSent(long call, DataCentreRollout force) implements PeerMessage {
 }
--- a/src/main/java/sycamorehill/model/peer/GroupSetSights.java
+++ b/src/main/java/sycamorehill/model/peer/GroupSetObservations.java
@@ -17,13 +17,13 @@
  * @param tokensPerSecond tokens that each head generated in its last second
  * @param freeCacheTokens room in the cache of each head
  */
-public record GroupSetSights(GroupSetName set, List<Integer> ordinals, List<Long> generations, List<Integer> ages,
+public record GroupSetObservations(GroupSetName set, List<Integer> ordinals, List<Long> generations, List<Integer> ages,
 		List<Integer> running, List<Integer> queued, List<Integer> tokensPerSecond, List<Long> freeCacheTokens) {
 
 	/**
 	 * Takes copies of the lists.
 	 */
-	public GroupSetSights {
+	public GroupSetObservations {
 		ordinals = List.copyOf(ordinals);
 		generations = List.copyOf(generations);
 		ages = List.copyOf(ages);
--- a/src/main/java/sycamorehill/model/peer/GroupsSent.java
+++ b/src/main/java/sycamorehill/model/peer/GroupsSent.java
@@ -18,7 +18,7 @@
  * @param facts what does not change within a generation; not in each message
  */
 public record GroupsSent(DataCentreName dataCentre, NodeIncarnation root, long round, long sentAt,
-		long allocationVersion, long listHash, List<GroupSetSights> sets,
+		long allocationVersion, long listHash, List<GroupSetObservations> sets,
 		List<GroupFacts> facts) implements PeerMessage {
 
 	/**
--- a/src/main/java/sycamorehill/model/peer/Heartbeat.java
+++ b/src/main/java/sycamorehill/model/peer/Heartbeat.java
@@ -21,7 +21,7 @@
  * @param vouches the same word by data centre, for a receiver with another hash
  */
 public record Heartbeat(boolean stopping, long ticketNumber, int intervalMillis, boolean wantsReply, long viewHash,
-		List<Integer> agesMillis, List<NodeName> unheard, List<DataCentreVouch> vouches) implements PeerMessage {
+		List<Integer> agesMillis, List<NodeName> unheard, List<DataCentreConfirmation> vouches) implements PeerMessage {
 
 	/**
 	 * Takes copies of the lists.
--- a/src/main/java/sycamorehill/model/peer/OrderClaimReply.java
+++ b/src/main/java/sycamorehill/model/peer/OrderClaimReply.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-import sycamorehill.model.order.OrderVerdict;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.request.OrderKey;
 import sycamorehill.model.request.RecordedAnswer;
 
@@ -14,6 +14,6 @@
  * @param verdict what became of the claim
  * @param answer the recorded answer, if one was kept
  */
-public record OrderClaimReply(OrderKey key, String mark, OrderVerdict verdict,
+public record OrderClaimReply(OrderKey key, String mark, OrderClaimDecision verdict,
 		Optional<RecordedAnswer> answer) implements PeerMessage {
 }
--- a/src/main/java/sycamorehill/model/peer/ShareAmounts.java
+++ b/src/main/java/sycamorehill/model/peer/ShareAmounts.java
@@ -67,7 +67,7 @@
 	 * Whether there is nothing worth a message.
 	 * @return whether all parts are next to nothing
 	 */
-	public boolean negligible() {
+	public boolean isNegligible() {
 		return this.requests < 0.001 && this.tokens < 0.001 && this.inFlight < 0.001;
 	}
 
--- a/src/main/java/sycamorehill/model/platform/ObjectKind.java
+++ b/src/main/java/sycamorehill/model/platform/ObjectKind.java
@@ -4,8 +4,8 @@
 import sycamorehill.model.group.ControllerLease;
 import sycamorehill.model.membership.NodeAnnouncement;
 import sycamorehill.model.order.OrderShard;
+import sycamorehill.model.ticket.DesiredStateSnapshot;
 import sycamorehill.model.ticket.TicketValue;
-import sycamorehill.model.ticket.TruthSnapshot;
 
 /**
  * Our kinds of objects in the platform and the type of value that each holds.
@@ -16,7 +16,7 @@
 	TICKET("tickets", TicketValue.class),
 
 	/** The truth after some ticket. */
-	SNAPSHOT("snapshots", TruthSnapshot.class),
+	SNAPSHOT("snapshots", DesiredStateSnapshot.class),
 
 	/** One object for each data centre: which VM is in which group. */
 	ALLOCATION("allocations", Allocation.class),
--- a/src/main/java/sycamorehill/model/request/AttemptResult.java
+++ b/src/main/java/sycamorehill/model/request/AttemptResult.java
@@ -14,7 +14,7 @@
 	 * @param tokens tokens of the whole answer, 0 for a plain service
 	 * @param recorded the answer, if it is to be recorded and is small enough
 	 */
-	record Whole(int tokens, Optional<RecordedAnswer> recorded) implements AttemptResult {
+	record Completed(int tokens, Optional<RecordedAnswer> recorded) implements AttemptResult {
 	}
 
 	/**
@@ -32,7 +32,7 @@
 	 *
 	 * @param detail what happened
 	 */
-	record NothingSent(String detail) implements AttemptResult {
+	record NotSent(String detail) implements AttemptResult {
 	}
 
 	/**
@@ -50,7 +50,7 @@
 	 * the target died, rather than that nothing came for too long
 	 * @param detail what happened
 	 */
-	record Broken(boolean connectionLost, String detail) implements AttemptResult {
+	record Interrupted(boolean connectionLost, String detail) implements AttemptResult {
 	}
 
 	/**
--- a/src/main/java/sycamorehill/model/request/Handling.java
+++ b/src/main/java/sycamorehill/model/request/Idempotency.java
@@ -3,7 +3,7 @@
 /**
  * How often a request may be sent to targets.
  */
-public enum Handling {
+public enum Idempotency {
 
 	/** Idempotent: may be sent again. */
 	REPEATABLE,
--- a/src/main/java/sycamorehill/model/ticket/ItemInForce.java
+++ b/src/main/java/sycamorehill/model/ticket/AppliedItem.java
@@ -6,6 +6,6 @@
  * @param item the whole state
  * @param setBy the number of the ticket that set it
  */
-public record ItemInForce(Item item, long setBy) {
+public record AppliedItem(Item item, long setBy) {
 
 }
--- a/src/main/java/sycamorehill/model/ticket/DataCentreForce.java
+++ b/src/main/java/sycamorehill/model/ticket/DataCentreRollout.java
@@ -16,7 +16,7 @@
  * there take it
  * @param missing nodes that do not have it, each with why
  */
-public record DataCentreForce(DataCentreName dataCentre, int nodesInForce, int nodesKnown,
+public record DataCentreRollout(DataCentreName dataCentre, int nodesInForce, int nodesKnown,
 		Optional<Instant> inForceSince, List<String> missing) {
 
 }
--- a/src/main/java/sycamorehill/model/ticket/Truth.java
+++ b/src/main/java/sycamorehill/model/ticket/DesiredState.java
@@ -16,14 +16,15 @@
  * @param items every item with the ticket that set it
  * @param workspacesByKeyHash finds a caller's workspace without a search
  */
-public record Truth(long number, PMap<ItemKey, ItemInForce> items, PMap<String, WorkspaceItem> workspacesByKeyHash) {
+public record DesiredState(long number, PMap<ItemKey, AppliedItem> items,
+		PMap<String, WorkspaceItem> workspacesByKeyHash) {
 
 	/**
 	 * The truth before the first ticket.
 	 * @return the empty truth
 	 */
-	public static Truth empty() {
-		return new Truth(0, HashTreePMap.empty(), HashTreePMap.empty());
+	public static DesiredState empty() {
+		return new DesiredState(0, HashTreePMap.empty(), HashTreePMap.empty());
 	}
 
 	/**
@@ -32,12 +33,12 @@
 	 * @param items the items in force
 	 * @return the truth
 	 */
-	public static Truth of(long number, List<ItemInForce> items) {
-		Truth truth = empty();
-		for (ItemInForce item : items) {
-			truth = truth.with(item.item(), item.setBy());
+	public static DesiredState of(long number, List<AppliedItem> items) {
+		DesiredState state = empty();
+		for (AppliedItem item : items) {
+			state = state.with(item.item(), item.setBy());
 		}
-		return new Truth(number, truth.items, truth.workspacesByKeyHash);
+		return new DesiredState(number, state.items, state.workspacesByKeyHash);
 	}
 
 	/**
@@ -45,17 +46,17 @@
 	 * @param ticket the ticket with the number after {@link #number()}
 	 * @return the truth after it
 	 */
-	public Truth apply(Ticket ticket) {
+	public DesiredState apply(Ticket ticket) {
 		if (ticket.number() != this.number + 1) {
 			throw new IllegalStateException(
 					"ticket " + ticket.number() + " can't follow ticket " + this.number + ": a gap or a way back");
 		}
-		Truth truth = this;
+		DesiredState state = this;
 		for (ItemChange change : ticket.draft().changes()) {
-			truth = change.newState().isPresent() ? truth.with(change.newState().get(), ticket.number())
-					: truth.without(change.key());
+			state = change.newState().isPresent() ? state.with(change.newState().get(), ticket.number())
+					: state.without(change.key());
 		}
-		return new Truth(ticket.number(), truth.items, truth.workspacesByKeyHash);
+		return new DesiredState(ticket.number(), state.items, state.workspacesByKeyHash);
 	}
 
 	/**
@@ -63,8 +64,8 @@
 	 * @param key the item
 	 * @return the number, 0 for an item that does not exist
 	 */
-	public long setBy(ItemKey key) {
-		ItemInForce item = this.items.get(key);
+	public long lastSetBy(ItemKey key) {
+		AppliedItem item = this.items.get(key);
 		return (item != null) ? item.setBy() : 0;
 	}
 
@@ -92,33 +93,33 @@
 	 * @param dataCentre the data centre
 	 * @return the sets, each with the ticket that set it, by name
 	 */
-	public List<ItemInForce> groupSets(DataCentreName dataCentre) {
+	public List<AppliedItem> groupSets(DataCentreName dataCentre) {
 		return this.items.values()
 			.stream()
 			.filter((found) -> found.item() instanceof ModelGroupItem set && set.dataCentre().equals(dataCentre))
-			.sorted((one, other) -> one.item().key().compareTo(other.item().key()))
+			.sorted((first, second) -> first.item().key().compareTo(second.item().key()))
 			.toList();
 	}
 
-	private Truth with(Item item, long setBy) {
-		Truth cleared = without(item.key());
-		PMap<String, WorkspaceItem> keys = cleared.workspacesByKeyHash;
+	private DesiredState with(Item item, long setBy) {
+		DesiredState cleared = without(item.key());
+		PMap<String, WorkspaceItem> workspaces = cleared.workspacesByKeyHash;
 		if (item instanceof WorkspaceItem workspace) {
-			keys = keys.plus(workspace.keyHash(), workspace);
+			workspaces = workspaces.plus(workspace.keyHash(), workspace);
 		}
-		return new Truth(this.number, cleared.items.plus(item.key(), new ItemInForce(item, setBy)), keys);
+		return new DesiredState(this.number, cleared.items.plus(item.key(), new AppliedItem(item, setBy)), workspaces);
 	}
 
-	private Truth without(ItemKey key) {
-		ItemInForce old = this.items.get(key);
-		if (old == null) {
+	private DesiredState without(ItemKey key) {
+		AppliedItem previous = this.items.get(key);
+		if (previous == null) {
 			return this;
 		}
-		PMap<String, WorkspaceItem> keys = this.workspacesByKeyHash;
-		if (old.item() instanceof WorkspaceItem workspace) {
-			keys = keys.minus(workspace.keyHash());
+		PMap<String, WorkspaceItem> workspaces = this.workspacesByKeyHash;
+		if (previous.item() instanceof WorkspaceItem workspace) {
+			workspaces = workspaces.minus(workspace.keyHash());
 		}
-		return new Truth(this.number, this.items.minus(key), keys);
+		return new DesiredState(this.number, this.items.minus(key), workspaces);
 	}
 
 }
--- a/src/main/java/sycamorehill/model/ticket/TruthSnapshot.java
+++ b/src/main/java/sycamorehill/model/ticket/DesiredStateSnapshot.java
@@ -14,13 +14,13 @@
  * written before the first of them is deleted
  * @param filings the latest accepted filings, by number
  */
-public record TruthSnapshot(long number, List<ItemInForce> items, int formatVersion, long deletedUpTo,
+public record DesiredStateSnapshot(long number, List<AppliedItem> items, int formatVersion, long deletedUpTo,
 		List<AcceptedFiling> filings) implements PlatformValue {
 
 	/**
 	 * Takes copies of the lists.
 	 */
-	public TruthSnapshot {
+	public DesiredStateSnapshot {
 		items = (items != null) ? List.copyOf(items) : List.of();
 		filings = (filings != null) ? List.copyOf(filings) : List.of();
 	}
--- a/src/main/java/sycamorehill/model/ticket/FilingOutcome.java
+++ b/src/main/java/sycamorehill/model/ticket/FilingOutcome.java
@@ -21,7 +21,7 @@
 	 * @param faults every fault found
 	 * @param presentItems the present state of the items that another ticket changed
 	 */
-	record Refused(List<String> faults, List<ItemInForce> presentItems) implements FilingOutcome {
+	record Refused(List<String> faults, List<AppliedItem> presentItems) implements FilingOutcome {
 	}
 
 	/**
--- a/src/main/java/sycamorehill/model/ticket/RepeatRule.java
+++ b/src/main/java/sycamorehill/model/ticket/IdempotencyRule.java
@@ -8,7 +8,7 @@
  * @param pathPrefix how the path begins, from the slash after the service's name
  * @param repeatable whether such a call is idempotent
  */
-public record RepeatRule(String method, String pathPrefix, boolean repeatable) {
+public record IdempotencyRule(String method, String pathPrefix, boolean repeatable) {
 
 	private static final String ANY_METHOD = "*";
 
--- a/src/main/java/sycamorehill/model/ticket/ServiceItem.java
+++ b/src/main/java/sycamorehill/model/ticket/ServiceItem.java
@@ -15,7 +15,7 @@
  * @param repeatRules which calls of a plain service are idempotent
  */
 public record ServiceItem(ServiceName name, ServiceKind kind, String model, String modelVersion,
-		List<PlainTarget> plainTargets, List<RepeatRule> repeatRules) implements Item {
+		List<PlainTarget> plainTargets, List<IdempotencyRule> repeatRules) implements Item {
 
 	/**
 	 * Takes copies of the lists.
@@ -45,7 +45,7 @@
 	 * @param rules which of its calls are idempotent
 	 * @return the item
 	 */
-	public static ServiceItem plain(ServiceName name, List<PlainTarget> targets, List<RepeatRule> rules) {
+	public static ServiceItem plain(ServiceName name, List<PlainTarget> targets, List<IdempotencyRule> rules) {
 		return new ServiceItem(name, ServiceKind.PLAIN, "", "", targets, rules);
 	}
 
@@ -60,14 +60,14 @@
 	 * @param path the path after the service's name
 	 * @return whether the call may be sent more than once
 	 */
-	public boolean repeatable(String method, String path) {
+	public boolean isIdempotent(String method, String path) {
 		if (this.kind == ServiceKind.MODEL) {
 			return true;
 		}
 		return this.repeatRules.stream()
 			.filter((rule) -> rule.matches(method, path))
 			.findFirst()
-			.map(RepeatRule::repeatable)
+			.map(IdempotencyRule::repeatable)
 			.orElse(false);
 	}
 
--- a/src/main/java/sycamorehill/model/ticket/TicketForce.java
+++ b/src/main/java/sycamorehill/model/ticket/TicketRollout.java
@@ -10,6 +10,6 @@
  * @param ticket the ticket itself, if this node still keeps it
  * @param dataCentres by data centre
  */
-public record TicketForce(long number, Optional<Ticket> ticket, List<DataCentreForce> dataCentres) {
+public record TicketRollout(long number, Optional<Ticket> ticket, List<DataCentreRollout> dataCentres) {
 
 }
--- a/src/main/java/sycamorehill/operator/NodeReader.java
+++ b/src/main/java/sycamorehill/operator/NodeReader.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Optional;
 
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.Ticket;
-import sycamorehill.model.ticket.Truth;
 
 /**
  * What operators read of a node without asking the decisions.
@@ -15,14 +15,14 @@
 	 * The state in force on the node.
 	 * @return the truth, once the node has one
 	 */
-	Optional<Truth> truth();
+	Optional<DesiredState> truth();
 
 	/**
 	 * The state after a ticket.
 	 * @param number the ticket
 	 * @return the truth, while the node keeps the history that far
 	 */
-	Optional<Truth> truthAfter(long number);
+	Optional<DesiredState> truthAfter(long number);
 
 	/**
 	 * The tickets that the node still keeps.
--- a/src/main/java/sycamorehill/operator/OperatorCalls.java
+++ b/src/main/java/sycamorehill/operator/OperatorCalls.java
@@ -8,7 +8,7 @@
 import sycamorehill.model.effect.OperatorEffect;
 import sycamorehill.model.identity.OperatorCallIdentifier;
 import sycamorehill.model.ticket.FilingOutcome;
-import sycamorehill.model.ticket.TicketForce;
+import sycamorehill.model.ticket.TicketRollout;
 import sycamorehill.runtime.OperatorPort;
 
 /**
@@ -20,7 +20,7 @@
 
 	private final ConcurrentMap<OperatorCallIdentifier, CompletableFuture<FilingOutcome>> filings = new ConcurrentHashMap<>();
 
-	private final ConcurrentMap<OperatorCallIdentifier, CompletableFuture<TicketForce>> forces = new ConcurrentHashMap<>();
+	private final ConcurrentMap<OperatorCallIdentifier, CompletableFuture<TicketRollout>> forces = new ConcurrentHashMap<>();
 
 	private OperatorCalls() {
 	}
@@ -41,7 +41,7 @@
 		return this.filings.computeIfAbsent(call, (key) -> new CompletableFuture<>());
 	}
 
-	CompletableFuture<TicketForce> awaitForce(OperatorCallIdentifier call) {
+	CompletableFuture<TicketRollout> awaitForce(OperatorCallIdentifier call) {
 		return this.forces.computeIfAbsent(call, (key) -> new CompletableFuture<>());
 	}
 
@@ -59,7 +59,7 @@
 			}
 		}
 		else if (effect instanceof OperatorEffect.AnswerForce answer) {
-			CompletableFuture<TicketForce> waiting = this.forces.remove(answer.call());
+			CompletableFuture<TicketRollout> waiting = this.forces.remove(answer.call());
 			if (waiting != null) {
 				waiting.complete(answer.force());
 			}
--- a/src/main/java/sycamorehill/operator/OperatorServer.java
+++ b/src/main/java/sycamorehill/operator/OperatorServer.java
@@ -26,10 +26,10 @@
 import sycamorehill.model.event.OperatorEvent;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.identity.OperatorCallIdentifier;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.FilingOutcome;
 import sycamorehill.model.ticket.TicketDraft;
-import sycamorehill.model.ticket.TicketForce;
-import sycamorehill.model.ticket.Truth;
+import sycamorehill.model.ticket.TicketRollout;
 import sycamorehill.runtime.EventSink;
 
 /**
@@ -141,7 +141,7 @@
 		}
 	}
 
-	private static OperatorAnswer state(Truth truth) {
+	private static OperatorAnswer state(DesiredState truth) {
 		return OperatorAnswer.of(OperatorAnswer.OK, StateBody.of(truth));
 	}
 
@@ -185,7 +185,7 @@
 					"a ticket's number is expected, not '" + text + "'"));
 		}
 		OperatorCallIdentifier call = this.calls.nextIdentifier();
-		CompletableFuture<TicketForce> force = this.calls.awaitForce(call);
+		CompletableFuture<TicketRollout> force = this.calls.awaitForce(call);
 		this.events.post(new OperatorEvent.TicketForceAsked(call, number));
 		return force.orTimeout(PATIENCE.toMillis(), TimeUnit.MILLISECONDS)
 			.whenComplete((found, failure) -> this.calls.forget(call))
--- a/src/main/java/sycamorehill/operator/StateBody.java
+++ b/src/main/java/sycamorehill/operator/StateBody.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 
-import sycamorehill.model.ticket.ItemInForce;
-import sycamorehill.model.ticket.Truth;
+import sycamorehill.model.ticket.AppliedItem;
+import sycamorehill.model.ticket.DesiredState;
 
 /**
  * The current truth as operators read it.
@@ -11,14 +11,14 @@
  * @param number the last ticket that is in force
  * @param items every item with the ticket that set it, by key
  */
-public record StateBody(long number, List<ItemInForce> items) {
+public record StateBody(long number, List<AppliedItem> items) {
 
 	/**
 	 * Orders the items of a truth.
 	 * @param truth the truth
 	 * @return its items by key
 	 */
-	public static StateBody of(Truth truth) {
+	public static StateBody of(DesiredState truth) {
 		return new StateBody(truth.number(),
 				truth.items()
 					.values()
--- a/src/main/java/sycamorehill/runtime/EffectRunner.java
+++ b/src/main/java/sycamorehill/runtime/EffectRunner.java
@@ -19,7 +19,7 @@
 import sycamorehill.model.event.PeerEvent;
 import sycamorehill.model.event.PlatformEvent;
 import sycamorehill.model.event.TargetEvent;
-import sycamorehill.model.group.EngineOrderResult;
+import sycamorehill.model.group.EngineCommandResult;
 import sycamorehill.model.identity.CallOwner;
 import sycamorehill.objectapi.PlatformClient;
 import sycamorehill.objectapi.VmListClient;
@@ -134,7 +134,7 @@
 		// A process paused between the decision and this line must not send any more: an
 		// engine that ignores fencing would obey an order that was overtaken meanwhile.
 		if (this.clock.instant().isAfter(order.notAfter())) {
-			this.events.post(new TargetEvent.OrderAnswered(order.call(), EngineOrderResult.NOT_KNOWN));
+			this.events.post(new TargetEvent.OrderAnswered(order.call(), EngineCommandResult.NOT_KNOWN));
 			return;
 		}
 		this.engines.order(order.address(), order.order())
--- a/src/main/java/sycamorehill/runtime/NodeMetrics.java
+++ b/src/main/java/sycamorehill/runtime/NodeMetrics.java
@@ -14,7 +14,7 @@
 
 import sycamorehill.logic.group.AllocationState;
 import sycamorehill.logic.node.NodeState;
-import sycamorehill.model.ticket.Truth;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.peer.PeerCounters;
 
 /**
@@ -72,7 +72,7 @@
 	 * @param clock monotonic time
 	 */
 	void state(Supplier<NodeState> state, InstantSource clock) {
-		whole("state.ticket", () -> state.get().truth().map(Truth::number).orElse(NO_TRUTH));
+		whole("state.ticket", () -> state.get().truth().map(DesiredState::number).orElse(NO_TRUTH));
 		whole("state.live-nodes", () -> state.get().membership().liveNodes().nodes().size());
 		whole("state.requests-in-flight", () -> state.get().request().inFlight());
 		whole("state.ready", () -> state.get().ready() ? 1 : 0);
--- a/src/main/java/sycamorehill/runtime/StateReader.java
+++ b/src/main/java/sycamorehill/runtime/StateReader.java
@@ -7,8 +7,8 @@
 import com.codahale.metrics.MetricRegistry;
 
 import sycamorehill.logic.node.NodeState;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.Ticket;
-import sycamorehill.model.ticket.Truth;
 import sycamorehill.operator.NodeReader;
 
 /**
@@ -17,12 +17,12 @@
 record StateReader(Supplier<NodeState> state, MetricRegistry registry) implements NodeReader {
 
 	@Override
-	public Optional<Truth> truth() {
+	public Optional<DesiredState> truth() {
 		return this.state.get().truth();
 	}
 
 	@Override
-	public Optional<Truth> truthAfter(long number) {
+	public Optional<DesiredState> truthAfter(long number) {
 		return this.state.get().ticket().log().at(number);
 	}
 
--- a/src/test/java/sycamorehill/history/CallerRecord.java
+++ b/src/test/java/sycamorehill/history/CallerRecord.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 import sycamorehill.logic.request.TokenRelay;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RequestDescription;
 import sycamorehill.model.request.RequestOutcome;
 
@@ -18,7 +18,7 @@
 
 	final RequestDescription request;
 
-	final Handling handling;
+	final Idempotency handling;
 
 	final List<String> tokens = new ArrayList<>();
 
@@ -32,7 +32,7 @@
 
 	boolean foreign;
 
-	CallerRecord(RequestDescription request, Handling handling) {
+	CallerRecord(RequestDescription request, Idempotency handling) {
 		this.request = request;
 		this.handling = handling;
 	}
--- a/src/test/java/sycamorehill/history/FakeTarget.java
+++ b/src/test/java/sycamorehill/history/FakeTarget.java
@@ -14,7 +14,7 @@
 import sycamorehill.model.identity.AttemptIdentifier;
 import sycamorehill.model.identity.RequestIdentifier;
 import sycamorehill.model.request.AttemptResult;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RecordedAnswer;
 import sycamorehill.model.target.ServingTarget;
 
@@ -52,7 +52,7 @@
 
 	void take(HistoryNode node, CallerRecord caller, AttemptIdentifier attempt, int resumeFrom) {
 		if (this.world.now().isBefore(this.downUntil)) {
-			this.world.later(() -> node.ended(attempt, new AttemptResult.NothingSent("refused")));
+			this.world.later(() -> node.ended(attempt, new AttemptResult.NotSent("refused")));
 			return;
 		}
 		if (this.world.draw(this.world.faults().refusal())) {
@@ -68,9 +68,9 @@
 		}
 		if (this.world.draw(this.world.faults().lostConnection())) {
 			this.world.at(TOKEN_GAP.multipliedBy(3),
-					() -> node.ended(attempt, new AttemptResult.Broken(true, "reset")));
+					() -> node.ended(attempt, new AttemptResult.Interrupted(true, "reset")));
 		}
-		if (caller.handling == Handling.REPEATABLE) {
+		if (caller.handling == Idempotency.REPEATABLE) {
 			stream(node, caller.content(), attempt, resumeFrom);
 		}
 		else {
@@ -84,7 +84,7 @@
 	}
 
 	private AttemptResult answer(String content) {
-		return new AttemptResult.Whole(0, Optional.of(new RecordedAnswer(200, "text/plain", content)));
+		return new AttemptResult.Completed(0, Optional.of(new RecordedAnswer(200, "text/plain", content)));
 	}
 
 	private void stream(HistoryNode node, String content, AttemptIdentifier attempt, int index) {
@@ -109,7 +109,7 @@
 		Map<AttemptIdentifier, HistoryNode> broken = new LinkedHashMap<>(this.running);
 		this.running.clear();
 		broken.forEach((other, node) -> this.world
-			.later(() -> node.ended(other, new AttemptResult.Broken(true, "connection reset"))));
+			.later(() -> node.ended(other, new AttemptResult.Interrupted(true, "connection reset"))));
 	}
 
 }
--- a/src/test/java/sycamorehill/history/HistoryNode.java
+++ b/src/test/java/sycamorehill/history/HistoryNode.java
@@ -125,7 +125,7 @@
 		}
 		Duration silent = Duration.between(caller.lastByteAt, this.world.now());
 		if (silent.compareTo(patience) >= 0) {
-			ended(attempt, new AttemptResult.Broken(false, "nothing came"));
+			ended(attempt, new AttemptResult.Interrupted(false, "nothing came"));
 		}
 		else {
 			this.world.at(patience.minus(silent), () -> checkStall(attempt, patience));
@@ -152,7 +152,7 @@
 			}
 		}
 		else if (decision.verdict() == TokenVerdict.GAP) {
-			ended(attempt, new AttemptResult.Broken(false, "a token is missing"));
+			ended(attempt, new AttemptResult.Interrupted(false, "a token is missing"));
 		}
 	}
 
@@ -167,10 +167,10 @@
 		}
 		TokenVerdict verdict = caller.relay.endMark(attempt, tokens).verdict();
 		if (verdict == TokenVerdict.WHOLE) {
-			ended(attempt, new AttemptResult.Whole(tokens, Optional.empty()));
+			ended(attempt, new AttemptResult.Completed(tokens, Optional.empty()));
 		}
 		else if (verdict == TokenVerdict.CUT) {
-			ended(attempt, new AttemptResult.Broken(false, "the end came too early"));
+			ended(attempt, new AttemptResult.Interrupted(false, "the end came too early"));
 		}
 	}
 
--- a/src/test/java/sycamorehill/history/HistoryWorld.java
+++ b/src/test/java/sycamorehill/history/HistoryWorld.java
@@ -23,7 +23,7 @@
 import sycamorehill.model.membership.LiveNode;
 import sycamorehill.model.membership.LiveNodes;
 import sycamorehill.model.policy.Policy;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RequestDescription;
 import sycamorehill.model.target.ServingTarget;
 import sycamorehill.support.EventSchedule;
@@ -80,7 +80,7 @@
 	}
 
 	private LiveNodes liveNodes() {
-		LiveNodes live = LiveNodes.none();
+		LiveNodes live = LiveNodes.empty();
 		for (HistoryNode node : this.nodes) {
 			live = new LiveNodes(live.nodes()
 				.plus(node.identity().incarnation().node(), new LiveNode(node.identity(), false, now())));
@@ -158,7 +158,7 @@
 		return this.owners.get(attempt);
 	}
 
-	CallerRecord call(int node, Handling handling, String content) {
+	CallerRecord call(int node, Idempotency handling, String content) {
 		HistoryNode entry = this.nodes.get(node);
 		RequestDescription sample = SampleRequests.request(entry.identity().incarnation().node().value(),
 				this.requests++, content);
--- a/src/test/java/sycamorehill/history/PoisonousRequestTests.java
+++ b/src/test/java/sycamorehill/history/PoisonousRequestTests.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -22,7 +22,7 @@
 	void crashesAtMostTwoTargetsHoweverOftenItIsSent(long seed) {
 		HistoryWorld world = loaded(seed);
 		for (int round = 0; round < 20; round++) {
-			world.call(world.drawBelow(3), Handling.REPEATABLE, CONTENT);
+			world.call(world.drawBelow(3), Idempotency.REPEATABLE, CONTENT);
 			world.run(Duration.ofMillis(500L + world.drawBelow(3000)));
 		}
 		assertThat(deaths(world)).hasSizeBetween(1, 2);
@@ -35,7 +35,7 @@
 	void orderThatIsSentAnewCrashesAtMostTwoTargets(long seed) {
 		HistoryWorld world = loaded(seed);
 		for (int round = 0; round < 20; round++) {
-			world.call(round % 3, Handling.ONCE_WITHOUT_KEY, CONTENT);
+			world.call(round % 3, Idempotency.ONCE_WITHOUT_KEY, CONTENT);
 			world.run(Duration.ofMillis(300));
 		}
 		assertThat(deaths(world)).hasSizeBetween(1, 2);
@@ -48,7 +48,7 @@
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8, 9, 10 })
 	void bystandersAreServed(long seed) {
 		HistoryWorld world = loaded(seed);
-		world.call(0, Handling.REPEATABLE, CONTENT);
+		world.call(0, Idempotency.REPEATABLE, CONTENT);
 		world.run(Duration.ofSeconds(30));
 		assertThat(world.callers()).filteredOn((caller) -> !caller.content().equals(CONTENT))
 			.hasSizeGreaterThan(50)
@@ -58,7 +58,7 @@
 	@Test
 	void quarantineReachesAllNodes() {
 		HistoryWorld world = loaded(1);
-		world.call(0, Handling.REPEATABLE, CONTENT);
+		world.call(0, Idempotency.REPEATABLE, CONTENT);
 		world.run(Duration.ofSeconds(10));
 		assertThat(world.nodes()).allMatch((node) -> node.logic.quarantine().quarantinedCount() == 1);
 	}
@@ -69,7 +69,7 @@
 	@Test
 	void nodeThatJoinsLaterLearnsOfTheQuarantine() {
 		HistoryWorld world = loaded(1);
-		world.call(0, Handling.REPEATABLE, CONTENT);
+		world.call(0, Idempotency.REPEATABLE, CONTENT);
 		world.run(Duration.ofSeconds(10)).restart(2);
 		world.run(Duration.ofSeconds(60));
 		assertThat(world.nodes().get(2).logic.quarantine().quarantinedCount()).isEqualTo(1);
@@ -82,10 +82,10 @@
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 16 })
 	void copiesSentAtTheSameMomentCrashNoThirdTarget(long seed) {
 		HistoryWorld world = loaded(seed);
-		world.call(0, Handling.REPEATABLE, CONTENT);
-		world.call(1, Handling.REPEATABLE, CONTENT);
+		world.call(0, Idempotency.REPEATABLE, CONTENT);
+		world.call(1, Idempotency.REPEATABLE, CONTENT);
 		world.run(Duration.ofSeconds(10));
-		world.call(2, Handling.REPEATABLE, CONTENT);
+		world.call(2, Idempotency.REPEATABLE, CONTENT);
 		world.run(Duration.ofSeconds(10));
 		assertThat(deaths(world)).hasSize(2);
 	}
@@ -95,7 +95,7 @@
 		for (int number = 0; number < 60; number++) {
 			String content = "c" + number;
 			int node = world.drawBelow(3);
-			world.at(Duration.ofMillis(20L * number), () -> world.call(node, Handling.REPEATABLE, content));
+			world.at(Duration.ofMillis(20L * number), () -> world.call(node, Idempotency.REPEATABLE, content));
 		}
 		world.run(Duration.ofMillis(300));
 		return world;
--- a/src/test/java/sycamorehill/history/RequestHistoryTests.java
+++ b/src/test/java/sycamorehill/history/RequestHistoryTests.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RequestOutcome;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -43,7 +43,7 @@
 		assertThat(world.callers()).allSatisfy(this::tokensAreItsOwn);
 		assertThat(world.callers()).filteredOn(this::notRun)
 			.allSatisfy((caller) -> assertThat(world.runs(caller)).isZero());
-		assertThat(world.callers()).filteredOn((caller) -> caller.handling != Handling.REPEATABLE)
+		assertThat(world.callers()).filteredOn((caller) -> caller.handling != Idempotency.REPEATABLE)
 			.allSatisfy((caller) -> assertThat(world.runs(caller)).isLessThanOrEqualTo(1));
 	}
 
@@ -51,7 +51,7 @@
 		List<String> expected = caller.expected();
 		assertThat(caller.foreign).isFalse();
 		assertThat(caller.tokens).isEqualTo(expected.subList(0, Math.min(caller.tokens.size(), expected.size())));
-		if (caller.completed() && caller.handling == Handling.REPEATABLE) {
+		if (caller.completed() && caller.handling == Idempotency.REPEATABLE) {
 			assertThat(caller.tokens).hasSameSizeAs(expected);
 		}
 	}
@@ -84,7 +84,7 @@
 	}
 
 	private void call(HistoryWorld world, int node, int drawn) {
-		Handling handling = Handling.values()[world.drawBelow(Handling.values().length)];
+		Idempotency handling = Idempotency.values()[world.drawBelow(Idempotency.values().length)];
 		String content = ((drawn == 3) ? FakeTarget.POISON : "c") + world.callers().size();
 		CallerRecord caller = world.call(node, handling, content);
 		if (drawn < 15) {
--- a/src/test/java/sycamorehill/json/ModelJsonTests.java
+++ b/src/test/java/sycamorehill/json/ModelJsonTests.java
@@ -44,19 +44,19 @@
 import sycamorehill.model.request.RefusalReason;
 import sycamorehill.model.request.RequestOutcome;
 import sycamorehill.model.ticket.AcceptedFiling;
+import sycamorehill.model.ticket.AppliedItem;
+import sycamorehill.model.ticket.DesiredStateSnapshot;
+import sycamorehill.model.ticket.IdempotencyRule;
 import sycamorehill.model.ticket.Item;
 import sycamorehill.model.ticket.ItemChange;
-import sycamorehill.model.ticket.ItemInForce;
 import sycamorehill.model.ticket.ItemKey;
 import sycamorehill.model.ticket.ItemKind;
 import sycamorehill.model.ticket.ModelGroupItem;
 import sycamorehill.model.ticket.PlainTarget;
-import sycamorehill.model.ticket.RepeatRule;
 import sycamorehill.model.ticket.ServiceItem;
 import sycamorehill.model.ticket.Ticket;
 import sycamorehill.model.ticket.TicketDraft;
 import sycamorehill.model.ticket.TicketValue;
-import sycamorehill.model.ticket.TruthSnapshot;
 import sycamorehill.model.ticket.WorkspaceItem;
 
 class ModelJsonTests {
@@ -67,7 +67,7 @@
 
 	private static final ServiceItem DESK = ServiceItem.plain(ServiceName.of("desk"),
 			List.of(new PlainTarget(TargetName.of("d1"), DATA_CENTRE, Address.of("10.0.0.1", 80))),
-			List.of(new RepeatRule("GET", "/", true)));
+			List.of(new IdempotencyRule("GET", "/", true)));
 
 	static Stream<PlatformValue> platformValues() {
 		return Stream.of(allocation(), shard(), ticket(), snapshot(),
@@ -141,12 +141,12 @@
 		return new TicketValue(new Ticket(8, Instant.parse("2026-12-02T23:00:00.123Z"), draft), "n1-1:2", 1);
 	}
 
-	private static TruthSnapshot snapshot() {
-		return new TruthSnapshot(8,
-				List.of(new ItemInForce(DESK, 8),
-						new ItemInForce(new ModelGroupItem(GroupSetName.of("set"), ServiceName.of("chat"), DATA_CENTRE,
+	private static DesiredStateSnapshot snapshot() {
+		return new DesiredStateSnapshot(8,
+				List.of(new AppliedItem(DESK, 8),
+						new AppliedItem(new ModelGroupItem(GroupSetName.of("set"), ServiceName.of("chat"), DATA_CENTRE,
 								2, 4, 1, false, true), 2),
-						new ItemInForce(new WorkspaceItem(WorkspaceName.of("w"), "hash", 1.5, 2.5, 3, 1), 3)),
+						new AppliedItem(new WorkspaceItem(WorkspaceName.of("w"), "hash", 1.5, 2.5, 3, 1), 3)),
 				1, 4, List.of(new AcceptedFiling(FilingIdentifier.of("f1"), 8)));
 	}
 
--- a/src/test/java/sycamorehill/logic/admission/AdmissionHarness.java
+++ b/src/test/java/sycamorehill/logic/admission/AdmissionHarness.java
@@ -18,7 +18,7 @@
 import sycamorehill.model.identity.AttemptIdentifier;
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.TargetName;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.Refusal;
 import sycamorehill.model.request.RequestDescription;
 import sycamorehill.model.request.RequestOutcome;
@@ -76,7 +76,7 @@
 	}
 
 	void finish(RequestDescription request) {
-		apply(new RequestEvent.Finished(request, Handling.REPEATABLE, new RequestOutcome.Completed(),
+		apply(new RequestEvent.Finished(request, Idempotency.REPEATABLE, new RequestOutcome.Completed(),
 				request.maximumTokens(), Optional.empty()));
 	}
 
--- a/src/test/java/sycamorehill/logic/admission/FakeNodeView.java
+++ b/src/test/java/sycamorehill/logic/admission/FakeNodeView.java
@@ -10,7 +10,7 @@
 
 import sycamorehill.logic.NodeView;
 import sycamorehill.model.group.Allocation;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.NodeIdentity;
@@ -23,9 +23,9 @@
 import sycamorehill.model.request.Fingerprint;
 import sycamorehill.model.request.RouteQuery;
 import sycamorehill.model.target.ServingTarget;
+import sycamorehill.model.ticket.AppliedItem;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.Item;
-import sycamorehill.model.ticket.ItemInForce;
-import sycamorehill.model.ticket.Truth;
 
 /**
  * What the other parts know, set by hand.
@@ -34,17 +34,17 @@
 
 	private final NodeIdentity self;
 
-	private final List<ItemInForce> items = new ArrayList<>();
+	private final List<AppliedItem> items = new ArrayList<>();
 
 	private final Set<Fingerprint> quarantined = new HashSet<>();
 
-	private final Map<VmName, VmSight> sights = new HashMap<>();
+	private final Map<VmName, VmObservation> sights = new HashMap<>();
 
 	private List<ServingTarget> targets = List.of();
 
-	private Optional<Truth> truth = Optional.empty();
+	private Optional<DesiredState> truth = Optional.empty();
 
-	private LiveNodes liveNodes = LiveNodes.none();
+	private LiveNodes liveNodes = LiveNodes.empty();
 
 	private Policy policy = Policy.standard();
 
@@ -63,9 +63,9 @@
 
 	public FakeNodeView with(Item... more) {
 		for (Item item : more) {
-			this.items.add(new ItemInForce(item, 1));
+			this.items.add(new AppliedItem(item, 1));
 		}
-		this.truth = Optional.of(Truth.of(1, this.items));
+		this.truth = Optional.of(DesiredState.of(1, this.items));
 		return this;
 	}
 
@@ -89,7 +89,7 @@
 		return this;
 	}
 
-	public FakeNodeView sight(VmSight sight) {
+	public FakeNodeView sight(VmObservation sight) {
 		this.sights.put(sight.report().vm(), sight);
 		return this;
 	}
@@ -105,7 +105,7 @@
 	}
 
 	@Override
-	public Optional<Truth> truth() {
+	public Optional<DesiredState> truth() {
 		return this.truth;
 	}
 
@@ -130,7 +130,7 @@
 	}
 
 	@Override
-	public Optional<VmSight> sight(VmName vm) {
+	public Optional<VmObservation> sight(VmName vm) {
 		return Optional.ofNullable(this.sights.get(vm));
 	}
 
--- a/src/test/java/sycamorehill/logic/admission/RequestFixtures.java
+++ b/src/test/java/sycamorehill/logic/admission/RequestFixtures.java
@@ -14,7 +14,7 @@
 import sycamorehill.model.request.OrderKey;
 import sycamorehill.model.request.Priority;
 import sycamorehill.model.request.RequestDescription;
-import sycamorehill.model.ticket.RepeatRule;
+import sycamorehill.model.ticket.IdempotencyRule;
 import sycamorehill.model.ticket.ServiceItem;
 import sycamorehill.model.ticket.WorkspaceItem;
 
@@ -30,7 +30,7 @@
 	public static final ServiceItem CHAT_SERVICE = ServiceItem.model(CHAT, "model", "1");
 
 	public static final ServiceItem PLAIN_SERVICE = ServiceItem.plain(PLAIN, List.of(),
-			List.of(new RepeatRule("GET", "/", true)));
+			List.of(new IdempotencyRule("GET", "/", true)));
 
 	private static final int PROMPT_TOKENS = 20;
 
--- a/src/test/java/sycamorehill/logic/group/GroupDecisionTests.java
+++ b/src/test/java/sycamorehill/logic/group/GroupDecisionTests.java
@@ -16,15 +16,15 @@
 import sycamorehill.model.event.PlatformEvent;
 import sycamorehill.model.group.Allocation;
 import sycamorehill.model.group.ControllerLease;
-import sycamorehill.model.group.EngineOrder;
+import sycamorehill.model.group.EngineCommand;
 import sycamorehill.model.group.EngineState;
 import sycamorehill.model.group.Fleet;
 import sycamorehill.model.group.GroupIdentity;
 import sycamorehill.model.group.GroupPhase;
 import sycamorehill.model.group.GroupRecord;
 import sycamorehill.model.group.VmEntry;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.group.VmReport;
-import sycamorehill.model.group.VmSight;
 import sycamorehill.model.group.VmStatus;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.identity.CallIdentifier;
@@ -66,7 +66,7 @@
 		GroupIdentity group = GroupIdentity.of(GroupName.of(GroupSetName.of("s"), 0), generation);
 		VmReport report = new VmReport(VM, "i", EngineState.READY, Optional.of(group), false, 0, 0, 0, 0, 1);
 		Fleet fleet = new Fleet(HashTreePMap.singleton(VM, ENTRY), Optional.of(NOW),
-				HashTreePMap.singleton(VM, new VmSight(report, NOW)), HashTreePMap.empty(), HashTreePMap.empty());
+				HashTreePMap.singleton(VM, new VmObservation(report, NOW)), HashTreePMap.empty(), HashTreePMap.empty());
 		return new PlanContext(NOW, fleet, List.of(), VmSilences.none(), HashTreePMap.empty(), HashTreePMap.empty(),
 				ObservationPolicy.standard(), GroupPolicy.standard());
 	}
@@ -78,7 +78,7 @@
 
 	private static List<EngineReconciler.RequiredCommand> requiredCommands() {
 		GroupIdentity group = GroupIdentity.of(GroupName.of(GroupSetName.of("s"), 0), 4);
-		return List.of(new EngineReconciler.RequiredCommand(ENTRY, new EngineOrder.Leave(group, 1)));
+		return List.of(new EngineReconciler.RequiredCommand(ENTRY, new EngineCommand.Leave(group, 1)));
 	}
 
 	private static boolean isServingWithVmIn(long generation) {
@@ -105,7 +105,7 @@
 		VmReport report = new VmReport(other, "i", EngineState.IDLE, Optional.empty(), false, 0, 0, 0, 0, 1);
 		VmEntry entry = new VmEntry(other, DATA_CENTRE, ENTRY.domain(), ENTRY.address(), VmStatus.LIVE, "i");
 		Fleet fleet = new Fleet(HashTreePMap.singleton(VM, ENTRY).plus(other, entry), Optional.of(NOW),
-				HashTreePMap.singleton(other, new VmSight(report, NOW.plusSeconds(second))), HashTreePMap.empty(),
+				HashTreePMap.singleton(other, new VmObservation(report, NOW.plusSeconds(second))), HashTreePMap.empty(),
 				HashTreePMap.empty());
 		return before.update(fleet, List.of(), List.of(VM), hasPeers, NOW.plusSeconds(second), Duration.ofSeconds(1));
 	}
@@ -161,7 +161,7 @@
 	void anEngineLeavesARemovedGroup() {
 		Assertions.assertThat(EngineReconciler.requiredCommands(allocation(5), contextWithVmIn(4)))
 			.extracting(EngineReconciler.RequiredCommand::command)
-			.allMatch(EngineOrder.Leave.class::isInstance)
+			.allMatch(EngineCommand.Leave.class::isInstance)
 			.hasSize(1);
 	}
 
@@ -184,8 +184,8 @@
 		PhaseStart since = new PhaseStart(group, GroupPhase.DRAINING, NOW.minusSeconds(seconds));
 		VmReport report = new VmReport(VM, "i", EngineState.READY, Optional.of(group), false, 0, 0, 0, 0, 1);
 		Fleet fleet = new Fleet(HashTreePMap.singleton(VM, ENTRY), Optional.of(NOW),
-				HashTreePMap.singleton(VM, new VmSight(report, NOW.minusSeconds(observationAge))), HashTreePMap.empty(),
-				HashTreePMap.empty());
+				HashTreePMap.singleton(VM, new VmObservation(report, NOW.minusSeconds(observationAge))),
+				HashTreePMap.empty(), HashTreePMap.empty());
 		return new PlanContext(NOW, fleet, List.of(), VmSilences.none(), HashTreePMap.singleton(group.name(), since),
 				HashTreePMap.empty(), ObservationPolicy.standard(), GroupPolicy.standard())
 			.isDrained(record);
