--- a/src/test/java/sycamorehill/logic/group/PublishedGroupsTests.java
+++ b/src/test/java/sycamorehill/logic/group/PublishedGroupsTests.java
@@ -11,7 +11,7 @@
 import sycamorehill.model.identity.GroupSetName;
 import sycamorehill.model.identity.NodeIncarnation;
 import sycamorehill.model.identity.NodeName;
-import sycamorehill.model.peer.GroupSetSights;
+import sycamorehill.model.peer.GroupSetObservations;
 import sycamorehill.model.peer.GroupsSent;
 
 class PublishedGroupsTests {
@@ -21,8 +21,8 @@
 	private static final GroupName NAME = GroupName.of(SET, 0);
 
 	private static GroupsSent message(long version, long generation, int age) {
-		GroupSetSights observations = new GroupSetSights(SET, List.of(0), List.of(generation), List.of(age), List.of(0),
-				List.of(0), List.of(0), List.of(0L));
+		GroupSetObservations observations = new GroupSetObservations(SET, List.of(0), List.of(generation), List.of(age),
+				List.of(0), List.of(0), List.of(0), List.of(0L));
 		return new GroupsSent(DataCentreName.of("dc0"), NodeIncarnation.of(NodeName.of("n"), 1), 1, 0, version, 0,
 				List.of(observations), List.of());
 	}
--- a/src/test/java/sycamorehill/logic/health/HealthReducerTests.java
+++ b/src/test/java/sycamorehill/logic/health/HealthReducerTests.java
@@ -25,7 +25,7 @@
 
 class HealthReducerTests {
 
-	private static final AttemptResult REFUSED_CONNECTION = new AttemptResult.NothingSent("refused");
+	private static final AttemptResult REFUSED_CONNECTION = new AttemptResult.NotSent("refused");
 
 	private static final AttemptResult LEAVING = new AttemptResult.RefusedBeforeRunning(true, Duration.ZERO, "");
 
@@ -162,7 +162,7 @@
 	@Test
 	void wordOfAnEarlierGenerationDoesNotTouchTheNewOne() {
 		GroupName name = GroupName.of(GroupSetName.of("s"), 0);
-		tell(new TargetLeaving(name.target(), 1));
+		tell(new TargetLeaving(name.targetName(), 1));
 		assertThat(this.run.usable(List.of(group(name, 2)))).hasSize(1);
 		assertThat(this.run.usable(List.of(group(name, 1)))).isEmpty();
 	}
@@ -175,8 +175,8 @@
 	}
 
 	private ServingTarget group(GroupName name, long generation) {
-		return new ServingTarget(name.target(), SampleRequests.SERVICE, this.first.dataCentre(), this.first.address(),
-				Optional.of(GroupIdentity.of(name, generation)), List.of());
+		return new ServingTarget(name.targetName(), SampleRequests.SERVICE, this.first.dataCentre(),
+				this.first.address(), Optional.of(GroupIdentity.of(name, generation)), List.of());
 	}
 
 	private void tell(TargetLeaving message) {
@@ -203,7 +203,7 @@
 
 	private void answer(List<ServingTarget> all, List<AttemptIdentifier> attempts, int from, int to) {
 		for (int number = from; number < to; number++) {
-			this.run.close(all.get(number), attempts.get(number), new AttemptResult.Whole(1, Optional.empty()));
+			this.run.close(all.get(number), attempts.get(number), new AttemptResult.Completed(1, Optional.empty()));
 		}
 	}
 
--- a/src/test/java/sycamorehill/logic/health/HealthRun.java
+++ b/src/test/java/sycamorehill/logic/health/HealthRun.java
@@ -23,7 +23,7 @@
  */
 final class HealthRun {
 
-	private static final AttemptResult WHOLE = new AttemptResult.Whole(1, Optional.empty());
+	private static final AttemptResult WHOLE = new AttemptResult.Completed(1, Optional.empty());
 
 	private static final RequestDescription REQUEST = SampleRequests.request("n1", 1, "a");
 
--- a/src/test/java/sycamorehill/logic/membership/MembershipTests.java
+++ b/src/test/java/sycamorehill/logic/membership/MembershipTests.java
@@ -133,7 +133,7 @@
 		startSix();
 		this.group.stop("node-1");
 		this.group.runFor(Duration.ofSeconds(3));
-		assertThat(this.group.nodes()).allMatch((node) -> node.liveNodes().dutiful(FUKUOKA).size() == 1);
+		assertThat(this.group.nodes()).allMatch((node) -> node.liveNodes().notStoppingIn(FUKUOKA).size() == 1);
 	}
 
 	@Test
--- a/src/test/java/sycamorehill/logic/observation/FleetUpdatesTests.java
+++ b/src/test/java/sycamorehill/logic/observation/FleetUpdatesTests.java
@@ -11,8 +11,8 @@
 import sycamorehill.model.group.EngineState;
 import sycamorehill.model.group.Fleet;
 import sycamorehill.model.group.VmEntry;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.group.VmReport;
-import sycamorehill.model.group.VmSight;
 import sycamorehill.model.group.VmStatus;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.identity.DataCentreName;
@@ -34,9 +34,9 @@
 		return FleetUpdates.list(fleet, List.of(entry), OWN, Instant.ofEpochSecond(second), MEMORY);
 	}
 
-	private static VmSight sight(EngineState state, long sequence, int second) {
+	private static VmObservation sight(EngineState state, long sequence, int second) {
 		VmReport report = new VmReport(VM, "i", state, Optional.empty(), false, 0, 0, 0, 0, sequence);
-		return new VmSight(report, Instant.ofEpochSecond(second));
+		return new VmObservation(report, Instant.ofEpochSecond(second));
 	}
 
 	// Two data centres' lists name one VM, after a move that the list tells badly. Both
@@ -75,13 +75,13 @@
 	void aLateReportDoesNotTakeTheViewBack() {
 		Fleet fleet = FleetUpdates.report(Fleet.empty(), sight(EngineState.FAILED, 7, 5));
 		Fleet after = FleetUpdates.report(fleet, sight(EngineState.READY, 6, 6));
-		Assertions.assertThat(after.sight(VM).orElseThrow().report().state()).isEqualTo(EngineState.FAILED);
+		Assertions.assertThat(after.observation(VM).orElseThrow().report().state()).isEqualTo(EngineState.FAILED);
 	}
 
 	@Test
 	void theSightOfAReplacedVmIsForgotten() {
 		Fleet fleet = FleetUpdates.report(list(Fleet.empty(), VmStatus.LIVE, "i", 1), sight(EngineState.READY, 1, 2));
-		Assertions.assertThat(list(fleet, VmStatus.LIVE, "j", 3).sight(VM)).isEmpty();
+		Assertions.assertThat(list(fleet, VmStatus.LIVE, "j", 3).observation(VM)).isEmpty();
 	}
 
 	// A message waits for four seconds in a full connection. What it tells is as old as
--- a/src/test/java/sycamorehill/logic/observation/SightSharingTests.java
+++ b/src/test/java/sycamorehill/logic/observation/SightSharingTests.java
@@ -44,7 +44,8 @@
 	@Test
 	void unchangedSightsAreMadeFresh() {
 		ObservationState state = received(seenReady(), 4, unchanged(4, EngineState.READY));
-		Assertions.assertThat(state.fleet().sight(VM).orElseThrow().seenAt()).isEqualTo(Instant.ofEpochMilli(3900));
+		Assertions.assertThat(state.fleet().observation(VM).orElseThrow().seenAt())
+			.isEqualTo(Instant.ofEpochMilli(3900));
 	}
 
 	// The message that told of a failed member is lost; the next one says "unchanged". A
@@ -52,7 +53,8 @@
 	@Test
 	void unchangedSightsOfAnotherStandingMakeNothingFresh() {
 		ObservationState state = received(seenReady(), 4, unchanged(4, EngineState.FAILED));
-		Assertions.assertThat(state.fleet().sight(VM).orElseThrow().seenAt()).isEqualTo(Instant.ofEpochMilli(900));
+		Assertions.assertThat(state.fleet().observation(VM).orElseThrow().seenAt())
+			.isEqualTo(Instant.ofEpochMilli(900));
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/order/ClaimRulesTests.java
+++ b/src/test/java/sycamorehill/logic/order/ClaimRulesTests.java
@@ -14,8 +14,8 @@
 import sycamorehill.model.identity.NodeName;
 import sycamorehill.model.membership.LiveNodes;
 import sycamorehill.model.order.OrderClaim;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderStatus;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.peer.OrderClaimReply;
 import sycamorehill.model.policy.OrderPolicy;
 import sycamorehill.model.policy.Policy;
@@ -32,7 +32,7 @@
 			DataCentreName.of("here"), Address.of("10.0.0.1", 1000));
 
 	private static final ClaimRules RULES = ClaimRules
-		.of(new OrderTrialView(HOLDER, Policy.standard().withOrder(OrderPolicy.standard()), LiveNodes.none()), 0);
+		.of(new OrderTrialView(HOLDER, Policy.standard().withOrder(OrderPolicy.standard()), LiveNodes.empty()), 0);
 
 	@Test
 	void releaseOfAClaimThatIsNotSeenIsWritten() {
@@ -47,13 +47,13 @@
 		// A late copy of the question meets its own release: granted, nobody would run it
 		// and nobody would settle it.
 		ClaimRules.Decision decision = RULES.decide(claim(OrderStatus.RELEASED), ask("m1"));
-		Assertions.assertThat(verdict(decision)).isEqualTo(OrderVerdict.NOT_TAKEN);
+		Assertions.assertThat(verdict(decision)).isEqualTo(OrderClaimDecision.NOT_TAKEN);
 	}
 
 	@Test
 	void releasedKeyIsGrantedToTheNextCall() {
 		Assertions.assertThat(verdict(RULES.decide(claim(OrderStatus.RELEASED), ask("m2"))))
-			.isEqualTo(OrderVerdict.GRANTED);
+			.isEqualTo(OrderClaimDecision.GRANTED);
 	}
 
 	@Test
@@ -65,7 +65,7 @@
 	@Test
 	void unknownClaimIsNeverGranted() {
 		Assertions.assertThat(verdict(RULES.decide(claim(OrderStatus.UNKNOWN), ask("m2"))))
-			.isEqualTo(OrderVerdict.UNKNOWN);
+			.isEqualTo(OrderClaimDecision.UNKNOWN);
 	}
 
 	private static OrderClaim claim(OrderStatus status) {
@@ -80,7 +80,7 @@
 		return new ShardOperation.Settle(KEY, "m1", status, Optional.empty(), HOLDER, Instant.EPOCH);
 	}
 
-	private static OrderVerdict verdict(ClaimRules.Decision decision) {
+	private static OrderClaimDecision verdict(ClaimRules.Decision decision) {
 		return ((OrderClaimReply) decision.reply()).verdict();
 	}
 
--- a/src/test/java/sycamorehill/logic/order/OrderHistory.java
+++ b/src/test/java/sycamorehill/logic/order/OrderHistory.java
@@ -24,7 +24,7 @@
 import sycamorehill.model.platform.PlatformAnswer;
 import sycamorehill.model.policy.OrderPolicy;
 import sycamorehill.model.request.Fingerprint;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.OrderKey;
 import sycamorehill.model.request.Priority;
 import sycamorehill.model.request.RecordedAnswer;
@@ -96,7 +96,7 @@
 		Call call = new Call(request, node, now());
 		this.calls.add(call);
 		this.callsByMark.put(identifier.toString(), call);
-		node.run(node.incarnation(), () -> feed(node, new RequestEvent.Admitted(request, Handling.ONCE_WITH_KEY)));
+		node.run(node.incarnation(), () -> feed(node, new RequestEvent.Admitted(request, Idempotency.ONCE_WITH_KEY)));
 		return call;
 	}
 
@@ -164,7 +164,7 @@
 		if (event instanceof RequestEvent.Refused refused) {
 			Call call = this.callsByMark.get(refused.request().toString());
 			call.answer(refused.outcome(), now());
-			feed(node, new RequestEvent.Finished(call.request, Handling.ONCE_WITH_KEY, refused.outcome(), 0,
+			feed(node, new RequestEvent.Finished(call.request, Idempotency.ONCE_WITH_KEY, refused.outcome(), 0,
 					Optional.empty()));
 		}
 		else if (event instanceof RequestEvent.Cleared cleared) {
@@ -197,7 +197,7 @@
 		NodeIncarnation incarnation = node.incarnation();
 		this.schedule.add(millis(100), () -> node.run(incarnation, () -> {
 			call.answer(outcome, now());
-			feed(node, new RequestEvent.Finished(call.request, Handling.ONCE_WITH_KEY, outcome, 0, answer));
+			feed(node, new RequestEvent.Finished(call.request, Idempotency.ONCE_WITH_KEY, outcome, 0, answer));
 		}));
 	}
 
--- a/src/test/java/sycamorehill/logic/order/OrderHistoryTests.java
+++ b/src/test/java/sycamorehill/logic/order/OrderHistoryTests.java
@@ -75,8 +75,8 @@
 			boolean free = earlier.stream()
 				.allMatch((other) -> other.incarnation.equals(other.node.incarnation())
 						&& other.outcome().filter(RequestOutcome.NotRun.class::isInstance).isPresent());
-			boolean issuedByDead = OrderNumbers.issued(call.key()) && history.nodes.stream()
-				.noneMatch((node) -> OrderNumbers.issuedBy(call.key(), node.incarnation()));
+			boolean issuedByDead = OrderNumbers.isIssued(call.key()) && history.nodes.stream()
+				.noneMatch((node) -> OrderNumbers.isIssuedBy(call.key(), node.incarnation()));
 			boolean sameContent = earlier.stream().allMatch((other) -> other.content().equals(call.content()));
 			if (free && sameContent && !issuedByDead && !ran(call)) {
 				refused.add(call.outcome() + " for " + call.request);
@@ -122,7 +122,7 @@
 		for (int i = 0; i < KEYS; i++) {
 			OrderKey hashed = new OrderKey(history.random.nextLong(), history.random.nextLong());
 			String text = (i % 5 == 0) ? issued(history) : "key-" + i;
-			keys.add(OrderNumbers.mark(hashed, text));
+			keys.add(OrderNumbers.encodeOrigin(hashed, text));
 		}
 		return keys;
 	}
--- a/src/test/java/sycamorehill/logic/order/OrderNode.java
+++ b/src/test/java/sycamorehill/logic/order/OrderNode.java
@@ -41,7 +41,7 @@
 
 	private OrderState state = OrderState.initial();
 
-	private LiveNodes liveNodes = LiveNodes.none();
+	private LiveNodes liveNodes = LiveNodes.empty();
 
 	private boolean paused;
 
--- a/src/test/java/sycamorehill/logic/order/OrderTrapTests.java
+++ b/src/test/java/sycamorehill/logic/order/OrderTrapTests.java
@@ -19,10 +19,10 @@
 import sycamorehill.model.identity.NodeIncarnation;
 import sycamorehill.model.identity.NodeName;
 import sycamorehill.model.order.OrderClaim;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderNumbers;
 import sycamorehill.model.order.OrderShard;
 import sycamorehill.model.order.OrderStatus;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.peer.OrderClaimReply;
 import sycamorehill.model.platform.ObjectKind;
 import sycamorehill.model.platform.PlatformAnswer;
@@ -171,7 +171,7 @@
 		this.history.restart(node(1));
 		this.history.nodes.forEach(this.history::see);
 		this.history.feed(node(1), new PeerEvent.MessageReceived(keeper().identity(),
-				new OrderClaimReply(KEY, mark, OrderVerdict.GRANTED, Optional.empty())));
+				new OrderClaimReply(KEY, mark, OrderClaimDecision.GRANTED, Optional.empty())));
 		pass(5);
 		Call second = call(2);
 		pass(3);
@@ -373,7 +373,7 @@
 
 	private OrderKey issuedBy(OrderNode node) {
 		Instant clock = node.clock(this.history.now());
-		return OrderNumbers.mark(KEY, OrderNumbers.issue(node.incarnation(), clock, 7));
+		return OrderNumbers.encodeOrigin(KEY, OrderNumbers.issue(node.incarnation(), clock, 7));
 	}
 
 	private void pass(double seconds) {
--- a/src/test/java/sycamorehill/logic/quarantine/QuarantineReducerTests.java
+++ b/src/test/java/sycamorehill/logic/quarantine/QuarantineReducerTests.java
@@ -12,8 +12,8 @@
 import sycamorehill.model.event.PeerEvent;
 import sycamorehill.model.event.RequestEvent;
 import sycamorehill.model.group.EngineState;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.group.VmReport;
-import sycamorehill.model.group.VmSight;
 import sycamorehill.model.identity.AttemptIdentifier;
 import sycamorehill.model.identity.VmName;
 import sycamorehill.model.membership.LiveNode;
@@ -25,7 +25,7 @@
 import sycamorehill.model.peer.SuspectsSpread;
 import sycamorehill.model.request.AttemptResult;
 import sycamorehill.model.request.Fingerprint;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.Refusal;
 import sycamorehill.model.request.RefusalReason;
 import sycamorehill.model.request.RequestDescription;
@@ -63,7 +63,7 @@
 	@Test
 	void wholeAnswerClearsASuspect() {
 		lose(start(GUILTY, FIRST), GUILTY, FIRST);
-		close(start(GUILTY, SECOND), GUILTY, SECOND, new AttemptResult.Whole(1, Optional.empty()));
+		close(start(GUILTY, SECOND), GUILTY, SECOND, new AttemptResult.Completed(1, Optional.empty()));
 		assertThat(this.state.suspected(GUILTY, this.now)).isFalse();
 	}
 
@@ -149,7 +149,7 @@
 		lose(start(GUILTY, group), GUILTY, group);
 		pass(Duration.ofSeconds(1));
 		VmReport report = new VmReport(member, "i1", EngineState.READY, Optional.empty(), false, 0, 0, 0, 0, 1);
-		this.view.sights().put(member, new VmSight(report, this.now));
+		this.view.sights().put(member, new VmObservation(report, this.now));
 		pass(Duration.ofSeconds(2));
 		assertThat(this.state.suspected(GUILTY, this.now)).isFalse();
 	}
@@ -161,7 +161,7 @@
 		tell(new ContentQuarantined(new QuarantineEntry(GUILTY, Duration.ofHours(24)), List.of()));
 		this.now = this.now.plus(Duration.ofHours(23));
 		RequestOutcome refused = new RequestOutcome.NotRun(Refusal.of(RefusalReason.QUARANTINED, ""));
-		feed(new RequestEvent.Finished(request(GUILTY), Handling.REPEATABLE, refused, 0, Optional.empty()));
+		feed(new RequestEvent.Finished(request(GUILTY), Idempotency.REPEATABLE, refused, 0, Optional.empty()));
 		this.now = this.now.plus(Duration.ofHours(2));
 		assertThat(this.state.quarantined(GUILTY, this.now)).isTrue();
 	}
@@ -197,7 +197,7 @@
 	}
 
 	private void lose(AttemptIdentifier attempt, Fingerprint content, ServingTarget target) {
-		close(attempt, content, target, new AttemptResult.Broken(true, "reset"));
+		close(attempt, content, target, new AttemptResult.Interrupted(true, "reset"));
 	}
 
 	private void close(AttemptIdentifier attempt, Fingerprint content, ServingTarget target, AttemptResult result) {
--- a/src/test/java/sycamorehill/logic/request/RequestReducerTests.java
+++ b/src/test/java/sycamorehill/logic/request/RequestReducerTests.java
@@ -13,7 +13,7 @@
 import sycamorehill.model.identity.AttemptIdentifier;
 import sycamorehill.model.identity.TargetName;
 import sycamorehill.model.request.AttemptResult;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RecordedAnswer;
 import sycamorehill.model.request.Refusal;
 import sycamorehill.model.request.RefusalReason;
@@ -25,14 +25,14 @@
 
 class RequestReducerTests {
 
-	private static final AttemptResult BROKEN = new AttemptResult.Broken(true, "reset");
+	private static final AttemptResult BROKEN = new AttemptResult.Interrupted(true, "reset");
 
-	private static final AttemptResult STALLED = new AttemptResult.Broken(false, "nothing came");
+	private static final AttemptResult STALLED = new AttemptResult.Interrupted(false, "nothing came");
 
 	private static final AttemptResult REFUSED = new AttemptResult.RefusedBeforeRunning(false, Duration.ofSeconds(7),
 			"full");
 
-	private static final AttemptResult NOTHING_SENT = new AttemptResult.NothingSent("connection refused");
+	private static final AttemptResult NOTHING_SENT = new AttemptResult.NotSent("connection refused");
 
 	private final RequestDescription request = SampleRequests.request("n1", 1, "a");
 
@@ -46,13 +46,13 @@
 
 	@Test
 	void wholeAnswerCompletesTheRequest() {
-		this.run.clear(this.request, Handling.REPEATABLE).end(new AttemptResult.Whole(5, Optional.empty()));
+		this.run.clear(this.request, Idempotency.REPEATABLE).end(new AttemptResult.Completed(5, Optional.empty()));
 		assertThat(this.run.outcomes()).containsExactly(new RequestOutcome.Completed());
 	}
 
 	@Test
 	void brokenStreamGoesOnOnAnotherTarget() {
-		this.run.clear(this.request, Handling.REPEATABLE).firstToken().end(3, BROKEN);
+		this.run.clear(this.request, Idempotency.REPEATABLE).firstToken().end(3, BROKEN);
 		assertThat(this.run.starts()).extracting((start) -> start.target().name())
 			.containsExactly(TargetName.of("t1"), TargetName.of("t2"));
 	}
@@ -63,7 +63,7 @@
 	@Test
 	void brokenStreamGoesOnOnlyOnTheModelVersionThatItBeganWith() {
 		versions("1", "2", "1");
-		this.run.clear(this.request, Handling.REPEATABLE).firstToken().end(3, BROKEN);
+		this.run.clear(this.request, Idempotency.REPEATABLE).firstToken().end(3, BROKEN);
 		assertThat(this.run.starts()).extracting((start) -> start.target().name())
 			.containsExactly(TargetName.of("t1"), TargetName.of("t3"));
 	}
@@ -71,14 +71,14 @@
 	@Test
 	void brokenStreamWithNoTargetOfItsModelVersionLeftEndsInAnError() {
 		versions("1", "2", "2");
-		this.run.clear(this.request, Handling.REPEATABLE).firstToken().end(3, BROKEN).pass(Duration.ofSeconds(30));
+		this.run.clear(this.request, Idempotency.REPEATABLE).firstToken().end(3, BROKEN).pass(Duration.ofSeconds(30));
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.Unknown.class);
 	}
 
 	@Test
 	void requestThatHasNotBegunMayGoToAnotherModelVersion() {
 		versions("1", "2", "2");
-		this.run.clear(this.request, Handling.REPEATABLE).end(0, BROKEN).pass(Duration.ofSeconds(1));
+		this.run.clear(this.request, Idempotency.REPEATABLE).end(0, BROKEN).pass(Duration.ofSeconds(1));
 		assertThat(this.run.starts()).extracting((start) -> start.target().name())
 			.containsExactly(TargetName.of("t1"), TargetName.of("t2"));
 	}
@@ -92,7 +92,7 @@
 
 	@Test
 	void attemptsNeverShareAnIdentifier() {
-		this.run.clear(this.request, Handling.REPEATABLE).end(BROKEN);
+		this.run.clear(this.request, Idempotency.REPEATABLE).end(BROKEN);
 		assertThat(this.run.starts()).extracting(RequestEffect.StartAttempt::attempt).doesNotHaveDuplicates();
 	}
 
@@ -101,7 +101,7 @@
 	// target refused, and only the last answer was passed on.
 	@Test
 	void refusalAfterBrokenAttemptIsUnknown() {
-		this.run.clear(this.request, Handling.REPEATABLE).end(BROKEN).end(REFUSED);
+		this.run.clear(this.request, Idempotency.REPEATABLE).end(BROKEN).end(REFUSED);
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.Unknown.class);
 	}
 
@@ -109,25 +109,25 @@
 	// was sent to a second target.
 	@Test
 	void brokenOrderIsNotSentAgain() {
-		this.run.clear(this.request, Handling.ONCE_WITH_KEY).end(BROKEN).pass(Duration.ofMinutes(1));
+		this.run.clear(this.request, Idempotency.ONCE_WITH_KEY).end(BROKEN).pass(Duration.ofMinutes(1));
 		assertThat(this.run.starts()).hasSize(1);
 	}
 
 	@Test
 	void failedOrderIsNotSentAgain() {
-		this.run.clear(this.request, Handling.ONCE_WITHOUT_KEY).end(new AttemptResult.FailedWhileRunning("error"));
+		this.run.clear(this.request, Idempotency.ONCE_WITHOUT_KEY).end(new AttemptResult.FailedWhileRunning("error"));
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.Failed.class);
 	}
 
 	@Test
 	void orderThatReachedNoTargetGoesToAnother() {
-		this.run.clear(this.request, Handling.ONCE_WITH_KEY).end(NOTHING_SENT);
+		this.run.clear(this.request, Idempotency.ONCE_WITH_KEY).end(NOTHING_SENT);
 		assertThat(this.run.starts()).hasSize(2);
 	}
 
 	@Test
 	void refusalByEveryTargetIsNotRun() {
-		this.run.clear(this.request, Handling.ONCE_WITH_KEY)
+		this.run.clear(this.request, Idempotency.ONCE_WITH_KEY)
 			.end(REFUSED)
 			.pass(Duration.ofSeconds(1))
 			.end(REFUSED)
@@ -138,7 +138,7 @@
 	@Test
 	void refusalCarriesTheTargetsTimeToComeBack() {
 		this.run.view().targets().remove(1);
-		this.run.clear(this.request, Handling.REPEATABLE).end(REFUSED).pass(Duration.ofSeconds(1));
+		this.run.clear(this.request, Idempotency.REPEATABLE).end(REFUSED).pass(Duration.ofSeconds(1));
 		RequestOutcome.NotRun outcome = (RequestOutcome.NotRun) this.run.outcomes().get(0);
 		assertThat(outcome.refusal().retryAfter()).contains(Duration.ofSeconds(7));
 	}
@@ -146,7 +146,7 @@
 	@Test
 	void requestWaitsForATargetToAppear() {
 		this.run.view().targets().clear();
-		this.run.clear(this.request, Handling.REPEATABLE);
+		this.run.clear(this.request, Idempotency.REPEATABLE);
 		this.run.view().targets().add(SampleRequests.target("t3"));
 		this.run.pass(Duration.ofMillis(300));
 		assertThat(this.run.starts()).hasSize(1);
@@ -155,7 +155,7 @@
 	@Test
 	void requestWithoutTargetIsRefusedAfterABoundedWait() {
 		this.run.view().targets().clear();
-		this.run.clear(this.request, Handling.REPEATABLE).pass(Duration.ofSeconds(3));
+		this.run.clear(this.request, Idempotency.REPEATABLE).pass(Duration.ofSeconds(3));
 		assertThat(this.run.outcomes()).hasSize(1)
 			.first()
 			.isInstanceOfSatisfying(RequestOutcome.NotRun.class,
@@ -164,7 +164,7 @@
 
 	@Test
 	void callerThatHasGoneCancelsItsAttempt() {
-		this.run.clear(this.request, Handling.REPEATABLE);
+		this.run.clear(this.request, Idempotency.REPEATABLE);
 		AttemptIdentifier attempt = this.run.lastAttempt();
 		this.run.feed(new RequestEvent.CallerGone(this.request.identifier()));
 		assertThat(this.run.effects()).contains(new RequestEffect.CancelAttempt(attempt));
@@ -176,9 +176,9 @@
 	@Test
 	void orderWhoseCallerLeftRunsOnAndItsAnswerIsKept() {
 		Optional<RecordedAnswer> answer = Optional.of(new RecordedAnswer(200, "text/plain", "booked"));
-		this.run.clear(this.request, Handling.ONCE_WITH_KEY)
+		this.run.clear(this.request, Idempotency.ONCE_WITH_KEY)
 			.feed(new RequestEvent.CallerGone(this.request.identifier()))
-			.end(new AttemptResult.Whole(0, answer));
+			.end(new AttemptResult.Completed(0, answer));
 		assertThat(this.run.finished()).extracting(RequestEvent.Finished::answer).containsExactly(answer);
 	}
 
@@ -188,11 +188,11 @@
 	void orderClearedAfterItsCallerLeftIsNotSentAndIsReportedAsNotRun() {
 		this.run.feed(new RequestEvent.Arrived(this.request))
 			.feed(new RequestEvent.CallerGone(this.request.identifier()))
-			.feed(new RequestEvent.Cleared(this.request, Handling.ONCE_WITH_KEY));
+			.feed(new RequestEvent.Cleared(this.request, Idempotency.ONCE_WITH_KEY));
 		assertThat(this.run.starts()).isEmpty();
 		assertThat(this.run.finished()).last()
 			.satisfies((finished) -> assertThat(finished.outcome()).isInstanceOf(RequestOutcome.NotRun.class))
-			.satisfies((finished) -> assertThat(finished.handling()).isEqualTo(Handling.ONCE_WITH_KEY));
+			.satisfies((finished) -> assertThat(finished.handling()).isEqualTo(Idempotency.ONCE_WITH_KEY));
 	}
 
 	@Test
@@ -209,36 +209,36 @@
 	@Test
 	void refusalByAnotherPartWhileAnAttemptRunsIsUnknown() {
 		RequestOutcome refusal = new RequestOutcome.NotRun(Refusal.of(RefusalReason.OVERLOADED, "full"));
-		this.run.clear(this.request, Handling.ONCE_WITH_KEY)
+		this.run.clear(this.request, Idempotency.ONCE_WITH_KEY)
 			.feed(new RequestEvent.Refused(this.request.identifier(), refusal));
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.Unknown.class);
 	}
 
 	@Test
 	void endOfAnAttemptThatWasGivenUpChangesNothing() {
-		this.run.clear(this.request, Handling.REPEATABLE);
+		this.run.clear(this.request, Idempotency.REPEATABLE);
 		AttemptIdentifier first = this.run.lastAttempt();
 		this.run.end(BROKEN)
-			.feed(new RequestEvent.AttemptEnded(first, 5, new AttemptResult.Whole(5, Optional.empty())));
+			.feed(new RequestEvent.AttemptEnded(first, 5, new AttemptResult.Completed(5, Optional.empty())));
 		assertThat(this.run.outcomes()).isEmpty();
 	}
 
 	@Test
 	void answerThatHasNotBegunByItsDeadlineIsGivenUp() {
-		this.run.clear(this.request, Handling.REPEATABLE).pass(SampleRequests.DEADLINE);
+		this.run.clear(this.request, Idempotency.REPEATABLE).pass(SampleRequests.DEADLINE);
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.Unknown.class);
 	}
 
 	@Test
 	void answerThatHasBegunOutlivesItsDeadline() {
-		this.run.clear(this.request, Handling.REPEATABLE).firstToken().pass(SampleRequests.DEADLINE.multipliedBy(2));
+		this.run.clear(this.request, Idempotency.REPEATABLE).firstToken().pass(SampleRequests.DEADLINE.multipliedBy(2));
 		assertThat(this.run.outcomes()).isEmpty();
 	}
 
 	@Test
 	void quarantinedRequestIsNotSent() {
 		this.run.view().quarantine().add(this.request.fingerprint());
-		this.run.clear(this.request, Handling.REPEATABLE);
+		this.run.clear(this.request, Idempotency.REPEATABLE);
 		assertThat(this.run.starts()).isEmpty();
 	}
 
@@ -247,7 +247,7 @@
 	@Test
 	void retriesEndWhenTheServicesBudgetIsSpent() {
 		for (int number = 0; number < 100; number++) {
-			this.run.clear(SampleRequests.request("n1", number, "c" + number), Handling.REPEATABLE)
+			this.run.clear(SampleRequests.request("n1", number, "c" + number), Idempotency.REPEATABLE)
 				.end(STALLED)
 				.pass(Duration.ofMillis(200));
 		}
@@ -256,12 +256,12 @@
 
 	@Test
 	void stoppingNodeFinishesWhatIsInFlight() {
-		this.run.clear(this.request, Handling.REPEATABLE)
+		this.run.clear(this.request, Idempotency.REPEATABLE)
 			.firstToken()
 			.feed(new NodeEvent.StopRequested())
 			.pass(Duration.ofMinutes(1));
 		assertThat(this.run.effects()).doesNotContain(new NodeEffect.Exit());
-		this.run.end(new AttemptResult.Whole(5, Optional.empty())).pass(Duration.ofSeconds(1));
+		this.run.end(new AttemptResult.Completed(5, Optional.empty())).pass(Duration.ofSeconds(1));
 		assertThat(this.run.effects()).contains(new NodeEffect.Exit());
 	}
 
@@ -273,7 +273,7 @@
 
 	@Test
 	void stoppingNodeTellsWhatItCutOffAtItsBound() {
-		this.run.clear(this.request, Handling.REPEATABLE)
+		this.run.clear(this.request, Idempotency.REPEATABLE)
 			.firstToken()
 			.feed(new NodeEvent.StopRequested())
 			.pass(Duration.ofMinutes(11));
--- a/src/test/java/sycamorehill/logic/request/RequestRun.java
+++ b/src/test/java/sycamorehill/logic/request/RequestRun.java
@@ -16,7 +16,7 @@
 import sycamorehill.model.event.RequestEvent;
 import sycamorehill.model.identity.AttemptIdentifier;
 import sycamorehill.model.request.AttemptResult;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RequestDescription;
 import sycamorehill.model.request.RequestOutcome;
 import sycamorehill.support.FixedView;
@@ -70,7 +70,7 @@
 		return this;
 	}
 
-	RequestRun clear(RequestDescription request, Handling handling) {
+	RequestRun clear(RequestDescription request, Idempotency handling) {
 		return feed(new RequestEvent.Arrived(request)).feed(new RequestEvent.Cleared(request, handling));
 	}
 
--- a/src/test/java/sycamorehill/logic/routing/TargetChooserTests.java
+++ b/src/test/java/sycamorehill/logic/routing/TargetChooserTests.java
@@ -15,8 +15,8 @@
 import sycamorehill.model.event.RequestEvent;
 import sycamorehill.model.group.EngineState;
 import sycamorehill.model.group.GroupIdentity;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.group.VmReport;
-import sycamorehill.model.group.VmSight;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.identity.AttemptIdentifier;
 import sycamorehill.model.identity.DataCentreName;
@@ -198,7 +198,7 @@
 		this.state = this.reducer
 			.reduce(this.state, this.now,
 					new RequestEvent.AttemptClosed(request(number), attempt(number), target,
-							new AttemptResult.Whole(1, Optional.empty())),
+							new AttemptResult.Completed(1, Optional.empty())),
 					this.view)
 			.state();
 	}
@@ -212,8 +212,8 @@
 		GroupIdentity group = GroupIdentity.of(GroupName.of(GroupSetName.of("set"), number), 1);
 		VmReport report = new VmReport(vm, "life", EngineState.READY, Optional.of(group), false, running, queued, 0, 0,
 				1);
-		this.view.sight(new VmSight(report, this.now.plus(Duration.ofMillis(1))));
-		return new ServingTarget(group.name().target(), RequestFixtures.CHAT, DataCentreName.of(dataCentre),
+		this.view.sight(new VmObservation(report, this.now.plus(Duration.ofMillis(1))));
+		return new ServingTarget(group.name().targetName(), RequestFixtures.CHAT, DataCentreName.of(dataCentre),
 				Address.of("127.0.0.1", 1), Optional.of(group), List.of(vm));
 	}
 
--- a/src/test/java/sycamorehill/logic/ticket/CompactionTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/CompactionTests.java
@@ -13,10 +13,10 @@
 import sycamorehill.model.platform.PlatformRequest;
 import sycamorehill.model.platform.PlatformValue;
 import sycamorehill.model.policy.TicketPolicy;
+import sycamorehill.model.ticket.DesiredStateSnapshot;
 import sycamorehill.model.ticket.FilingOutcome;
 import sycamorehill.model.ticket.Ticket;
 import sycamorehill.model.ticket.TicketValue;
-import sycamorehill.model.ticket.TruthSnapshot;
 import sycamorehill.support.Drafts;
 import sycamorehill.support.FakePlatform;
 import sycamorehill.support.NodeGroup;
@@ -169,8 +169,8 @@
 		return listed.objects().stream().map((object) -> Long.valueOf(object.key().name())).toList();
 	}
 
-	private TruthSnapshot snapshot() {
-		return (TruthSnapshot) this.group.platform().object(TicketNames.SNAPSHOT).value();
+	private DesiredStateSnapshot snapshot() {
+		return (DesiredStateSnapshot) this.group.platform().object(TicketNames.SNAPSHOT).value();
 	}
 
 	private PlatformValue value(long number) {
--- a/src/test/java/sycamorehill/logic/ticket/SnapshotSizeTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/SnapshotSizeTests.java
@@ -10,8 +10,8 @@
 import sycamorehill.model.identity.WorkspaceName;
 import sycamorehill.model.policy.TicketPolicy;
 import sycamorehill.model.ticket.AcceptedFiling;
-import sycamorehill.model.ticket.ItemInForce;
-import sycamorehill.model.ticket.TruthSnapshot;
+import sycamorehill.model.ticket.AppliedItem;
+import sycamorehill.model.ticket.DesiredStateSnapshot;
 import sycamorehill.model.ticket.WorkspaceItem;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -28,13 +28,13 @@
 		// If the validator let the truth grow past what one object holds, no snapshot
 		// could be written any more: the log would grow for ever, and later tickets
 		// could never be refused for it, because they are accepted already.
-		List<ItemInForce> items = new ArrayList<>();
+		List<AppliedItem> items = new ArrayList<>();
 		long bytes = 0;
 		while (bytes <= TicketValidator.MOST_TRUTH_BYTES) {
 			String name = "workspace-with-a-long-name-" + items.size();
 			WorkspaceItem item = new WorkspaceItem(WorkspaceName.of(name), "f".repeat(64), 123456.789, 1234567.89,
 					Integer.MAX_VALUE, 1000);
-			items.add(new ItemInForce(item, 1_000_000 + items.size()));
+			items.add(new AppliedItem(item, 1_000_000 + items.size()));
 			bytes += ItemRules.bytes(item);
 		}
 		List<AcceptedFiling> filings = new ArrayList<>();
@@ -42,7 +42,7 @@
 			String identifier = "0123456789abcdef0123456789abcdef" + filing;
 			filings.add(new AcceptedFiling(FilingIdentifier.of(identifier), 1_000_000 + filing));
 		}
-		TruthSnapshot snapshot = new TruthSnapshot(2_000_000, items, 1, 1_999_600, filings);
+		DesiredStateSnapshot snapshot = new DesiredStateSnapshot(2_000_000, items, 1, 1_999_600, filings);
 		assertThat(ModelJson.json().writeValueAsBytes(snapshot).length).isLessThan(OBJECT_LIMIT);
 	}
 
--- a/src/test/java/sycamorehill/logic/ticket/SpreadTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/SpreadTests.java
@@ -13,7 +13,7 @@
 import sycamorehill.model.identity.NodeName;
 import sycamorehill.model.identity.OperatorCallIdentifier;
 import sycamorehill.model.peer.Heartbeat;
-import sycamorehill.model.ticket.DataCentreForce;
+import sycamorehill.model.ticket.DataCentreRollout;
 import sycamorehill.model.ticket.FilingOutcome;
 import sycamorehill.support.Drafts;
 import sycamorehill.support.NodeGroup;
@@ -83,7 +83,7 @@
 		this.group.pause("node-6", Duration.ofSeconds(3));
 		this.group.file("node-1", Drafts.service("f2", "drafting", "2", 1));
 		this.group.runFor(Duration.ofMillis(500));
-		DataCentreForce kagoshima = force("node-1", 2).stream()
+		DataCentreRollout kagoshima = force("node-1", 2).stream()
 			.filter((force) -> force.dataCentre().equals(DataCentreName.of("kagoshima")))
 			.findFirst()
 			.orElseThrow();
@@ -95,7 +95,7 @@
 		startSix();
 		cutOffFukuoka();
 		file("node-5", 1);
-		DataCentreForce fukuoka = force("node-5", 1).stream()
+		DataCentreRollout fukuoka = force("node-5", 1).stream()
 			.filter((force) -> force.dataCentre().equals(FUKUOKA))
 			.findFirst()
 			.orElseThrow();
@@ -153,7 +153,7 @@
 		this.group.platformReachable("fukuoka", false);
 	}
 
-	private List<DataCentreForce> force(String node, long number) {
+	private List<DataCentreRollout> force(String node, long number) {
 		OperatorCallIdentifier call = this.group.askForce(node, number);
 		this.group.runFor(Duration.ofSeconds(3));
 		return this.group.force(call).dataCentres();
--- a/src/test/java/sycamorehill/logic/ticket/TicketValidatorTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/TicketValidatorTests.java
@@ -7,12 +7,12 @@
 
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.identity.WorkspaceName;
+import sycamorehill.model.ticket.AppliedItem;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.ItemChange;
-import sycamorehill.model.ticket.ItemInForce;
 import sycamorehill.model.ticket.ItemKey;
 import sycamorehill.model.ticket.ItemKind;
 import sycamorehill.model.ticket.ServiceItem;
-import sycamorehill.model.ticket.Truth;
 import sycamorehill.model.ticket.WorkspaceItem;
 import sycamorehill.support.Drafts;
 
@@ -25,9 +25,9 @@
 
 	private static final ServiceItem SERVICE = ServiceItem.model(ServiceName.of("drafting"), "model", "1");
 
-	private static final Truth TRUTH = Truth.of(7,
-			List.of(new ItemInForce(SERVICE, 5), new ItemInForce(Drafts.groupSet("set", "drafting", 2), 6),
-					new ItemInForce(Drafts.workspace("desk", 'a'), 7)));
+	private static final DesiredState TRUTH = DesiredState.of(7,
+			List.of(new AppliedItem(SERVICE, 5), new AppliedItem(Drafts.groupSet("set", "drafting", 2), 6),
+					new AppliedItem(Drafts.workspace("desk", 'a'), 7)));
 
 	@Test
 	void soundTicketHasNoFault() {
@@ -43,7 +43,7 @@
 	@Test
 	void itemChangedByAnotherTicketIsShown() {
 		assertThat(TicketValidator.validate(Drafts.of("f", ItemChange.set(SERVICE, 4)), TRUTH).presentItems())
-			.containsExactly(new ItemInForce(SERVICE, 5));
+			.containsExactly(new AppliedItem(SERVICE, 5));
 	}
 
 	@Test
--- a/src/test/java/sycamorehill/logic/ticket/TruthLogTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/TruthLogTests.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 import sycamorehill.model.ticket.AcceptedFiling;
+import sycamorehill.model.ticket.DesiredStateSnapshot;
 import sycamorehill.model.ticket.Ticket;
-import sycamorehill.model.ticket.TruthSnapshot;
 import sycamorehill.support.Drafts;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -20,7 +20,7 @@
 	private static final int KEPT = 3;
 
 	private static final TruthLog AT_FIVE = TruthLog.empty()
-		.adopt(new TruthSnapshot(2, List.of(), 1, 0, List.of()), KEPT)
+		.adopt(new DesiredStateSnapshot(2, List.of(), 1, 0, List.of()), KEPT)
 		.append(ticket(3), KEPT, KEPT)
 		.append(ticket(4), KEPT, KEPT)
 		.append(ticket(5), KEPT, KEPT);
@@ -29,7 +29,7 @@
 	void lowerTruthChangesNothing() {
 		// A peer's whole truth has been under way for long and comes after later
 		// tickets. A node that took it would put old state in force again.
-		assertThat(AT_FIVE.adopt(new TruthSnapshot(4, List.of(), 1, 0, List.of()), KEPT).number()).isEqualTo(5);
+		assertThat(AT_FIVE.adopt(new DesiredStateSnapshot(4, List.of(), 1, 0, List.of()), KEPT).number()).isEqualTo(5);
 	}
 
 	@Test
@@ -44,7 +44,7 @@
 
 	@Test
 	void truthAfterAnEarlierTicketIsKept() {
-		assertThat(AT_FIVE.at(4).get().setBy(Drafts.service("f", "drafting", "4", 0).changes().get(0).key()))
+		assertThat(AT_FIVE.at(4).get().lastSetBy(Drafts.service("f", "drafting", "4", 0).changes().get(0).key()))
 			.isEqualTo(4);
 	}
 
@@ -57,7 +57,7 @@
 	@Test
 	void filingsOfTheSnapshotAreRemembered() {
 		AcceptedFiling filing = new AcceptedFiling(Drafts.of("early").filing(), 2);
-		TruthLog log = TruthLog.empty().adopt(new TruthSnapshot(3, List.of(), 1, 0, List.of(filing)), KEPT);
+		TruthLog log = TruthLog.empty().adopt(new DesiredStateSnapshot(3, List.of(), 1, 0, List.of(filing)), KEPT);
 		assertThat(log.accepted(filing.filing())).contains(2L);
 	}
 
--- a/src/test/java/sycamorehill/model/order/OrderNumbersTests.java
+++ b/src/test/java/sycamorehill/model/order/OrderNumbersTests.java
@@ -21,27 +21,27 @@
 
 	@Property(seed = "1")
 	void callersOwnKeyIsNeverTakenForAnIssuedNumber(@ForAll long high, @ForAll long low) {
-		OrderKey key = OrderNumbers.mark(new OrderKey(high, low), "booking-17");
-		Assertions.assertThat(OrderNumbers.issued(key)).isFalse();
+		OrderKey key = OrderNumbers.encodeOrigin(new OrderKey(high, low), "booking-17");
+		Assertions.assertThat(OrderNumbers.isIssued(key)).isFalse();
 	}
 
 	@Property(seed = "1")
-	void issuedNumberKnowsItsIssuer(@ForAll long random, @ForAll long low) {
-		OrderKey key = OrderNumbers.mark(new OrderKey(0, low), OrderNumbers.issue(ISSUER, NOW, random));
-		Assertions.assertThat(OrderNumbers.issued(key)).isTrue();
-		Assertions.assertThat(OrderNumbers.issuedBy(key, ISSUER)).isTrue();
+	void issuedNumberIdentifiesItsIssuer(@ForAll long random, @ForAll long low) {
+		OrderKey key = OrderNumbers.encodeOrigin(new OrderKey(0, low), OrderNumbers.issue(ISSUER, NOW, random));
+		Assertions.assertThat(OrderNumbers.isIssued(key)).isTrue();
+		Assertions.assertThat(OrderNumbers.isIssuedBy(key, ISSUER)).isTrue();
 	}
 
 	@Test
 	void nextIncarnationIsNotTheIssuer() {
-		OrderKey key = OrderNumbers.mark(new OrderKey(0, 5), OrderNumbers.issue(ISSUER, NOW, 3));
+		OrderKey key = OrderNumbers.encodeOrigin(new OrderKey(0, 5), OrderNumbers.issue(ISSUER, NOW, 3));
 		NodeIncarnation next = NodeIncarnation.of(ISSUER.node(), ISSUER.number() + 1);
-		Assertions.assertThat(OrderNumbers.issuedBy(key, next)).isFalse();
+		Assertions.assertThat(OrderNumbers.isIssuedBy(key, next)).isFalse();
 	}
 
 	@Property(seed = "1")
 	void ageIsTheTimeSinceTheIssue(@ForAll @IntRange(max = 10_000_000) int seconds) {
-		OrderKey key = OrderNumbers.mark(new OrderKey(0, 5), OrderNumbers.issue(ISSUER, NOW, 3));
+		OrderKey key = OrderNumbers.encodeOrigin(new OrderKey(0, 5), OrderNumbers.issue(ISSUER, NOW, 3));
 		Assertions.assertThat(OrderNumbers.age(key, NOW.plusSeconds(seconds))).isEqualTo(Duration.ofSeconds(seconds));
 	}
 
--- a/src/test/java/sycamorehill/process/ProcessSystem.java
+++ b/src/test/java/sycamorehill/process/ProcessSystem.java
@@ -39,7 +39,7 @@
 import sycamorehill.model.ticket.PlainTarget;
 import sycamorehill.model.ticket.ServiceItem;
 import sycamorehill.model.ticket.TicketDraft;
-import sycamorehill.model.ticket.TicketForce;
+import sycamorehill.model.ticket.TicketRollout;
 import sycamorehill.model.ticket.WorkspaceItem;
 import sycamorehill.model.ticket.WorkspaceKeys;
 import sycamorehill.runtime.MonotonicClock;
@@ -201,7 +201,7 @@
 	boolean awaitInForce(long number, int dataCentres) throws Exception {
 		OperatorClient operator = OperatorClient.create(HttpCaller.create(this.pool), this.json);
 		for (int attempt = 0; attempt < 200; attempt++) {
-			TicketForce force = operator.show(this.nodes.get(0).operators(), number).get();
+			TicketRollout force = operator.show(this.nodes.get(0).operators(), number).get();
 			boolean everywhere = force.dataCentres()
 				.stream()
 				.allMatch((one) -> one.nodesKnown() > 0 && one.missing().isEmpty());
--- a/src/test/java/sycamorehill/settings/ExamplesTests.java
+++ b/src/test/java/sycamorehill/settings/ExamplesTests.java
@@ -11,8 +11,8 @@
 
 import sycamorehill.json.ModelJson;
 import sycamorehill.logic.ticket.TicketValidator;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.TicketDraft;
-import sycamorehill.model.ticket.Truth;
 
 /**
  * The examples that users start from.
@@ -41,7 +41,7 @@
 	void exampleTicketIsSoundForAnEmptyTruth() throws IOException {
 		TicketDraft draft = ModelJson.json()
 			.readValue(Files.readString(Path.of("examples/first-ticket.json")), TicketDraft.class);
-		Assertions.assertThat(TicketValidator.validate(draft, Truth.empty()).faults()).isEmpty();
+		Assertions.assertThat(TicketValidator.validate(draft, DesiredState.empty()).faults()).isEmpty();
 	}
 
 }
--- a/src/test/java/sycamorehill/support/FixedView.java
+++ b/src/test/java/sycamorehill/support/FixedView.java
@@ -10,7 +10,7 @@
 
 import sycamorehill.logic.NodeView;
 import sycamorehill.model.group.Allocation;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.NodeIdentity;
@@ -24,7 +24,7 @@
 import sycamorehill.model.request.Fingerprint;
 import sycamorehill.model.request.RouteQuery;
 import sycamorehill.model.target.ServingTarget;
-import sycamorehill.model.ticket.Truth;
+import sycamorehill.model.ticket.DesiredState;
 
 /**
  * What a part under test reads of the others, set by hand.
@@ -39,9 +39,9 @@
 
 	private final Set<Fingerprint> quarantine = new HashSet<>();
 
-	private final Map<VmName, VmSight> sights = new HashMap<>();
+	private final Map<VmName, VmObservation> sights = new HashMap<>();
 
-	private LiveNodes liveNodes = LiveNodes.none();
+	private LiveNodes liveNodes = LiveNodes.empty();
 
 	private FixedView(NodeIdentity self) {
 		this.self = self;
@@ -78,7 +78,7 @@
 	 * The last sights of VMs.
 	 * @return the sights, to be changed by tests
 	 */
-	public Map<VmName, VmSight> sights() {
+	public Map<VmName, VmObservation> sights() {
 		return this.sights;
 	}
 
@@ -101,7 +101,7 @@
 	}
 
 	@Override
-	public Optional<Truth> truth() {
+	public Optional<DesiredState> truth() {
 		return Optional.empty();
 	}
 
@@ -128,7 +128,7 @@
 	}
 
 	@Override
-	public Optional<VmSight> sight(VmName vm) {
+	public Optional<VmObservation> sight(VmName vm) {
 		return Optional.ofNullable(this.sights.get(vm));
 	}
 
--- a/src/test/java/sycamorehill/support/NodeGroup.java
+++ b/src/test/java/sycamorehill/support/NodeGroup.java
@@ -36,7 +36,7 @@
 import sycamorehill.model.policy.Policy;
 import sycamorehill.model.ticket.FilingOutcome;
 import sycamorehill.model.ticket.TicketDraft;
-import sycamorehill.model.ticket.TicketForce;
+import sycamorehill.model.ticket.TicketRollout;
 
 /**
  * A few nodes as values in one thread, with the fake platform and links that delay, lose,
@@ -56,7 +56,7 @@
 
 	private final Map<OperatorCallIdentifier, FilingOutcome> outcomes = new HashMap<>();
 
-	private final Map<OperatorCallIdentifier, TicketForce> forces = new HashMap<>();
+	private final Map<OperatorCallIdentifier, TicketRollout> forces = new HashMap<>();
 
 	private final Set<DataCentreName> withoutPlatform = new HashSet<>();
 
@@ -205,7 +205,7 @@
 		return this.outcomes.get(call);
 	}
 
-	public TicketForce force(OperatorCallIdentifier call) {
+	public TicketRollout force(OperatorCallIdentifier call) {
 		return this.forces.get(call);
 	}
 
--- a/src/test/java/sycamorehill/support/TicketFiler.java
+++ b/src/test/java/sycamorehill/support/TicketFiler.java
@@ -10,13 +10,13 @@
 import sycamorehill.experiment.ControlNode;
 import sycamorehill.model.identity.OperatorCallIdentifier;
 import sycamorehill.model.identity.ServiceName;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.FilingOutcome;
 import sycamorehill.model.ticket.ItemChange;
 import sycamorehill.model.ticket.ItemKey;
 import sycamorehill.model.ticket.ItemKind;
 import sycamorehill.model.ticket.ServiceItem;
 import sycamorehill.model.ticket.TicketDraft;
-import sycamorehill.model.ticket.Truth;
 
 /**
  * One operator: files one ticket after the other through any node, and files again
@@ -97,7 +97,7 @@
 		}
 	}
 
-	private TicketDraft draft(Truth truth) {
+	private TicketDraft draft(DesiredState truth) {
 		String filing = this.name + "-" + (++this.filed);
 		List<ItemChange> changes = new ArrayList<>();
 		int first = this.random.nextInt(SERVICES);
@@ -108,12 +108,12 @@
 		return Drafts.of(filing, changes.toArray(ItemChange[]::new));
 	}
 
-	private ItemChange change(Truth truth, String service, String version) {
+	private ItemChange change(DesiredState truth, String service, String version) {
 		ItemKey key = ItemKey.of(ItemKind.SERVICE, service);
-		if (truth.setBy(key) > 0 && this.random.nextInt(6) == 0) {
-			return ItemChange.remove(key, truth.setBy(key));
+		if (truth.lastSetBy(key) > 0 && this.random.nextInt(6) == 0) {
+			return ItemChange.remove(key, truth.lastSetBy(key));
 		}
-		return ItemChange.set(ServiceItem.model(ServiceName.of(service), "model", version), truth.setBy(key));
+		return ItemChange.set(ServiceItem.model(ServiceName.of(service), "model", version), truth.lastSetBy(key));
 	}
 
 	private ControlNode anyNode() {
--- a/src/test/java/sycamorehill/support/TicketHistory.java
+++ b/src/test/java/sycamorehill/support/TicketHistory.java
@@ -14,9 +14,9 @@
 import sycamorehill.logic.ticket.TicketValidator;
 import sycamorehill.model.identity.FilingIdentifier;
 import sycamorehill.model.identity.NodeIncarnation;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.FilingOutcome;
 import sycamorehill.model.ticket.Ticket;
-import sycamorehill.model.ticket.Truth;
 
 /**
  * Records what filers heard and what nodes had in force, and checks that it is one
@@ -29,7 +29,7 @@
 
 	private final TreeMap<Long, Ticket> tickets = new TreeMap<>();
 
-	private final Map<Long, Truth> truths = new HashMap<>();
+	private final Map<Long, DesiredState> truths = new HashMap<>();
 
 	private final Map<NodeIncarnation, Long> numbers = new HashMap<>();
 
@@ -53,8 +53,8 @@
 			return;
 		}
 		this.numbers.put(node.self().incarnation(), number);
-		Truth truth = node.truth().orElseThrow();
-		Truth other = this.truths.putIfAbsent(number, truth);
+		DesiredState truth = node.truth().orElseThrow();
+		DesiredState other = this.truths.putIfAbsent(number, truth);
 		if (other != null && !other.equals(truth)) {
 			this.faults.add("two truths after ticket " + number);
 		}
@@ -97,7 +97,7 @@
 	}
 
 	private void checkLog() {
-		Truth truth = Truth.empty();
+		DesiredState truth = DesiredState.empty();
 		Set<FilingIdentifier> filings = new HashSet<>();
 		for (Ticket ticket : this.tickets.values()) {
 			if (ticket.number() != truth.number() + 1) {
