--- a/src/main/java/sycamorehill/logic/order/ClaimHolder.java
+++ b/src/main/java/sycamorehill/logic/order/ClaimHolder.java
@@ -7,15 +7,15 @@
 import sycamorehill.model.event.RequestEvent;
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.log.LogEvent;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderNumbers;
 import sycamorehill.model.order.OrderStatus;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.peer.OrderClaimReply;
 import sycamorehill.model.peer.OrderClaimRequest;
 import sycamorehill.model.peer.OrderSettlement;
 import sycamorehill.model.peer.OrderSettlementReply;
 import sycamorehill.model.peer.PeerMessage;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.OrderKey;
 import sycamorehill.model.request.RecordedAnswer;
 import sycamorehill.model.request.RequestDescription;
@@ -34,7 +34,7 @@
 
 	static void handleAdmitted(OrderStep step, RequestEvent.Admitted event) {
 		RequestDescription request = event.request();
-		if (event.handling() != Handling.ONCE_WITH_KEY) {
+		if (event.handling() != Idempotency.ONCE_WITH_KEY) {
 			step.raise(new RequestEvent.Cleared(request, event.handling()));
 			return;
 		}
@@ -80,7 +80,7 @@
 	}
 
 	private static Optional<NodeIdentity> committingNode(OrderStep step, ActiveOrder order) {
-		if (OrderNumbers.issued(order.key())) {
+		if (OrderNumbers.isIssued(order.key())) {
 			return Optional.ofNullable(ShardPlacement.issuer(order.key(), step.view()));
 		}
 		if (order.keptHere()) {
@@ -110,7 +110,7 @@
 	static void handleClaimReply(OrderStep step, OrderClaimReply reply) {
 		ActiveOrder order = step.state().held().get(reply.mark());
 		if (order == null) {
-			if (reply.verdict() == OrderVerdict.GRANTED) {
+			if (reply.verdict() == OrderClaimDecision.GRANTED) {
 				step.replaceState(
 						step.state().with(ActiveOrder.releasingLateGrant(reply.key(), reply.mark(), step.now())));
 			}
@@ -122,11 +122,11 @@
 			return;
 		}
 		RequestDescription request = order.request().orElseThrow();
-		if (reply.verdict() == OrderVerdict.GRANTED) {
+		if (reply.verdict() == OrderClaimDecision.GRANTED) {
 			step.replaceState(step.state().with(order.running()));
-			step.raise(new RequestEvent.Cleared(request, Handling.ONCE_WITH_KEY));
+			step.raise(new RequestEvent.Cleared(request, Idempotency.ONCE_WITH_KEY));
 		}
-		else if (reply.verdict() == OrderVerdict.NOT_TAKEN) {
+		else if (reply.verdict() == OrderClaimDecision.NOT_TAKEN) {
 			abandon(step, order, OrderOutcomes.claimsUnavailable());
 		}
 		else {
@@ -167,7 +167,7 @@
 	// so the order could run twice.
 	private static void sendSettlement(OrderStep step, ActiveOrder order) {
 		Optional<NodeIdentity> committer = committingNode(step, order);
-		if (OrderNumbers.issued(order.key()) && isForgottenByIssuer(step, order)) {
+		if (OrderNumbers.isIssued(order.key()) && isForgottenByIssuer(step, order)) {
 			step.replaceState(step.state().without(order));
 			return;
 		}
@@ -205,7 +205,7 @@
 	// update lets only one of two competing writes succeed.
 	private static void commitHere(OrderStep step, OrderKey key, String mark, ActiveOrder.Phase phase) {
 		ActiveOrder order = step.state().held().get(mark);
-		if (order != null && order.phase() == phase && !order.keptHere() && !OrderNumbers.issued(key)) {
+		if (order != null && order.phase() == phase && !order.keptHere() && !OrderNumbers.isIssued(key)) {
 			step.replaceState(step.state().with(order.withCommitHere(step.now())));
 		}
 	}
--- a/src/main/java/sycamorehill/logic/order/ClaimRules.java
+++ b/src/main/java/sycamorehill/logic/order/ClaimRules.java
@@ -7,8 +7,8 @@
 import sycamorehill.model.identity.NodeIncarnation;
 import sycamorehill.model.membership.LiveNode;
 import sycamorehill.model.order.OrderClaim;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderStatus;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.peer.OrderClaimReply;
 import sycamorehill.model.peer.OrderSettlementReply;
 import sycamorehill.model.peer.PeerMessage;
@@ -54,23 +54,23 @@
 		if (existing == null || existing.status() == OrderStatus.RELEASED) {
 			// A mark is released after its caller was answered "not run". Granting
 			// it now would create a claim that no node runs or settles.
-			return own ? replyOnly(operation, OrderVerdict.NOT_TAKEN, Optional.empty()) : grant(operation);
+			return own ? replyOnly(operation, OrderClaimDecision.NOT_TAKEN, Optional.empty()) : grant(operation);
 		}
 		if (!existing.fingerprint().equals(operation.fingerprint())) {
-			return replyOnly(operation, OrderVerdict.KEY_REUSED, Optional.empty());
+			return replyOnly(operation, OrderClaimDecision.KEY_REUSED, Optional.empty());
 		}
 		return switch (existing.status()) {
-			case RECORDED -> replyOnly(operation, OrderVerdict.RECORDED, existing.answer());
-			case UNKNOWN -> replyOnly(operation, OrderVerdict.UNKNOWN, Optional.empty());
-			default ->
-				own ? replyOnly(operation, OrderVerdict.GRANTED, Optional.empty()) : decideHeld(existing, operation);
+			case RECORDED -> replyOnly(operation, OrderClaimDecision.RECORDED, existing.answer());
+			case UNKNOWN -> replyOnly(operation, OrderClaimDecision.UNKNOWN, Optional.empty());
+			default -> own ? replyOnly(operation, OrderClaimDecision.GRANTED, Optional.empty())
+					: decideHeld(existing, operation);
 		};
 	}
 
 	private Decision grant(ShardOperation.Claim operation) {
 		OrderClaim claim = new OrderClaim(operation.key(), operation.fingerprint(), operation.requester().incarnation(),
 				operation.mark(), OrderStatus.CLAIMED, Optional.empty(), this.wallClock);
-		return Decision.of(Optional.of(claim), claimReply(operation, OrderVerdict.GRANTED, Optional.empty()));
+		return Decision.of(Optional.of(claim), claimReply(operation, OrderClaimDecision.GRANTED, Optional.empty()));
 	}
 
 	// The holder may have sent the order just before it crashed. The claim is
@@ -81,9 +81,9 @@
 	// a holder release the claim.
 	private Decision decideHeld(OrderClaim existing, ShardOperation.Claim operation) {
 		Optional<NodeIdentity> holder = liveNode(existing.holder());
-		OrderVerdict verdict = holder.isPresent() ? OrderVerdict.RUNNING : OrderVerdict.UNKNOWN;
+		OrderClaimDecision verdict = holder.isPresent() ? OrderClaimDecision.RUNNING : OrderClaimDecision.UNKNOWN;
 		Optional<ShardBatch.Reply> reminder = holder.map((node) -> new ShardBatch.Reply(node,
-				new OrderClaimReply(existing.key(), existing.mark(), OrderVerdict.GRANTED, Optional.empty())));
+				new OrderClaimReply(existing.key(), existing.mark(), OrderClaimDecision.GRANTED, Optional.empty())));
 		return new Decision(Optional.empty(), claimReply(operation, verdict, Optional.empty()), reminder);
 	}
 
@@ -128,11 +128,13 @@
 				operation.mark(), OrderStatus.RELEASED, Optional.empty(), this.wallClock);
 	}
 
-	private static Decision replyOnly(ShardOperation operation, OrderVerdict verdict, Optional<RecordedAnswer> answer) {
+	private static Decision replyOnly(ShardOperation operation, OrderClaimDecision verdict,
+			Optional<RecordedAnswer> answer) {
 		return Decision.of(Optional.empty(), claimReply(operation, verdict, answer));
 	}
 
-	static PeerMessage claimReply(ShardOperation operation, OrderVerdict verdict, Optional<RecordedAnswer> answer) {
+	static PeerMessage claimReply(ShardOperation operation, OrderClaimDecision verdict,
+			Optional<RecordedAnswer> answer) {
 		OrderKey key = operation.key();
 		return new OrderClaimReply(key, operation.mark(), verdict, answer);
 	}
--- a/src/main/java/sycamorehill/logic/order/IssuedClaims.java
+++ b/src/main/java/sycamorehill/logic/order/IssuedClaims.java
@@ -8,8 +8,8 @@
 import org.pcollections.TreePSet;
 
 import sycamorehill.model.order.OrderClaim;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderNumbers;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.peer.OrderSettlementReply;
 import sycamorehill.model.request.OrderKey;
 
@@ -32,7 +32,7 @@
 		OrderClaim existing = step.state().issued().get(key);
 		Duration lifetime = step.policy().issuedLifetime();
 		boolean mayHaveExpired = existing == null && OrderNumbers.age(key, step.now()).compareTo(lifetime) > 0;
-		if (mayHaveExpired || !OrderNumbers.issuedBy(key, step.view().self().incarnation())) {
+		if (mayHaveExpired || !OrderNumbers.isIssuedBy(key, step.view().self().incarnation())) {
 			refuse(step, operation);
 			return;
 		}
@@ -40,7 +40,7 @@
 		if (decision.change().isPresent() && existing == null
 				&& step.state().issued().size() >= step.policy().mostClaims()) {
 			step.send(operation.requester(),
-					ClaimRules.claimReply(operation, OrderVerdict.NOT_TAKEN, Optional.empty()));
+					ClaimRules.claimReply(operation, OrderClaimDecision.NOT_TAKEN, Optional.empty()));
 			return;
 		}
 		decision.change().ifPresent((claim) -> storeClaim(step, claim, existing == null));
@@ -58,7 +58,7 @@
 		step.send(operation.requester(),
 				(operation instanceof ShardOperation.Settle)
 						? new OrderSettlementReply(operation.key(), operation.mark())
-						: ClaimRules.claimReply(operation, OrderVerdict.UNKNOWN, Optional.empty()));
+						: ClaimRules.claimReply(operation, OrderClaimDecision.UNKNOWN, Optional.empty()));
 	}
 
 	private static void storeClaim(OrderStep step, OrderClaim claim, boolean isNew) {
--- a/src/main/java/sycamorehill/logic/order/ShardBatch.java
+++ b/src/main/java/sycamorehill/logic/order/ShardBatch.java
@@ -11,8 +11,8 @@
 
 import sycamorehill.model.identity.NodeIdentity;
 import sycamorehill.model.order.OrderClaim;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderStatus;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.peer.PeerMessage;
 import sycamorehill.model.policy.OrderPolicy;
 import sycamorehill.model.request.OrderKey;
@@ -63,7 +63,7 @@
 		}
 		ClaimRules.Decision decision = decide(shard, operation, rules);
 		if (decision.change().isPresent() && shard.claims().size() + this.changes.size() >= policy.mostClaims()) {
-			PeerMessage refusal = ClaimRules.claimReply(operation, OrderVerdict.NOT_TAKEN, Optional.empty());
+			PeerMessage refusal = ClaimRules.claimReply(operation, OrderClaimDecision.NOT_TAKEN, Optional.empty());
 			return new ShardBatch(this.changes, this.bytes, this.claims, this.settlements, this.afterWrite,
 					this.atOnce.plus(new Reply(operation.requester(), refusal)), true);
 		}
@@ -111,7 +111,7 @@
 		boolean written = stored != null && stored.mark().equals(operation.mark())
 				&& stored.status() == OrderStatus.CLAIMED;
 		return written ? withImmediateReply(operation, ClaimRules.Decision.of(Optional.empty(),
-				ClaimRules.claimReply(operation, OrderVerdict.GRANTED, Optional.empty()))) : this;
+				ClaimRules.claimReply(operation, OrderClaimDecision.GRANTED, Optional.empty()))) : this;
 	}
 
 	private ShardBatch withImmediateReply(ShardOperation operation, ClaimRules.Decision decision) {
--- a/src/main/java/sycamorehill/logic/order/ShardCommitter.java
+++ b/src/main/java/sycamorehill/logic/order/ShardCommitter.java
@@ -9,8 +9,8 @@
 
 import sycamorehill.model.event.PlatformEvent;
 import sycamorehill.model.log.LogEvent;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderNumbers;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.platform.PlatformAnswer;
 
 /**
@@ -31,7 +31,7 @@
 	}
 
 	static void handleOperation(OrderStep step, ShardOperation operation) {
-		if (OrderNumbers.issued(operation.key())) {
+		if (OrderNumbers.isIssued(operation.key())) {
 			IssuedClaims.handleOperation(step, operation);
 			return;
 		}
@@ -42,7 +42,7 @@
 		}
 		else if (operation instanceof ShardOperation.Claim) {
 			step.send(operation.requester(),
-					ClaimRules.claimReply(operation, OrderVerdict.NOT_TAKEN, Optional.empty()));
+					ClaimRules.claimReply(operation, OrderClaimDecision.NOT_TAKEN, Optional.empty()));
 		}
 	}
 
--- a/src/test/java/sycamorehill/logic/order/OrderAtMostOnceTests.java
+++ b/src/test/java/sycamorehill/logic/order/OrderAtMostOnceTests.java
@@ -19,10 +19,10 @@
 import sycamorehill.model.identity.NodeIncarnation;
 import sycamorehill.model.identity.NodeName;
 import sycamorehill.model.order.OrderClaim;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderNumbers;
 import sycamorehill.model.order.OrderShard;
 import sycamorehill.model.order.OrderStatus;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.peer.OrderClaimReply;
 import sycamorehill.model.platform.ObjectKind;
 import sycamorehill.model.platform.PlatformAnswer;
@@ -173,7 +173,7 @@
 		this.history.restart(node(1));
 		this.history.nodes.forEach(this.history::updateLiveNodes);
 		this.history.handleEvent(node(1), new PeerEvent.MessageReceived(owner().identity(),
-				new OrderClaimReply(KEY, mark, OrderVerdict.GRANTED, Optional.empty())));
+				new OrderClaimReply(KEY, mark, OrderClaimDecision.GRANTED, Optional.empty())));
 		runForSeconds(5);
 		Call second = call(2);
 		runForSeconds(3);
@@ -377,7 +377,7 @@
 
 	private OrderKey issuedBy(OrderNode node) {
 		Instant clock = node.clock(this.history.now());
-		return OrderNumbers.mark(KEY, OrderNumbers.issue(node.incarnation(), clock, 7));
+		return OrderNumbers.encodeOrigin(KEY, OrderNumbers.issue(node.incarnation(), clock, 7));
 	}
 
 	private void runForSeconds(double seconds) {
--- a/src/test/java/sycamorehill/logic/order/OrderHistoryTests.java
+++ b/src/test/java/sycamorehill/logic/order/OrderHistoryTests.java
@@ -78,8 +78,8 @@
 			boolean shouldBeFree = earlier.stream()
 				.allMatch((other) -> other.incarnation.equals(other.node.incarnation())
 						&& other.outcome().filter(RequestOutcome.NotRun.class::isInstance).isPresent());
-			boolean issuerCrashed = OrderNumbers.issued(call.key()) && history.nodes.stream()
-				.noneMatch((node) -> OrderNumbers.issuedBy(call.key(), node.incarnation()));
+			boolean issuerCrashed = OrderNumbers.isIssued(call.key()) && history.nodes.stream()
+				.noneMatch((node) -> OrderNumbers.isIssuedBy(call.key(), node.incarnation()));
 			boolean sameContent = earlier.stream().allMatch((other) -> other.content().equals(call.content()));
 			if (shouldBeFree && sameContent && !issuerCrashed && !completedOrReplayed(call)) {
 				refused.add(call.outcome() + " for " + call.request);
@@ -126,7 +126,7 @@
 		for (int i = 0; i < KEYS; i++) {
 			OrderKey hashed = new OrderKey(history.random.nextLong(), history.random.nextLong());
 			String text = (i % 5 == 0) ? issuedNumber(history) : "key-" + i;
-			keys.add(OrderNumbers.mark(hashed, text));
+			keys.add(OrderNumbers.encodeOrigin(hashed, text));
 		}
 		return keys;
 	}
