--- a/src/main/java/sycamorehill/logic/order/ClaimHolder.java
+++ b/src/main/java/sycamorehill/logic/order/ClaimHolder.java
@@ -27,7 +27,7 @@
  */
 final class ClaimHolder {
 
-	private static final int MAXIMUM_DOUBLINGS = 5;
+	private static final int MAXIMUM_RETRY_DOUBLINGS = 5;
 
 	private ClaimHolder() {
 	}
@@ -173,7 +173,7 @@
 		}
 		Duration retryDelay = step.policy()
 			.settlementRetry()
-			.multipliedBy(1L << Math.min(order.sends(), MAXIMUM_DOUBLINGS));
+			.multipliedBy(1L << Math.min(order.sends(), MAXIMUM_RETRY_DOUBLINGS));
 		step.replaceState(step.state().with(order.withMessageSent(step.now().plus(retryDelay))));
 		committer.ifPresent((node) -> step.send(node,
 				new OrderSettlement(order.key(), order.mark(), order.status(), order.answer())));
--- a/src/main/java/sycamorehill/logic/order/OrderStep.java
+++ b/src/main/java/sycamorehill/logic/order/OrderStep.java
@@ -31,7 +31,7 @@
  */
 final class OrderStep {
 
-	private static final Duration WARNING_INTERVAL = Duration.ofSeconds(10);
+	private static final Duration MINIMUM_LOG_INTERVAL = Duration.ofSeconds(10);
 
 	private final Instant now;
 
@@ -121,7 +121,7 @@
 	 */
 	void logRateLimited(LogEvent event, String detail) {
 		if (!this.now.isBefore(this.state.quietUntil())) {
-			this.state = this.state.withQuietUntil(this.now.plus(WARNING_INTERVAL));
+			this.state = this.state.withQuietUntil(this.now.plus(MINIMUM_LOG_INTERVAL));
 			log(event, detail);
 		}
 	}
--- a/src/main/java/sycamorehill/logic/order/ShardCommitter.java
+++ b/src/main/java/sycamorehill/logic/order/ShardCommitter.java
@@ -19,13 +19,13 @@
  */
 final class ShardCommitter {
 
-	private static final int MAXIMUM_WAITING = 2000;
+	private static final int MAXIMUM_WAITING_OPERATIONS = 2000;
 
-	private static final Duration MINIMUM_BACKOFF = Duration.ofMillis(100);
+	private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
 
 	private static final Duration MAXIMUM_BACKOFF = Duration.ofSeconds(5);
 
-	private static final int MAXIMUM_DOUBLINGS = 6;
+	private static final int MAXIMUM_BACKOFF_DOUBLINGS = 6;
 
 	private ShardCommitter() {
 	}
@@ -37,7 +37,7 @@
 		}
 		int number = ShardPlacement.shardOf(operation.key(), step.policy().shards());
 		Shard shard = step.state().shards().getOrDefault(number, Shard.unread(number, step.now()));
-		if (shard.waitingCount() < MAXIMUM_WAITING) {
+		if (shard.waitingCount() < MAXIMUM_WAITING_OPERATIONS) {
 			advance(step, withWaiting(shard, operation));
 		}
 		else if (operation instanceof ShardOperation.Claim) {
@@ -59,12 +59,12 @@
 			step.replaceState(step.state().with(shard.withWakeAt(Optional.empty())));
 			return;
 		}
-		Instant due = shard.isIdle() ? nextCleanUpAt(step, shard) : nextWriteAt(step, shard);
-		if (due.isBefore(shard.backoffUntil())) {
-			due = shard.backoffUntil();
+		Instant dueAt = shard.isIdle() ? nextCleanUpAt(step, shard) : nextWriteAt(step, shard);
+		if (dueAt.isBefore(shard.backoffUntil())) {
+			dueAt = shard.backoffUntil();
 		}
-		if (due.isAfter(step.now())) {
-			step.replaceState(step.state().with(shard.withWakeAt(Optional.of(due))));
+		if (dueAt.isAfter(step.now())) {
+			step.replaceState(step.state().with(shard.withWakeAt(Optional.of(dueAt))));
 		}
 		else if (shard.isIdle()) {
 			ShardPages.cleanUp(step, shard);
@@ -83,14 +83,14 @@
 
 	private static Instant nextWriteAt(OrderStep step, Shard shard) {
 		Duration burst = step.policy().commitInterval().multipliedBy(step.policy().commitBurst());
-		Instant paceLimit = shard.paceAt().minus(burst);
+		Instant earliestWriteAt = shard.paceAt().minus(burst);
 		if (!shard.waitingClaims().isEmpty()) {
-			return paceLimit;
+			return earliestWriteAt;
 		}
 		// No caller waits for a settlement, so it is delayed to share the write of a
 		// later claim.
 		Instant settlementDueAt = shard.waitingSettlements().get(0).takenAt().plus(step.policy().settlementDelay());
-		return settlementDueAt.isAfter(paceLimit) ? settlementDueAt : paceLimit;
+		return settlementDueAt.isAfter(earliestWriteAt) ? settlementDueAt : earliestWriteAt;
 	}
 
 	// After a pause of hours, a node could create a page that other nodes have
@@ -190,17 +190,17 @@
 	}
 
 	private static Shard withBackoff(OrderStep step, Shard shard, PlatformAnswer answer) {
-		long backoffMillis = MINIMUM_BACKOFF.toMillis() << Math.min(shard.failures(), MAXIMUM_DOUBLINGS);
+		long backoffMillis = INITIAL_BACKOFF.toMillis() << Math.min(shard.failures(), MAXIMUM_BACKOFF_DOUBLINGS);
 		long boundedMillis = Math.min(backoffMillis, MAXIMUM_BACKOFF.toMillis());
 		// The delay differs between nodes and shards, so that they do not all retry
 		// at the same time when an outage ends.
 		int jitterPercent = Math.floorMod(step.view().self().hashCode() * 31 + shard.number() * 17 + shard.failures(),
 				100);
-		Duration wait = Duration.ofMillis(boundedMillis / 2 + boundedMillis * jitterPercent / 200);
-		if (answer instanceof PlatformAnswer.NotTaken notTaken && notTaken.retryAfter().compareTo(wait) > 0) {
-			wait = notTaken.retryAfter();
+		Duration delay = Duration.ofMillis(boundedMillis / 2 + boundedMillis * jitterPercent / 200);
+		if (answer instanceof PlatformAnswer.NotTaken notTaken && notTaken.retryAfter().compareTo(delay) > 0) {
+			delay = notTaken.retryAfter();
 		}
-		return shard.withFailure(step.now().plus(wait));
+		return shard.withFailure(step.now().plus(delay));
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/order/OrderAtMostOnceTests.java
+++ b/src/test/java/sycamorehill/logic/order/OrderAtMostOnceTests.java
@@ -183,7 +183,7 @@
 
 	@Test
 	void tooLargeAnswerIsNotRecorded() {
-		this.history.answerText = "x".repeat(OrderPolicy.standard().largestAnswer());
+		this.history.answerPrefix = "x".repeat(OrderPolicy.standard().largestAnswer());
 		call(1);
 		runForSeconds(3);
 		Call second = call(2);
@@ -285,7 +285,7 @@
 
 	@Test
 	void pagesWithLargeAnswersStayBelowAMegabyte() throws JsonProcessingException {
-		this.history.answerText = "\u0001".repeat(OrderPolicy.standard().largestAnswer() - 10);
+		this.history.answerPrefix = "\u0001".repeat(OrderPolicy.standard().largestAnswer() - 10);
 		for (int i = 0; i < 300; i++) {
 			this.history.call(node(1 + i % 3), new OrderKey(1, i), "a");
 		}
@@ -301,7 +301,7 @@
 		// The nodes' wall clocks differ by hours, more than the retention time. If a
 		// key expired by another node's clock, its order could run a second time.
 		this.history = new OrderHistory(1, 3, OrderPolicies.withRetention(1, Duration.ofMinutes(30), 20_000));
-		this.history.answerText = "x".repeat(8000);
+		this.history.answerPrefix = "x".repeat(8000);
 		for (int i = 0; i < 20; i++) {
 			this.history.call(node(1 + i % 3), new OrderKey(1, i), "a");
 		}
@@ -314,7 +314,7 @@
 	@Test
 	void expiredPagesAreDeleted() {
 		this.history = new OrderHistory(1, 3, OrderPolicies.withRetention(1, Duration.ofMinutes(30), 20_000));
-		this.history.answerText = "x".repeat(8000);
+		this.history.answerPrefix = "x".repeat(8000);
 		for (int i = 0; i < 20; i++) {
 			this.history.call(node(1 + i % 3), new OrderKey(1, i), "a");
 		}
--- a/src/test/java/sycamorehill/logic/order/OrderHistory.java
+++ b/src/test/java/sycamorehill/logic/order/OrderHistory.java
@@ -61,7 +61,7 @@
 
 	final HistoryFaults faults = new HistoryFaults();
 
-	String answerText = "run ";
+	String answerPrefix = "run ";
 
 	private final Duration clockSkew;
 
@@ -103,9 +103,9 @@
 
 	void runFor(Duration time) {
 		Instant end = now().plus(time);
-		boolean[] over = { false };
-		this.schedule.add(Duration.between(now(), end), () -> over[0] = true);
-		while (!over[0]) {
+		boolean[] ended = { false };
+		this.schedule.add(Duration.between(now(), end), () -> ended[0] = true);
+		while (!ended[0]) {
 			this.schedule.next().orElseThrow().run();
 		}
 	}
@@ -185,7 +185,7 @@
 					Optional.empty());
 			return;
 		}
-		Run run = new Run(call, now(), new RecordedAnswer(200, "text/plain", this.answerText + this.runs.size()));
+		Run run = new Run(call, now(), new RecordedAnswer(200, "text/plain", this.answerPrefix + this.runs.size()));
 		this.runs.add(run);
 		if (draw < this.faults.targetRefused + this.faults.answerLost) {
 			scheduleAnswer(node, call, new RequestOutcome.Unknown(Refusal.of(RefusalReason.TARGET_LOST, "broken")),
