--- a/src/main/java/sycamorehill/logic/group/OfflineController.java
+++ b/src/main/java/sycamorehill/logic/group/OfflineController.java
@@ -19,14 +19,14 @@
 import sycamorehill.model.peer.PlatformSilent;
 
 /**
- * Repairs groups while the platform is silent to the whole data centre: only with
+ * Repairs groups while the platform answers no node of the data centre. It uses only
  * standbys that the allocation had claimed before, so that no new claim is needed.
  */
 final class OfflineController {
 
-	private static final Duration REPORT_AFTER = Duration.ofSeconds(5);
+	private static final Duration SILENCE_BEFORE_REPORT = Duration.ofSeconds(5);
 
-	private static final Duration REPAIR_AFTER = Duration.ofSeconds(10);
+	private static final Duration SILENCE_BEFORE_REPAIR = Duration.ofSeconds(10);
 
 	private static final Duration REPORT_INTERVAL = Duration.ofSeconds(1);
 
@@ -36,13 +36,14 @@
 	}
 
 	/**
-	 * Tells the other stewards when the platform is silent.
-	 * @param step the step
+	 * Reports to the other stewards that the platform does not answer this node.
+	 * @param step the current step
 	 * @param steward whether this node is a steward
 	 */
 	static void tick(GroupStep step, boolean steward) {
 		AllocationState allocation = step.state().allocation();
-		boolean isSilent = steward && allocation.known().isPresent() && isPlatformSilentFor(step, REPORT_AFTER);
+		boolean isSilent = steward && allocation.known().isPresent()
+				&& isPlatformSilentFor(step, SILENCE_BEFORE_REPORT);
 		if (!isSilent || step.now().isBefore(step.state().offline().nextWordAt())) {
 			return;
 		}
@@ -60,11 +61,11 @@
 		}
 	}
 
-	// Failure: only this node's link to the platform is cut, another node takes the
-	// lease and repairs the same group with the same standby, and each orders the VMs
-	// out of the other's group. So this node repairs only if it held the lease last,
-	// and the other stewards, of which there must be one, hear nothing of the
-	// platform either.
+	// If only this node has lost its link to the platform, another node may acquire the
+	// lease and repair the same group with the same standby. Each would then remove the
+	// VMs from the other's group. So this node repairs groups only if it was the last
+	// holder of the lease and all other stewards, of which there must be at least one,
+	// report that the platform does not answer them either.
 	static boolean mayRepair(GroupStep step) {
 		GroupState state = step.state();
 		Optional<Allocation> known = state.allocation().known();
@@ -74,16 +75,16 @@
 			.filter(step.view().self().incarnation()::equals)
 			.isPresent();
 		if (!heldLast || known.isEmpty() || known.get().fencingNumber() != state.lease().fencingNumber()
-				|| !isPlatformSilentFor(step, REPAIR_AFTER)) {
+				|| !isPlatformSilentFor(step, SILENCE_BEFORE_REPAIR)) {
 			return false;
 		}
-		Instant bound = step.now().minus(REPORT_VALIDITY);
+		Instant oldestValid = step.now().minus(REPORT_VALIDITY);
 		List<NodeIdentity> others = otherStewards(step);
 		return !others.isEmpty() && others.stream()
 			.allMatch((other) -> state.offline()
 				.silentPeers()
 				.getOrDefault(other.incarnation(), Instant.MIN)
-				.isAfter(bound));
+				.isAfter(oldestValid));
 	}
 
 	private static boolean isPlatformSilentFor(GroupStep step, Duration time) {
@@ -98,9 +99,10 @@
 	}
 
 	/**
-	 * Repairs what standbys can repair, and sees it through.
-	 * @param step the step
-	 * @param context what the decision rests on
+	 * Repairs groups that the claimed standbys can complete, and sends the commands for
+	 * these repairs.
+	 * @param step the current step
+	 * @param context the state that the decision is based on
 	 */
 	static void repairGroups(GroupStep step, PlanContext context) {
 		Allocation allocation = step.state().effectiveAllocation().orElseThrow();
