--- a/src/main/java/sycamorehill/logic/order/ClaimHolder.java
+++ b/src/main/java/sycamorehill/logic/order/ClaimHolder.java
@@ -117,7 +117,7 @@
 			return;
 		}
 		// A duplicate reply must not clear the order a second time, and a reply that
-		// arrives after the caller was answered "not run" must not clear it at all.
+		// arrives after the caller received "not run" must not clear it at all.
 		if (order.phase() != ActiveOrder.Phase.WAITING) {
 			return;
 		}
--- a/src/main/java/sycamorehill/logic/order/ClaimRules.java
+++ b/src/main/java/sycamorehill/logic/order/ClaimRules.java
@@ -52,8 +52,8 @@
 	private Decision decideClaim(OrderClaim existing, ShardOperation.Claim operation) {
 		boolean own = existing != null && existing.mark().equals(operation.mark());
 		if (existing == null || existing.status() == OrderStatus.RELEASED) {
-			// A mark is released after its caller was answered "not run". Granting
-			// it now would create a claim that no node runs or settles.
+			// A mark is released after its caller received "not run". Granting it
+			// now would create a claim that no node runs or settles.
 			return own ? replyOnly(operation, OrderVerdict.NOT_TAKEN, Optional.empty()) : grant(operation);
 		}
 		if (!existing.fingerprint().equals(operation.fingerprint())) {
@@ -76,7 +76,7 @@
 	// The holder may have sent the order just before it crashed. The claim is
 	// therefore never granted to another call, or the order could run twice. A live
 	// holder is sent its grant again: if the first grant was lost after the caller
-	// was answered "not run", the holder does not know of the claim, and every later
+	// received "not run", the holder does not know of the claim, and every later
 	// call would be answered "still running" forever. The repeated grant makes such
 	// a holder release the claim.
 	private Decision decideHeld(OrderClaim existing, ShardOperation.Claim operation) {
--- a/src/main/java/sycamorehill/logic/order/OrderStep.java
+++ b/src/main/java/sycamorehill/logic/order/OrderStep.java
@@ -115,7 +115,8 @@
 	}
 
 	/**
-	 * Logs an event that may occur with every order, at most once per warning interval.
+	 * Logs an event that may occur with every order, at most once per interval. All
+	 * events logged by this method share the interval.
 	 * @param event the event
 	 * @param detail the details of the event
 	 */
--- a/src/test/java/sycamorehill/logic/order/OrderAtMostOnceTests.java
+++ b/src/test/java/sycamorehill/logic/order/OrderAtMostOnceTests.java
@@ -101,9 +101,9 @@
 
 	@Test
 	void claimCommittedAfterNotRunIsReleased() {
-		// The write of a claim is delayed, the caller is answered "not run", and
-		// then the write takes effect. Unless the claim is released, every further
-		// call is answered "still running" forever.
+		// The write of a claim is delayed, the caller receives "not run", and then
+		// the write takes effect. Unless the claim is released, every further call
+		// is answered "still running" forever.
 		call(1);
 		runForSeconds(3);
 		OrderKey key = new OrderKey(1, 2);
@@ -120,9 +120,9 @@
 
 	@Test
 	void claimUnknownToItsHolderIsReleased() {
-		// A claim took effect long after its caller was answered "not run", and the
-		// grant was lost, so no node knows of the claim. The caller's next call is
-		// answered "still running"; the call after that must run, or the key would
+		// A claim took effect long after its caller received "not run", and the
+		// grant was lost, so no node knows of the claim. The caller's next call
+		// receives "still running"; the call after that must run, or the key would
 		// be refused forever.
 		OrderClaim unknownToHolder = new OrderClaim(KEY, new Fingerprint("a"), node(1).incarnation(), "n1-1-r99",
 				OrderStatus.CLAIMED, Optional.empty(), 0);
@@ -137,7 +137,7 @@
 	@Test
 	void orderIsNotRunAgainAfterHolderCrashesBeforeSending() {
 		// The node crashes after its claim is granted. Whether it had sent the order
-		// is unknown, so the caller's next call is answered "unknown".
+		// is unknown, so the caller's next call receives "unknown".
 		Call first = call(1);
 		runUntil(() -> first.cleared == 1);
 		this.history.restart(node(1));
@@ -236,7 +236,7 @@
 
 	@Test
 	void releaseReachesPausedOwnerAfterHolderCrashes() {
-		// An owner is paused with a claim in its queue. The caller is answered "not
+		// An owner is paused with a claim in its queue. The caller receives "not
 		// run", the release is sent at once, and then the holder crashes. Without
 		// the release the claim would belong to a crashed node, and the caller's
 		// next call would be answered "unknown" for an order that never ran.
