--- a/src/test/java/sycamorehill/logic/order/OrderAtMostOnceTests.java
+++ b/src/test/java/sycamorehill/logic/order/OrderAtMostOnceTests.java
@@ -101,9 +101,9 @@
 
 	@Test
 	void claimCommittedAfterNotRunIsReleased() {
-		// The write of a claim is delayed, the caller is answered "not run", and
-		// then the write takes effect. Unless the claim is released, every further
-		// call is answered "still running" forever.
+		// The write of a claim is delayed, the caller receives "not run", and then
+		// the write takes effect. Unless the claim is released, every further call
+		// is answered "still running" forever.
 		call(1);
 		runForSeconds(3);
 		OrderKey key = new OrderKey(1, 2);
@@ -120,9 +120,9 @@
 
 	@Test
 	void claimUnknownToItsHolderIsReleased() {
-		// A claim took effect long after its caller was answered "not run", and the
-		// grant was lost, so no node knows of the claim. The caller's next call is
-		// answered "still running"; the call after that must run, or the key would
+		// A claim took effect long after its caller received "not run", and the
+		// grant was lost, so no node knows of the claim. The caller's next call
+		// receives "still running"; the call after that must run, or the key would
 		// be refused forever.
 		OrderClaim unknownToHolder = new OrderClaim(KEY, new Fingerprint("a"), node(1).incarnation(), "n1-1-r99",
 				OrderStatus.CLAIMED, Optional.empty(), 0);
@@ -137,7 +137,7 @@
 	@Test
 	void orderIsNotRunAgainAfterHolderCrashesBeforeSending() {
 		// The node crashes after its claim is granted. Whether it had sent the order
-		// is unknown, so the caller's next call is answered "unknown".
+		// is unknown, so the caller's next call receives "unknown".
 		Call first = call(1);
 		runUntil(() -> first.cleared == 1);
 		this.history.restart(node(1));
@@ -183,7 +183,7 @@
 
 	@Test
 	void tooLargeAnswerIsNotRecorded() {
-		this.history.answerText = "x".repeat(OrderPolicy.standard().largestAnswer());
+		this.history.answerPrefix = "x".repeat(OrderPolicy.standard().largestAnswer());
 		call(1);
 		runForSeconds(3);
 		Call second = call(2);
@@ -236,7 +236,7 @@
 
 	@Test
 	void releaseReachesPausedOwnerAfterHolderCrashes() {
-		// An owner is paused with a claim in its queue. The caller is answered "not
+		// An owner is paused with a claim in its queue. The caller receives "not
 		// run", the release is sent at once, and then the holder crashes. Without
 		// the release the claim would belong to a crashed node, and the caller's
 		// next call would be answered "unknown" for an order that never ran.
@@ -285,7 +285,7 @@
 
 	@Test
 	void pagesWithLargeAnswersStayBelowAMegabyte() throws JsonProcessingException {
-		this.history.answerText = "\u0001".repeat(OrderPolicy.standard().largestAnswer() - 10);
+		this.history.answerPrefix = "\u0001".repeat(OrderPolicy.standard().largestAnswer() - 10);
 		for (int i = 0; i < 300; i++) {
 			this.history.call(node(1 + i % 3), new OrderKey(1, i), "a");
 		}
@@ -301,7 +301,7 @@
 		// The nodes' wall clocks differ by hours, more than the retention time. If a
 		// key expired by another node's clock, its order could run a second time.
 		this.history = new OrderHistory(1, 3, OrderPolicies.withRetention(1, Duration.ofMinutes(30), 20_000));
-		this.history.answerText = "x".repeat(8000);
+		this.history.answerPrefix = "x".repeat(8000);
 		for (int i = 0; i < 20; i++) {
 			this.history.call(node(1 + i % 3), new OrderKey(1, i), "a");
 		}
@@ -314,7 +314,7 @@
 	@Test
 	void expiredPagesAreDeleted() {
 		this.history = new OrderHistory(1, 3, OrderPolicies.withRetention(1, Duration.ofMinutes(30), 20_000));
-		this.history.answerText = "x".repeat(8000);
+		this.history.answerPrefix = "x".repeat(8000);
 		for (int i = 0; i < 20; i++) {
 			this.history.call(node(1 + i % 3), new OrderKey(1, i), "a");
 		}
