--- a/src/main/java/sycamorehill/model/group/Allocation.java
+++ b/src/main/java/sycamorehill/model/group/Allocation.java
@@ -10,23 +10,25 @@
 import sycamorehill.model.platform.PlatformValue;
 
 /**
- * Which VM of a data centre is in which group: one object, so that one write changes a
- * whole membership.
+ * The assignment of the VMs of a data centre to groups. It is one object of the platform,
+ * so that a single conditional update changes the members of several groups atomically.
  *
  * @param dataCentre the data centre
- * @param fencingNumber fencing number of the controller that wrote it
- * @param writer mark of the write: tells a lost answer from a lost race
- * @param nextGeneration the generation that the next changed group gets
- * @param groups every group
- * @param standbys VMs claimed ahead of time
+ * @param fencingNumber the fencing number of the controller that wrote the allocation
+ * @param writer an identifier of the write. After an answer was lost, it tells whether
+ * this write or that of another controller was stored
+ * @param nextGeneration the generation to assign to the next group that changes
+ * @param groups all groups by name
+ * @param standbys VMs reserved to replace a failed member, each with the set that it is
+ * reserved for
  */
 public record Allocation(DataCentreName dataCentre, long fencingNumber, String writer, long nextGeneration,
 		PMap<GroupName, GroupRecord> groups, PMap<VmName, GroupSetName> standbys) implements PlatformValue {
 
 	/**
-	 * The allocation before the first write.
+	 * Returns the allocation before the first write.
 	 * @param dataCentre the data centre
-	 * @return no group and no standby
+	 * @return an allocation without groups and standbys
 	 */
 	public static Allocation empty(DataCentreName dataCentre) {
 		return new Allocation(dataCentre, 0, "", 1, TreePMap.empty(), TreePMap.empty());
--- a/src/main/java/sycamorehill/model/group/EngineCommand.java
+++ b/src/main/java/sycamorehill/model/group/EngineCommand.java
@@ -5,34 +5,35 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * An order to the engine on one VM.
+ * A command to the engine on one VM.
  */
 public sealed interface EngineCommand {
 
 	/**
-	 * The fencing number of the controller that gives the order.
-	 * @return the number
+	 * Returns the fencing number of the controller that sends the command.
+	 * @return the fencing number
 	 */
 	long fencingNumber();
 
 	/**
-	 * Joins a group and loads its model.
+	 * Tells the engine to join a group and load its model.
 	 *
 	 * @param group the group and generation
 	 * @param members all members, the head first
-	 * @param model the model
-	 * @param modelVersion its version
-	 * @param fencingNumber fencing number of the controller
+	 * @param model the model to load
+	 * @param modelVersion the version of the model
+	 * @param fencingNumber the fencing number of the controller
 	 */
 	record Join(GroupIdentity group, List<VmName> members, String model, String modelVersion,
 			long fencingNumber) implements EngineCommand {
 	}
 
 	/**
-	 * Leaves a group; an engine that is not in exactly this group does nothing.
+	 * Tells the engine to leave a group. An engine that is not in exactly this generation
+	 * of the group ignores the command.
 	 *
 	 * @param group the group and generation
-	 * @param fencingNumber fencing number of the controller
+	 * @param fencingNumber the fencing number of the controller
 	 */
 	record Leave(GroupIdentity group, long fencingNumber) implements EngineCommand {
 	}
--- a/src/main/java/sycamorehill/model/group/EngineCommandResult.java
+++ b/src/main/java/sycamorehill/model/group/EngineCommandResult.java
@@ -1,20 +1,20 @@
 package sycamorehill.model.group;
 
 /**
- * How an order to an engine ended.
+ * The result of a command to an engine.
  */
 public enum EngineCommandResult {
 
-	/** The engine took the order. */
+	/** The engine accepted the command. */
 	ACCEPTED,
 
-	/** The engine had seen a higher fencing number. */
+	/** The engine refused: it had received a higher fencing number before. */
 	REFUSED_FENCED,
 
 	/** The engine refused for another reason. */
 	REFUSED,
 
-	/** No answer: it may have been taken or may still be. */
+	/** No answer: the engine may have accepted the command or may still do so. */
 	NOT_KNOWN
 
 }
--- a/src/main/java/sycamorehill/model/group/EngineState.java
+++ b/src/main/java/sycamorehill/model/group/EngineState.java
@@ -1,17 +1,17 @@
 package sycamorehill.model.group;
 
 /**
- * What an engine says of itself.
+ * The state that an engine reports.
  */
 public enum EngineState {
 
-	/** In no group. */
+	/** Not in a group. */
 	IDLE,
 
 	/** Joining a group and loading its model. */
 	LOADING,
 
-	/** Loaded; serves as part of its group. */
+	/** Loaded and ready to serve as a member of its group. */
 	READY,
 
 	/** The load failed. */
--- a/src/main/java/sycamorehill/model/group/Fleet.java
+++ b/src/main/java/sycamorehill/model/group/Fleet.java
@@ -10,20 +10,22 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * What a node knows of the VMs of its data centre.
+ * The state of the VMs of a data centre, as one of its nodes knows it.
  *
- * @param entries the VM list as last read
- * @param listedAt own monotonic time of the last read, empty before the first
- * @param sights the last good sight of each VM
- * @param leaving VMs that are said to leave, by any sign
- * @param refusals VMs whose address has refused connections since their last sight, with
- * the time of the first refusal
+ * @param entries the entries of the VM list as last read
+ * @param listedAt the monotonic time of this node at the last read of the list, empty
+ * before the first
+ * @param sights the latest observation of each VM
+ * @param leaving the VMs that are about to leave according to the VM list, their own
+ * report or another notice
+ * @param refusals the VMs whose address has refused connections since their last
+ * observation, with the time of the first refusal
  */
 public record Fleet(PMap<VmName, VmEntry> entries, Optional<Instant> listedAt, PMap<VmName, VmObservation> sights,
 		PMap<VmName, VmLeavingNotice> leaving, PMap<VmName, Instant> refusals) {
 
 	/**
-	 * Nothing known yet.
+	 * Returns a fleet before any VM is known.
 	 * @return an empty fleet
 	 */
 	public static Fleet empty() {
@@ -32,20 +34,20 @@
 	}
 
 	/**
-	 * The last good sight of a VM.
+	 * Returns the latest observation of a VM.
 	 * @param vm the VM
-	 * @return the sight, if there ever was one
+	 * @return the observation, empty if there is none
 	 */
 	public Optional<VmObservation> observation(VmName vm) {
 		return Optional.ofNullable(this.sights.get(vm));
 	}
 
 	/**
-	 * The sight of a VM if it is not older than a bound.
+	 * Returns the latest observation of a VM unless it is too old.
 	 * @param vm the VM
-	 * @param now own monotonic time
-	 * @param maximumAge the greatest age
-	 * @return the sight, empty if there is none or only an old one
+	 * @param now the monotonic time of this node
+	 * @param maximumAge the maximum age of the observation
+	 * @return the observation, empty if there is none or it is older than the maximum age
 	 */
 	public Optional<VmObservation> freshObservation(VmName vm, Instant now, Duration maximumAge) {
 		VmObservation observation = this.sights.get(vm);
@@ -54,21 +56,23 @@
 	}
 
 	/**
-	 * Whether a VM will go, or is not known to be there.
+	 * Tells whether a VM is about to leave.
 	 * @param vm the VM
-	 * @return whether it gets no new work
+	 * @return whether the VM is about to leave
 	 */
 	public boolean isLeaving(VmName vm) {
 		return this.leaving.containsKey(vm);
 	}
 
 	/**
-	 * Whether a VM is in a group in exactly one generation and ready to serve in it.
+	 * Tells whether a recent observation shows a VM ready to serve in a given generation
+	 * of a group.
 	 * @param vm the VM
 	 * @param identity the group and generation
-	 * @param now own monotonic time
-	 * @param maximumAge the greatest age of the sight
-	 * @return whether it was freshly seen so
+	 * @param now the monotonic time of this node
+	 * @param maximumAge the maximum age of the observation
+	 * @return whether the latest observation is recent enough and shows the VM ready in
+	 * this generation and not leaving
 	 */
 	public boolean isObservedReady(VmName vm, GroupIdentity identity, Instant now, Duration maximumAge) {
 		return freshObservation(vm, now, maximumAge).map(VmObservation::report)
--- a/src/main/java/sycamorehill/model/group/GroupIdentity.java
+++ b/src/main/java/sycamorehill/model/group/GroupIdentity.java
@@ -3,17 +3,17 @@
 import sycamorehill.model.identity.GroupName;
 
 /**
- * A group in one generation. Any change of members or model is a new generation.
+ * One generation of a group. Any change of its members or model starts a new generation.
  *
- * @param name the group
- * @param generation grows with each change
+ * @param name the name of the group
+ * @param generation the generation, which grows with each change
  */
 public record GroupIdentity(GroupName name, long generation) {
 
 	/**
-	 * Creates the identity.
-	 * @param name the group
-	 * @param generation the generation
+	 * Creates an identity.
+	 * @param name the name of the group
+	 * @param generation the generation of the group
 	 * @return the identity
 	 */
 	public static GroupIdentity of(GroupName name, long generation) {
--- a/src/main/java/sycamorehill/model/group/GroupPhase.java
+++ b/src/main/java/sycamorehill/model/group/GroupPhase.java
@@ -1,23 +1,23 @@
 package sycamorehill.model.group;
 
 /**
- * What the controller wants of a group.
+ * The phase of a group as the controller has set it.
  */
 public enum GroupPhase {
 
-	/** Members are ordered to join and load. */
+	/** The members receive commands to join the group and load the model. */
 	FORMING,
 
 	/**
-	 * Members have been seen ready; requests may be routed while they are still seen
-	 * whole.
+	 * All members have been observed ready. Requests may be routed to the group while
+	 * recent observations still show every member ready.
 	 */
 	SERVING,
 
-	/** No new work; what runs is let finish. */
+	/** The group receives no further requests; running requests may finish. */
 	DRAINING,
 
-	/** The load failed; the reason stands in the record. */
+	/** The load failed; the group record holds the reason. */
 	FAILED
 
 }
--- a/src/main/java/sycamorehill/model/group/GroupRecord.java
+++ b/src/main/java/sycamorehill/model/group/GroupRecord.java
@@ -6,32 +6,33 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * One group in the allocation.
+ * A group in the allocation.
  *
- * @param identity name and generation
- * @param service what it answers
- * @param model the model it loads
- * @param modelVersion its version
- * @param members its VMs; the first is the head, which takes the requests
- * @param phase what is wanted of it
- * @param ticket the ticket that its shape follows
- * @param reason why it is in this phase, for readers
- * @param failures failed loads since it last served
+ * @param identity the name and generation
+ * @param service the service that the group serves
+ * @param model the model that the group loads
+ * @param modelVersion the version of the model
+ * @param members the VMs of the group; the first is the head, which receives the requests
+ * @param phase the phase of the group
+ * @param ticket the number of the ticket whose specification the group follows
+ * @param reason why the group is in this phase, for operators
+ * @param failures the number of failed loads since the group last served
  */
 public record GroupRecord(GroupIdentity identity, ServiceName service, String model, String modelVersion,
 		List<VmName> members, GroupPhase phase, long ticket, String reason, int failures) {
 
 	/**
-	 * Takes a copy of the members.
+	 * Copies the members.
 	 */
 	public GroupRecord {
 		members = List.copyOf(members);
 	}
 
 	/**
-	 * The same group in another phase.
-	 * @param newPhase the phase
-	 * @param newReason the reason, for readers
+	 * Returns this group in another phase. Reaching {@link GroupPhase#SERVING} resets the
+	 * number of failed loads.
+	 * @param newPhase the phase to set
+	 * @param newReason the reason, for operators
 	 * @return the changed record
 	 */
 	public GroupRecord withPhase(GroupPhase newPhase, String newReason) {
@@ -41,7 +42,7 @@
 	}
 
 	/**
-	 * The member that takes the requests.
+	 * Returns the member that receives the requests.
 	 * @return the head
 	 */
 	public VmName head() {
--- a/src/main/java/sycamorehill/model/group/VmEntry.java
+++ b/src/main/java/sycamorehill/model/group/VmEntry.java
@@ -6,14 +6,15 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * One line of the lagging VM list.
+ * An entry of the VM list, which may lag behind the actual state.
  *
- * @param name the VM
- * @param dataCentre where it is
- * @param domain its fabric domain
- * @param address where its engine listens
- * @param status live or leaving
- * @param instance changes when the VM is replaced under the same name
+ * @param name the name of the VM
+ * @param dataCentre the data centre of the VM
+ * @param domain the fabric domain of the VM
+ * @param address the address at which the engine listens
+ * @param status whether the VM is live or leaving
+ * @param instance the identifier of the instance, which changes when the VM is replaced
+ * under the same name
  */
 public record VmEntry(VmName name, DataCentreName dataCentre, FabricDomain domain, Address address, VmStatus status,
 		String instance) {
--- a/src/main/java/sycamorehill/model/group/VmLeavingNotice.java
+++ b/src/main/java/sycamorehill/model/group/VmLeavingNotice.java
@@ -3,10 +3,11 @@
 import java.time.Instant;
 
 /**
- * A VM was said to leave.
+ * A notice that a VM is about to leave.
  *
- * @param instance the VM list's instance at that time, empty if the list did not know it
- * @param lastSign own monotonic time of the last sign that it leaves
+ * @param instance the instance of the VM in the VM list at that time, empty if the list
+ * had no entry for it
+ * @param lastSign the monotonic time of this node at the latest notice
  */
 public record VmLeavingNotice(String instance, Instant lastSign) {
 
--- a/src/main/java/sycamorehill/model/group/VmObservation.java
+++ b/src/main/java/sycamorehill/model/group/VmObservation.java
@@ -3,10 +3,10 @@
 import java.time.Instant;
 
 /**
- * The last good sight of a VM.
+ * A report of a VM and the time from which it is valid.
  *
- * @param report what it reported
- * @param seenAt own monotonic time from before the report was asked for
+ * @param report the report
+ * @param seenAt the monotonic time of this node just before it requested the report
  */
 public record VmObservation(VmReport report, Instant seenAt) {
 
--- a/src/main/java/sycamorehill/model/group/VmStatus.java
+++ b/src/main/java/sycamorehill/model/group/VmStatus.java
@@ -1,14 +1,14 @@
 package sycamorehill.model.group;
 
 /**
- * What the VM list says.
+ * The status of a VM in the VM list.
  */
 public enum VmStatus {
 
-	/** The VM is there. */
+	/** The VM is in service. */
 	LIVE,
 
-	/** The VM will go: it gets no new work. */
+	/** The VM is about to leave: it is assigned no further requests or groups. */
 	LEAVING
 
 }
--- a/src/main/java/sycamorehill/model/group/package-info.java
+++ b/src/main/java/sycamorehill/model/group/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Model groups, the allocation of VMs and what is seen of them.
+ * Model groups, the allocation of VMs to groups and the observed state of VMs.
  */
 package sycamorehill.model.group;
--- a/src/main/java/sycamorehill/model/identity/Address.java
+++ b/src/main/java/sycamorehill/model/identity/Address.java
@@ -1,17 +1,17 @@
 package sycamorehill.model.identity;
 
 /**
- * An IP number and a port.
+ * A network address: a host and a port.
  *
- * @param host the IP number
- * @param port the port, 1 to 65535
+ * @param host the IP address
+ * @param port the port, from 1 to 65535
  */
 public record Address(String host, int port) {
 
 	private static final int MAXIMUM_PORT = 65535;
 
 	/**
-	 * Refuses a missing host or a port out of range.
+	 * Checks that the host is present and the port is in range.
 	 */
 	public Address {
 		if (host == null || host.isBlank()) {
@@ -23,8 +23,8 @@
 	}
 
 	/**
-	 * Creates the address.
-	 * @param host the IP number
+	 * Creates an address.
+	 * @param host the IP address
 	 * @param port the port
 	 * @return the address
 	 */
@@ -33,8 +33,8 @@
 	}
 
 	/**
-	 * Reads HOST:PORT.
-	 * @param text the text
+	 * Parses HOST:PORT.
+	 * @param text the address as HOST:PORT
 	 * @return the address
 	 */
 	public static Address parse(String text) {
--- a/src/main/java/sycamorehill/model/identity/AttemptIdentifier.java
+++ b/src/main/java/sycamorehill/model/identity/AttemptIdentifier.java
@@ -1,18 +1,18 @@
 package sycamorehill.model.identity;
 
 /**
- * Identifies one sending of a request to one target, unique over restarts, so that a late
- * frame of an abandoned attempt is never taken for another.
+ * Identifies one attempt to send a request to one target. It is unique across restarts,
+ * so that a late frame of an abandoned attempt is never assigned to another attempt.
  *
- * @param incarnation the life of the node that drew it
- * @param number counts up within that life
+ * @param incarnation the incarnation of the node that makes the attempt
+ * @param number the sequence number within the incarnation
  */
 public record AttemptIdentifier(NodeIncarnation incarnation, long number) {
 
 	/**
-	 * Creates the identifier.
-	 * @param incarnation the life of the node that draws it
-	 * @param number its number within that life
+	 * Creates an identifier.
+	 * @param incarnation the incarnation of the node that makes the attempt
+	 * @param number the sequence number within the incarnation
 	 * @return the identifier
 	 */
 	public static AttemptIdentifier of(NodeIncarnation incarnation, long number) {
--- a/src/main/java/sycamorehill/model/identity/CallOwner.java
+++ b/src/main/java/sycamorehill/model/identity/CallOwner.java
@@ -1,23 +1,23 @@
 package sycamorehill.model.identity;
 
 /**
- * The part of the reducer that made a call, and to which its answer goes.
+ * The component of the reducer that made a call and receives its answer.
  */
 public enum CallOwner {
 
-	/** Ticket log and truth. */
+	/** Synchronisation of tickets and of the desired state. */
 	TICKETS,
 
 	/** Claims of orders. */
 	ORDERS,
 
-	/** Group control. */
+	/** Control of model groups. */
 	GROUPS,
 
-	/** Nodes of ours. */
+	/** Membership of the nodes. */
 	MEMBERSHIP,
 
-	/** Sight of target VMs. */
+	/** Observation of target VMs. */
 	OBSERVATION
 
 }
--- a/src/main/java/sycamorehill/model/identity/DataCentreName.java
+++ b/src/main/java/sycamorehill/model/identity/DataCentreName.java
@@ -1,22 +1,22 @@
 package sycamorehill.model.identity;
 
 /**
- * Name of a data centre (zone).
+ * The name of a data centre (zone).
  *
  * @param value the text of the name, never blank
  */
 public record DataCentreName(String value) implements Comparable<DataCentreName> {
 
 	/**
-	 * Refuses a blank name.
+	 * Checks that the name is neither blank nor too long.
 	 */
 	public DataCentreName {
 		Names.requireName(value);
 	}
 
 	/**
-	 * Creates the name.
-	 * @param value the text, never blank
+	 * Creates a name.
+	 * @param value the text of the name, never blank
 	 * @return the name
 	 */
 	public static DataCentreName of(String value) {
--- a/src/main/java/sycamorehill/model/identity/FabricDomain.java
+++ b/src/main/java/sycamorehill/model/identity/FabricDomain.java
@@ -1,22 +1,22 @@
 package sycamorehill.model.identity;
 
 /**
- * Name of a fabric domain: VMs that share a fast interconnect.
+ * The name of a fabric domain, a set of VMs that share a fast interconnect.
  *
  * @param value the text of the name, never blank
  */
 public record FabricDomain(String value) implements Comparable<FabricDomain> {
 
 	/**
-	 * Refuses a blank name.
+	 * Checks that the name is neither blank nor too long.
 	 */
 	public FabricDomain {
 		Names.requireName(value);
 	}
 
 	/**
-	 * Creates the name.
-	 * @param value the text, never blank
+	 * Creates a name.
+	 * @param value the text of the name, never blank
 	 * @return the name
 	 */
 	public static FabricDomain of(String value) {
--- a/src/main/java/sycamorehill/model/identity/FilingIdentifier.java
+++ b/src/main/java/sycamorehill/model/identity/FilingIdentifier.java
@@ -1,23 +1,24 @@
 package sycamorehill.model.identity;
 
 /**
- * Chosen by the filer of a ticket; filing again with it never accepts a second ticket.
+ * An identifier that the operator chooses for a ticket. It makes filing idempotent:
+ * filing again with the same identifier never creates a second ticket.
  *
- * @param value the text of the name, never blank
+ * @param value the text of the identifier, never blank
  */
 public record FilingIdentifier(String value) implements Comparable<FilingIdentifier> {
 
 	/**
-	 * Refuses a blank name.
+	 * Checks that the identifier is neither blank nor too long.
 	 */
 	public FilingIdentifier {
 		Names.requireName(value);
 	}
 
 	/**
-	 * Creates the name.
-	 * @param value the text, never blank
-	 * @return the name
+	 * Creates an identifier.
+	 * @param value the text of the identifier, never blank
+	 * @return the identifier
 	 */
 	public static FilingIdentifier of(String value) {
 		return new FilingIdentifier(value);
--- a/src/main/java/sycamorehill/model/identity/GroupName.java
+++ b/src/main/java/sycamorehill/model/identity/GroupName.java
@@ -1,17 +1,17 @@
 package sycamorehill.model.identity;
 
 /**
- * Name of one model group (replica): its set and its place in the set.
+ * The name of one model group (replica): its group set and its index in the set.
  *
  * @param set the set that the group belongs to
- * @param ordinal its place in the set, from 0
+ * @param ordinal the index in the set, from 0
  */
 public record GroupName(GroupSetName set, int ordinal) implements Comparable<GroupName> {
 
 	/**
-	 * Creates the name.
-	 * @param set the set
-	 * @param ordinal the place in the set, from 0
+	 * Creates a name.
+	 * @param set the set that the group belongs to
+	 * @param ordinal the index in the set, from 0
 	 * @return the name
 	 */
 	public static GroupName of(GroupSetName set, int ordinal) {
@@ -19,7 +19,7 @@
 	}
 
 	/**
-	 * The name under which requests are routed to the group.
+	 * Returns the name under which requests are routed to the group.
 	 * @return the target's name
 	 */
 	public TargetName targetName() {
--- a/src/main/java/sycamorehill/model/identity/GroupSetName.java
+++ b/src/main/java/sycamorehill/model/identity/GroupSetName.java
@@ -1,22 +1,23 @@
 package sycamorehill.model.identity;
 
 /**
- * Name of a model group item in a ticket: replicas of one service in one data centre.
+ * The name of a group set: the replicas of one service in one data centre, set by one
+ * model group item of a ticket.
  *
  * @param value the text of the name, never blank
  */
 public record GroupSetName(String value) implements Comparable<GroupSetName> {
 
 	/**
-	 * Refuses a blank name.
+	 * Checks that the name is neither blank nor too long.
 	 */
 	public GroupSetName {
 		Names.requireName(value);
 	}
 
 	/**
-	 * Creates the name.
-	 * @param value the text, never blank
+	 * Creates a name.
+	 * @param value the text of the name, never blank
 	 * @return the name
 	 */
 	public static GroupSetName of(String value) {
--- a/src/main/java/sycamorehill/model/identity/Names.java
+++ b/src/main/java/sycamorehill/model/identity/Names.java
@@ -1,7 +1,7 @@
 package sycamorehill.model.identity;
 
 /**
- * Checks that all names share.
+ * Validates names.
  */
 final class Names {
 
--- a/src/main/java/sycamorehill/model/identity/NodeIncarnation.java
+++ b/src/main/java/sycamorehill/model/identity/NodeIncarnation.java
@@ -1,18 +1,18 @@
 package sycamorehill.model.identity;
 
 /**
- * One life of a node's process. A restarted node is a new incarnation, so that nothing
- * said to or by its earlier life is taken for its own.
+ * One run of a node's process. A restarted node is a new incarnation, so that no message
+ * sent to or by the earlier process is assigned to the new one.
  *
- * @param node the node
- * @param number drawn at start-up, different for each life
+ * @param node the name of the node
+ * @param number drawn at start-up, different for each incarnation
  */
 public record NodeIncarnation(NodeName node, long number) {
 
 	/**
-	 * Creates the incarnation.
-	 * @param node the node
-	 * @param number the number of this life
+	 * Creates an incarnation.
+	 * @param node the name of the node
+	 * @param number the number drawn at start-up
 	 * @return the incarnation
 	 */
 	public static NodeIncarnation of(NodeName node, long number) {
--- a/src/main/java/sycamorehill/model/identity/NodeName.java
+++ b/src/main/java/sycamorehill/model/identity/NodeName.java
@@ -1,22 +1,22 @@
 package sycamorehill.model.identity;
 
 /**
- * Name of a node: one process of ours on one entry VM.
+ * The name of a node, the load balancer process on one entry VM.
  *
  * @param value the text of the name, never blank
  */
 public record NodeName(String value) implements Comparable<NodeName> {
 
 	/**
-	 * Refuses a blank name.
+	 * Checks that the name is neither blank nor too long.
 	 */
 	public NodeName {
 		Names.requireName(value);
 	}
 
 	/**
-	 * Creates the name.
-	 * @param value the text, never blank
+	 * Creates a name.
+	 * @param value the text of the name, never blank
 	 * @return the name
 	 */
 	public static NodeName of(String value) {
--- a/src/main/java/sycamorehill/model/identity/OperatorCallIdentifier.java
+++ b/src/main/java/sycamorehill/model/identity/OperatorCallIdentifier.java
@@ -1,9 +1,9 @@
 package sycamorehill.model.identity;
 
 /**
- * Identifies one waiting call of an operator within one life of a node.
+ * Identifies one pending call of an operator within one incarnation of a node.
  *
- * @param number counts up
+ * @param number the sequence number of the call
  */
 public record OperatorCallIdentifier(long number) {
 
--- a/src/main/java/sycamorehill/model/identity/RequestIdentifier.java
+++ b/src/main/java/sycamorehill/model/identity/RequestIdentifier.java
@@ -1,17 +1,17 @@
 package sycamorehill.model.identity;
 
 /**
- * Identifies one call of a caller, unique over restarts.
+ * Identifies one request of a caller, unique across restarts.
  *
- * @param incarnation the life of the node that drew it
- * @param number counts up within that life
+ * @param incarnation the incarnation of the node that received the request
+ * @param number the sequence number within the incarnation
  */
 public record RequestIdentifier(NodeIncarnation incarnation, long number) {
 
 	/**
-	 * Creates the identifier.
-	 * @param incarnation the life of the node that draws it
-	 * @param number its number within that life
+	 * Creates an identifier.
+	 * @param incarnation the incarnation of the node that received the request
+	 * @param number the sequence number within the incarnation
 	 * @return the identifier
 	 */
 	public static RequestIdentifier of(NodeIncarnation incarnation, long number) {
--- a/src/main/java/sycamorehill/model/identity/ServiceName.java
+++ b/src/main/java/sycamorehill/model/identity/ServiceName.java
@@ -1,22 +1,22 @@
 package sycamorehill.model.identity;
 
 /**
- * Name of a service that callers ask for.
+ * The name of a service that callers request.
  *
  * @param value the text of the name, never blank
  */
 public record ServiceName(String value) implements Comparable<ServiceName> {
 
 	/**
-	 * Refuses a blank name.
+	 * Checks that the name is neither blank nor too long.
 	 */
 	public ServiceName {
 		Names.requireName(value);
 	}
 
 	/**
-	 * Creates the name.
-	 * @param value the text, never blank
+	 * Creates a name.
+	 * @param value the text of the name, never blank
 	 * @return the name
 	 */
 	public static ServiceName of(String value) {
@@ -28,7 +28,7 @@
 		return this.value.compareTo(other.value);
 	}
 
-	// Compared with for each target of each service; a record's own method is slower.
+	// Called for each target of each service. The generated method of a record is slower.
 	@Override
 	public boolean equals(Object other) {
 		return other instanceof ServiceName name && this.value.equals(name.value);
--- a/src/main/java/sycamorehill/model/identity/TargetName.java
+++ b/src/main/java/sycamorehill/model/identity/TargetName.java
@@ -1,30 +1,31 @@
 package sycamorehill.model.identity;
 
 /**
- * Name of a routable target: a model group replica or one address of a plain service.
+ * The name of a target that requests are routed to: a model group or one address of a
+ * plain service.
  *
  * @param value the text of the name, never blank
  */
 public record TargetName(String value) implements Comparable<TargetName> {
 
 	/**
-	 * Refuses a blank name.
+	 * Checks that the name is neither blank nor too long.
 	 */
 	public TargetName {
 		Names.requireName(value);
 	}
 
 	/**
-	 * Creates the name.
-	 * @param value the text, never blank
+	 * Creates a name.
+	 * @param value the text of the name, never blank
 	 * @return the name
 	 */
 	public static TargetName of(String value) {
 		return new TargetName(value);
 	}
 
-	// Most maps are keyed by targets. The methods that a record gets by itself go through
-	// method handles, which the client compiler of the JVM does not inline.
+	// Most maps have target names as keys. The methods generated for a record use method
+	// handles, which the client compiler (C1) of the JVM does not inline.
 	@Override
 	public boolean equals(Object other) {
 		return other instanceof TargetName name && this.value.equals(name.value);
--- a/src/main/java/sycamorehill/model/identity/VmName.java
+++ b/src/main/java/sycamorehill/model/identity/VmName.java
@@ -1,22 +1,22 @@
 package sycamorehill.model.identity;
 
 /**
- * Name of a target VM, as the platform gives it.
+ * The name of a target VM, as assigned by the platform.
  *
  * @param value the text of the name, never blank
  */
 public record VmName(String value) implements Comparable<VmName> {
 
 	/**
-	 * Refuses a blank name.
+	 * Checks that the name is neither blank nor too long.
 	 */
 	public VmName {
 		Names.requireName(value);
 	}
 
 	/**
-	 * Creates the name.
-	 * @param value the text, never blank
+	 * Creates a name.
+	 * @param value the text of the name, never blank
 	 * @return the name
 	 */
 	public static VmName of(String value) {
--- a/src/main/java/sycamorehill/model/identity/WorkspaceName.java
+++ b/src/main/java/sycamorehill/model/identity/WorkspaceName.java
@@ -1,22 +1,22 @@
 package sycamorehill.model.identity;
 
 /**
- * Name of a workspace: the tenant that a caller belongs to.
+ * The name of a workspace, the tenant that a caller belongs to.
  *
  * @param value the text of the name, never blank
  */
 public record WorkspaceName(String value) implements Comparable<WorkspaceName> {
 
 	/**
-	 * Refuses a blank name.
+	 * Checks that the name is neither blank nor too long.
 	 */
 	public WorkspaceName {
 		Names.requireName(value);
 	}
 
 	/**
-	 * Creates the name.
-	 * @param value the text, never blank
+	 * Creates a name.
+	 * @param value the text of the name, never blank
 	 * @return the name
 	 */
 	public static WorkspaceName of(String value) {
--- a/src/main/java/sycamorehill/model/identity/package-info.java
+++ b/src/main/java/sycamorehill/model/identity/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Identifiers: names, incarnations, numbers and addresses.
+ * Identifiers of nodes, VMs, targets, services, requests and calls, and network
+ * addresses.
  */
 package sycamorehill.model.identity;
--- a/src/main/java/sycamorehill/model/membership/LiveNode.java
+++ b/src/main/java/sycamorehill/model/membership/LiveNode.java
@@ -5,11 +5,13 @@
 import sycamorehill.model.identity.NodeIdentity;
 
 /**
- * A node that is taken to be alive.
+ * A node that is taken to be live.
  *
- * @param identity who and where it is
- * @param stopping whether it has said that it stops: it takes no new duties
- * @param heardAt own monotonic time of the last word of it
+ * @param identity the identity of the node
+ * @param stopping whether the node has reported that it is stopping, so that it takes on
+ * no new duties
+ * @param heardAt the monotonic time of this node at the last message or confirmation that
+ * the node is live
  */
 public record LiveNode(NodeIdentity identity, boolean stopping, Instant heardAt) {
 
--- a/src/main/java/sycamorehill/model/membership/LiveNodes.java
+++ b/src/main/java/sycamorehill/model/membership/LiveNodes.java
@@ -9,14 +9,14 @@
 import sycamorehill.model.identity.NodeName;
 
 /**
- * The nodes taken to be alive, this one among them.
+ * The nodes that are taken to be live, including this node.
  *
- * @param nodes by name
+ * @param nodes the nodes by name
  */
 public record LiveNodes(PMap<NodeName, LiveNode> nodes) {
 
 	/**
-	 * No node at all.
+	 * Returns a view without nodes.
 	 * @return an empty view
 	 */
 	public static LiveNodes empty() {
@@ -24,9 +24,10 @@
 	}
 
 	/**
-	 * The nodes of a data centre that take duties.
+	 * Returns the live nodes of a data centre that are not stopping and may take on new
+	 * duties.
 	 * @param dataCentre the data centre
-	 * @return its live nodes that are not stopping, by name
+	 * @return the live nodes that are not stopping, in the order of their names
 	 */
 	public List<LiveNode> notStoppingIn(DataCentreName dataCentre) {
 		return this.nodes.values()
@@ -36,9 +37,9 @@
 	}
 
 	/**
-	 * The nodes of a data centre.
+	 * Returns the live nodes of a data centre, including stopping ones.
 	 * @param dataCentre the data centre
-	 * @return its live nodes, stopping ones among them, by name
+	 * @return the live nodes, in the order of their names
 	 */
 	public List<LiveNode> in(DataCentreName dataCentre) {
 		return this.nodes.values().stream().filter((node) -> node.identity().dataCentre().equals(dataCentre)).toList();
--- a/src/main/java/sycamorehill/model/membership/NodeAnnouncement.java
+++ b/src/main/java/sycamorehill/model/membership/NodeAnnouncement.java
@@ -4,10 +4,11 @@
 import sycamorehill.model.platform.PlatformValue;
 
 /**
- * Introduces a node to the others through the platform.
+ * Announces a node to the other nodes by an object on the platform.
  *
- * @param identity who and where it is
- * @param announcedAt wall clock of the node in milliseconds, for readers only
+ * @param identity the identity of the node
+ * @param announcedAt the wall-clock time of the node in milliseconds since the epoch, for
+ * information only
  */
 public record NodeAnnouncement(NodeIdentity identity, long announcedAt) implements PlatformValue {
 
--- a/src/main/java/sycamorehill/model/membership/NodeContact.java
+++ b/src/main/java/sycamorehill/model/membership/NodeContact.java
@@ -7,17 +7,18 @@
 import sycamorehill.model.identity.NodeName;
 
 /**
- * Where a node may be met that has not been heard of yet.
+ * The address of a node from which no message has been received yet.
  *
- * @param node its name
- * @param dataCentre where it runs
- * @param peerAddress where other nodes reach it
+ * @param node the name of the node
+ * @param dataCentre the data centre that the node runs in
+ * @param peerAddress the address at which other nodes reach it
  */
 public record NodeContact(NodeName node, DataCentreName dataCentre, Address peerAddress) {
 
 	/**
-	 * An identity to send a first message to: the present incarnation is not known.
-	 * @return the identity with an incarnation that no node has
+	 * Returns an identity for a first message to the node, whose current incarnation is
+	 * unknown.
+	 * @return the identity, with an incarnation number that no node has
 	 */
 	public NodeIdentity identityOfUnknownIncarnation() {
 		return new NodeIdentity(NodeIncarnation.of(this.node, 0), this.dataCentre, this.peerAddress);
--- a/src/main/java/sycamorehill/model/membership/package-info.java
+++ b/src/main/java/sycamorehill/model/membership/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Nodes of ours and what is known of their being alive.
+ * The nodes of the load balancer and which of them are live.
  */
 package sycamorehill.model.membership;
--- a/src/main/java/sycamorehill/model/order/OrderClaim.java
+++ b/src/main/java/sycamorehill/model/order/OrderClaim.java
@@ -8,16 +8,17 @@
 import sycamorehill.model.request.RecordedAnswer;
 
 /**
- * What is kept of one order key.
+ * The stored claim of one order key.
  *
- * @param key the key
- * @param fingerprint content it was first used with
- * @param holder who may send it
- * @param mark unique to one call of one caller: tells a lost answer from a lost race
- * @param status how far it is
- * @param answer the recorded answer
- * @param claimedAt wall clock of the claimer in milliseconds, for the expiry, whose bound
- * allows for skew
+ * @param key the order key
+ * @param fingerprint the fingerprint of the content that the key was first used with
+ * @param holder the node that may send the order to a target
+ * @param mark the identifier of the request that claims the key. After an answer was
+ * lost, it tells whether this request or another one holds the claim
+ * @param status the status of the order
+ * @param answer the recorded answer, if any
+ * @param claimedAt the wall-clock time of the claiming node in milliseconds since the
+ * epoch. It is used only for expiry, and the retention allows for clock skew
  */
 public record OrderClaim(OrderKey key, Fingerprint fingerprint, NodeIncarnation holder, String mark, OrderStatus status,
 		Optional<RecordedAnswer> answer, long claimedAt) {
--- a/src/main/java/sycamorehill/model/order/OrderClaimDecision.java
+++ b/src/main/java/sycamorehill/model/order/OrderClaimDecision.java
@@ -1,21 +1,21 @@
 package sycamorehill.model.order;
 
 /**
- * What the keeper of a shard says to a claim.
+ * The decision of the owner of a shard on a claim.
  */
 public enum OrderClaimDecision {
 
 	/** The claim is committed: its holder may send the order. */
 	GRANTED,
-	/** The order ran; its answer is given again. */
+	/** The order ran; its recorded answer is returned. */
 	RECORDED,
-	/** Another call holds the claim and its node is alive. */
+	/** Another request holds the claim and its node is live. */
 	RUNNING,
-	/** Whether the order ran can not be told; it never runs again. */
+	/** It is unknown whether the order ran; it is never run again. */
 	UNKNOWN,
-	/** The key was used with other content. */
+	/** The key was used before with different content. */
 	KEY_REUSED,
-	/** The claim was not committed, and this mark never will be granted. */
+	/** The claim was not committed, and a claim with this mark will never be granted. */
 	NOT_TAKEN
 
 }
--- a/src/main/java/sycamorehill/model/order/OrderNumbers.java
+++ b/src/main/java/sycamorehill/model/order/OrderNumbers.java
@@ -10,10 +10,12 @@
 import sycamorehill.model.request.OrderKey;
 
 /**
- * Order numbers that a node issues. The claim of such a number is kept in the memory of
- * the issuing incarnation alone, so it needs no platform; any other node asks the issuer.
- * The key carries the mark of an issued number, a hash of its issuer and the second of
- * its issue, so that no node ever takes it for a caller's own key.
+ * Issues order numbers and encodes their issuer in order keys. Only the issuing
+ * incarnation keeps the claim of an issued number, in memory, so that the claim does not
+ * depend on the platform; any other node asks the issuer. The key holds a bit that
+ * distinguishes issued numbers from keys chosen by callers, a hash of the issuer and the
+ * second of issue, so that no node mistakes an issued number for a key chosen by a
+ * caller.
  */
 public final class OrderNumbers {
 
@@ -33,21 +35,21 @@
 	}
 
 	/**
-	 * Issues a number.
-	 * @param issuer this node
-	 * @param now monotonic time of this node
-	 * @param random drawn for this number alone
-	 * @return the text that the caller sends as its idempotency key
+	 * Issues an order number.
+	 * @param issuer the incarnation of this node
+	 * @param now the monotonic time of this node
+	 * @param random a random value drawn for this number only
+	 * @return the order number, which the caller sends as its idempotency key
 	 */
 	public static String issue(NodeIncarnation issuer, Instant now, long random) {
 		return "order-%s-%06x-%s".formatted(issuer, now.getEpochSecond() & SECOND_MASK, Long.toHexString(random));
 	}
 
 	/**
-	 * Marks the key of an idempotency key.
-	 * @param hashedKey hash over workspace, service and idempotency key
+	 * Encodes in an order key whether the idempotency key is an issued number.
+	 * @param hashedKey the hash of workspace, service and idempotency key
 	 * @param idempotencyKey the idempotency key as the caller sent it
-	 * @return the key, marked as issued or as the caller's own
+	 * @return the order key, with issuer and second of issue for an issued number
 	 */
 	public static OrderKey encodeOrigin(OrderKey hashedKey, String idempotencyKey) {
 		Matcher matcher = ISSUED_NUMBER.matcher(idempotencyKey);
@@ -59,29 +61,30 @@
 	}
 
 	/**
-	 * Whether a key belongs to an issued number.
-	 * @param key the key
-	 * @return whether only its issuer may grant it
+	 * Tells whether a key belongs to an issued number.
+	 * @param key the order key
+	 * @return whether the number was issued, so that only its issuer may grant the claim
 	 */
 	public static boolean isIssued(OrderKey key) {
 		return key.high() < 0;
 	}
 
 	/**
-	 * Whether a node issued a key's number.
-	 * @param key the key of an issued number
-	 * @param node the node
-	 * @return whether it is the issuer
+	 * Tells whether a node issued the number of a key.
+	 * @param key the order key of an issued number
+	 * @param node the incarnation of the node
+	 * @return whether the node is the issuer
 	 */
 	public static boolean isIssuedBy(OrderKey key, NodeIncarnation node) {
 		return (key.high() & ~SECOND_MASK) == issuerBits(node.toString());
 	}
 
 	/**
-	 * The age of a key's number, for its issuer.
-	 * @param key the key of an issued number
-	 * @param now monotonic time of the issuer
-	 * @return how long ago it was issued, to the second
+	 * Returns the time since a number was issued. Only its issuer can call this, since
+	 * the key holds a time on the clock of the issuer.
+	 * @param key the order key of an issued number
+	 * @param now the monotonic time of the issuer
+	 * @return the time since the issue, in whole seconds
 	 */
 	public static Duration age(OrderKey key, Instant now) {
 		return Duration.ofSeconds((now.getEpochSecond() - key.high()) & SECOND_MASK);
--- a/src/main/java/sycamorehill/model/order/OrderStatus.java
+++ b/src/main/java/sycamorehill/model/order/OrderStatus.java
@@ -1,20 +1,20 @@
 package sycamorehill.model.order;
 
 /**
- * How far a claimed order is.
+ * The status of a claimed order.
  */
 public enum OrderStatus {
 
-	/** Claimed by a holder that may have sent it. */
+	/** The holder of the claim may have sent the order to a target. */
 	CLAIMED,
 
-	/** Its answer is recorded. */
+	/** The order ran and its answer is recorded. */
 	RECORDED,
 
-	/** It certainly did not run; the key may be claimed again. */
+	/** The order did not run; the key may be claimed again. */
 	RELEASED,
 
-	/** Whether it ran can not be told. */
+	/** It is unknown whether the order ran. */
 	UNKNOWN
 
 }
--- a/src/main/java/sycamorehill/model/order/package-info.java
+++ b/src/main/java/sycamorehill/model/order/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Claims of orders that may run at most once.
+ * Claims of orders, which are requests that may run at most once.
  */
 package sycamorehill.model.order;
--- a/src/main/java/sycamorehill/model/package-info.java
+++ b/src/main/java/sycamorehill/model/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Plain data that every layer shares; it depends on nothing of ours.
+ * Immutable data types shared by all layers. This package depends on no other package of
+ * the project.
  */
 package sycamorehill.model;
--- a/src/main/java/sycamorehill/model/peer/ContentQuarantined.java
+++ b/src/main/java/sycamorehill/model/peer/ContentQuarantined.java
@@ -5,15 +5,16 @@
 import sycamorehill.model.identity.TargetName;
 
 /**
- * To all nodes: content has crashed a second target.
+ * Tells all nodes that content has crashed a second target.
  *
- * @param entry the content and for how long it is refused
- * @param explained the targets that it crashed; what else they ran is cleared
+ * @param entry the content and how long it is refused
+ * @param explained the targets that the content crashed. Other content that they ran is
+ * no longer suspected
  */
 public record ContentQuarantined(QuarantineEntry entry, List<TargetName> explained) implements PeerMessage {
 
 	/**
-	 * Takes a copy of the list.
+	 * Copies the list.
 	 */
 	public ContentQuarantined {
 		explained = List.copyOf(explained);
--- a/src/main/java/sycamorehill/model/peer/DataCentreConfirmation.java
+++ b/src/main/java/sycamorehill/model/peer/DataCentreConfirmation.java
@@ -3,13 +3,13 @@
 import sycamorehill.model.identity.DataCentreName;
 
 /**
- * The word of a delegate, or what a node has heard of it, that exactly a certain set of
- * nodes of a data centre was alive.
+ * A confirmation by a delegate that exactly a given set of nodes of a data centre is
+ * live. Other nodes forward it with its age.
  *
  * @param dataCentre the data centre
- * @param hash of the nodes, their incarnations and whether they stop
- * @param ageMillis how long ago a delegate of the data centre gave its word; a duration,
- * because clocks of two nodes are never compared
+ * @param hash the hash of the nodes, their incarnations and whether they are stopping
+ * @param ageMillis the time since a delegate of the data centre confirmed the set, in
+ * milliseconds. It is a duration because clocks of different nodes are never compared
  */
 public record DataCentreConfirmation(DataCentreName dataCentre, long hash, int ageMillis) {
 }
--- a/src/main/java/sycamorehill/model/peer/ForceAsked.java
+++ b/src/main/java/sycamorehill/model/peer/ForceAsked.java
@@ -1,10 +1,10 @@
 package sycamorehill.model.peer;
 
 /**
- * Asks a delegate where a ticket is in force in its data centre.
+ * Asks a delegate for the rollout status of a ticket in its data centre.
  *
- * @param call the asker's number for the question
- * @param number the ticket
+ * @param call the number of the question, assigned by the asking node
+ * @param number the number of the ticket
  */
 public record ForceAsked(long call, long number) implements PeerMessage {
 }
--- a/src/main/java/sycamorehill/model/peer/GroupFacts.java
+++ b/src/main/java/sycamorehill/model/peer/GroupFacts.java
@@ -8,19 +8,20 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * What does not change within a generation of a group.
+ * The properties of a group that stay the same within a generation.
  *
- * @param identity the group and generation
- * @param service what it answers
- * @param address where its head takes requests
- * @param members its VMs, the head first
- * @param modelVersion the version of its model
+ * @param identity the name and generation of the group
+ * @param service the service that the group serves
+ * @param address the address at which the head receives requests
+ * @param members the VMs of the group, the head first
+ * @param modelVersion the version of the model, empty if the sender did not report it
  */
 public record GroupFacts(GroupIdentity identity, ServiceName service, Address address, List<VmName> members,
 		String modelVersion) {
 
 	/**
-	 * Takes a copy of the members; an older sender gives no version.
+	 * Copies the members. A sender that runs an older version of the software leaves out
+	 * the model version.
 	 */
 	public GroupFacts {
 		members = List.copyOf(members);
--- a/src/main/java/sycamorehill/model/peer/IsolationAsked.java
+++ b/src/main/java/sycamorehill/model/peer/IsolationAsked.java
@@ -8,20 +8,21 @@
 import sycamorehill.model.request.Fingerprint;
 
 /**
- * To the arbiter of a service: a suspected request looks for a target on which no other
- * suspect runs.
+ * Asks the arbiter of a service for a target on which no other suspect runs, to run a
+ * suspected request there.
  *
  * @param request the request
- * @param service the service
- * @param fingerprint its content
- * @param excluded targets that have already failed it
- * @param died targets that died running its content, as the sender knows
+ * @param service the service of the request
+ * @param fingerprint the fingerprint of its content
+ * @param excluded the targets that have already failed the request
+ * @param died the targets that crashed while running its content, as far as the sender
+ * knows
  */
 public record IsolationAsked(RequestIdentifier request, ServiceName service, Fingerprint fingerprint,
 		List<TargetName> excluded, List<TargetName> died) implements PeerMessage {
 
 	/**
-	 * Takes copies of the lists.
+	 * Copies the lists.
 	 */
 	public IsolationAsked {
 		excluded = List.copyOf(excluded);
--- a/src/main/java/sycamorehill/model/peer/MembersAsked.java
+++ b/src/main/java/sycamorehill/model/peer/MembersAsked.java
@@ -3,7 +3,7 @@
 import sycamorehill.model.identity.DataCentreName;
 
 /**
- * Asks for the live nodes of a data centre.
+ * Asks a node for the live nodes of a data centre that it knows.
  *
  * @param dataCentre the data centre
  */
--- a/src/main/java/sycamorehill/model/peer/MembersChanged.java
+++ b/src/main/java/sycamorehill/model/peer/MembersChanged.java
@@ -6,20 +6,20 @@
 import sycamorehill.model.identity.NodeName;
 
 /**
- * What has changed among the live nodes of a data centre. It only fits the set that it
- * began from; a node with another set asks for the whole.
+ * Reports the changes to the live nodes of a data centre since the previous set. A node
+ * that knows another previous set asks for the complete set.
  *
  * @param dataCentre the data centre
- * @param before hash of the set before
- * @param after hash of the set after
- * @param present nodes that came or changed
- * @param gone nodes that went
+ * @param before the hash of the set before the change
+ * @param after the hash of the set after the change
+ * @param present the nodes that were added or changed
+ * @param gone the nodes that were removed
  */
 public record MembersChanged(DataCentreName dataCentre, long before, long after, List<MemberEntry> present,
 		List<NodeName> gone) implements PeerMessage {
 
 	/**
-	 * Takes copies of the lists.
+	 * Copies the lists.
 	 */
 	public MembersChanged {
 		present = (present != null) ? List.copyOf(present) : List.of();
--- a/src/main/java/sycamorehill/model/peer/MembersSent.java
+++ b/src/main/java/sycamorehill/model/peer/MembersSent.java
@@ -5,16 +5,17 @@
 import sycamorehill.model.identity.DataCentreName;
 
 /**
- * The live nodes of a data centre.
+ * Answers {@link MembersAsked} with the live nodes of a data centre.
  *
  * @param dataCentre the data centre
- * @param ageMillis how long ago a delegate of the data centre gave its word
- * @param members the nodes
+ * @param ageMillis the time since a delegate of the data centre confirmed these nodes, in
+ * milliseconds
+ * @param members the live nodes
  */
 public record MembersSent(DataCentreName dataCentre, int ageMillis, List<MemberEntry> members) implements PeerMessage {
 
 	/**
-	 * Takes a copy of the list.
+	 * Copies the list.
 	 */
 	public MembersSent {
 		members = (members != null) ? List.copyOf(members) : List.of();
--- a/src/main/java/sycamorehill/model/peer/OrderClaimReply.java
+++ b/src/main/java/sycamorehill/model/peer/OrderClaimReply.java
@@ -9,10 +9,10 @@
 /**
  * Answers {@link OrderClaimRequest}.
  *
- * @param key the key
+ * @param key the order key
  * @param mark the mark of the request
- * @param verdict what became of the claim
- * @param answer the recorded answer, if one was kept
+ * @param verdict the decision on the claim
+ * @param answer the recorded answer, if there is one
  */
 public record OrderClaimReply(OrderKey key, String mark, OrderClaimDecision verdict,
 		Optional<RecordedAnswer> answer) implements PeerMessage {
--- a/src/main/java/sycamorehill/model/peer/OrderClaimRequest.java
+++ b/src/main/java/sycamorehill/model/peer/OrderClaimRequest.java
@@ -4,11 +4,11 @@
 import sycamorehill.model.request.OrderKey;
 
 /**
- * Asks the keeper of a key's shard to commit a claim for the sender.
+ * Asks the owner of the shard of a key to commit a claim for the sender.
  *
- * @param key the key
- * @param fingerprint content of the order
- * @param mark unique to the caller's call
+ * @param key the order key
+ * @param fingerprint the fingerprint of the content of the order
+ * @param mark the identifier of the request that claims the key
  */
 public record OrderClaimRequest(OrderKey key, Fingerprint fingerprint, String mark) implements PeerMessage {
 }
--- a/src/main/java/sycamorehill/model/peer/OrderSettlement.java
+++ b/src/main/java/sycamorehill/model/peer/OrderSettlement.java
@@ -7,12 +7,13 @@
 import sycamorehill.model.request.RecordedAnswer;
 
 /**
- * Tells the keeper of a key's shard what came of a claim; repeated until it is taken.
+ * Reports the outcome of a claimed order to the owner of the shard of its key. The sender
+ * repeats it until it is committed.
  *
- * @param key the key
+ * @param key the order key
  * @param mark the mark of the claim
- * @param status how the order ended
- * @param answer the answer to record
+ * @param status the final status of the order
+ * @param answer the answer to record, if any
  */
 public record OrderSettlement(OrderKey key, String mark, OrderStatus status,
 		Optional<RecordedAnswer> answer) implements PeerMessage {
--- a/src/main/java/sycamorehill/model/peer/PlatformSilent.java
+++ b/src/main/java/sycamorehill/model/peer/PlatformSilent.java
@@ -1,9 +1,9 @@
 package sycamorehill.model.peer;
 
 /**
- * The sender, a steward, has had no answer of the platform for a while.
+ * Reports to the other stewards that the platform does not answer the sender.
  *
- * @param allocationVersion version of the allocation that it knows
+ * @param allocationVersion the version of the allocation that the sender knows
  */
 public record PlatformSilent(long allocationVersion) implements PeerMessage {
 }
--- a/src/main/java/sycamorehill/model/peer/QuarantineDigest.java
+++ b/src/main/java/sycamorehill/model/peer/QuarantineDigest.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * From time to time to one other node, so that a node that joined learns what is refused.
+ * Sends quarantined content to another node. Each node sends it to one other node at
+ * intervals, so that a node that joined receives the quarantined content, too.
  *
- * @param entries what is quarantined, those that last longest
+ * @param entries the quarantined content that remains quarantined for longest
  */
 public record QuarantineDigest(List<QuarantineEntry> entries) implements PeerMessage {
 
 	/**
-	 * Takes a copy of the list.
+	 * Copies the list.
 	 */
 	public QuarantineDigest {
 		entries = List.copyOf(entries);
--- a/src/main/java/sycamorehill/model/peer/QuarantineEntry.java
+++ b/src/main/java/sycamorehill/model/peer/QuarantineEntry.java
@@ -5,10 +5,11 @@
 import sycamorehill.model.request.Fingerprint;
 
 /**
- * Content that is refused.
+ * Quarantined content, which is refused.
  *
- * @param fingerprint the content
- * @param remaining for how long from when it was sent: clocks are not compared
+ * @param fingerprint the fingerprint of the content
+ * @param remaining the remaining time of the quarantine when the message is sent. It is a
+ * duration because clocks of different nodes are never compared
  */
 public record QuarantineEntry(Fingerprint fingerprint, Duration remaining) {
 
--- a/src/main/java/sycamorehill/model/peer/ShareAmounts.java
+++ b/src/main/java/sycamorehill/model/peer/ShareAmounts.java
@@ -1,22 +1,22 @@
 package sycamorehill.model.peer;
 
 /**
- * Parts of a workspace's three limits.
+ * Amounts of the three limits of a workspace.
  *
- * @param requests requests a second
- * @param tokens tokens a second
+ * @param requests requests per second
+ * @param tokens tokens per second
  * @param inFlight requests in flight
  */
 public record ShareAmounts(double requests, double tokens, double inFlight) {
 
 	/**
-	 * Nothing of any limit.
+	 * Zero of each limit.
 	 */
 	public static final ShareAmounts NONE = new ShareAmounts(0, 0, 0);
 
 	/**
-	 * Adds.
-	 * @param other what to add
+	 * Adds amounts.
+	 * @param other the amounts to add
 	 * @return the sum
 	 */
 	public ShareAmounts plus(ShareAmounts other) {
@@ -25,9 +25,9 @@
 	}
 
 	/**
-	 * Subtracts, down to nothing.
-	 * @param other what to subtract
-	 * @return the difference, 0 where it would be negative
+	 * Subtracts amounts; a negative difference becomes 0.
+	 * @param other the amounts to subtract
+	 * @return the difference of each limit, at least 0
 	 */
 	public ShareAmounts minus(ShareAmounts other) {
 		return new ShareAmounts(Math.max(0, this.requests - other.requests), Math.max(0, this.tokens - other.tokens),
@@ -35,8 +35,8 @@
 	}
 
 	/**
-	 * Scales.
-	 * @param factor by how much
+	 * Multiplies the amounts by a factor.
+	 * @param factor the factor
 	 * @return the product
 	 */
 	public ShareAmounts times(double factor) {
@@ -44,8 +44,8 @@
 	}
 
 	/**
-	 * The greater of each part.
-	 * @param other what to compare with
+	 * Returns the greater amount of each limit.
+	 * @param other the amounts to compare with
 	 * @return the maxima
 	 */
 	public ShareAmounts max(ShareAmounts other) {
@@ -54,8 +54,8 @@
 	}
 
 	/**
-	 * The smaller of each part.
-	 * @param other what to compare with
+	 * Returns the smaller amount of each limit.
+	 * @param other the amounts to compare with
 	 * @return the minima
 	 */
 	public ShareAmounts min(ShareAmounts other) {
@@ -64,8 +64,8 @@
 	}
 
 	/**
-	 * Whether there is nothing worth a message.
-	 * @return whether all parts are next to nothing
+	 * Tells whether the amounts are too small to send in a message.
+	 * @return whether the amounts of all limits are close to 0
 	 */
 	public boolean isNegligible() {
 		return this.requests < 0.001 && this.tokens < 0.001 && this.inFlight < 0.001;
--- a/src/main/java/sycamorehill/model/peer/ShareAsk.java
+++ b/src/main/java/sycamorehill/model/peer/ShareAsk.java
@@ -3,35 +3,45 @@
 import java.util.List;
 
 /**
- * Asks another node to lend parts of workspace limits.
+ * Asks another node to lend shares of workspace limits.
  *
- * @param number counts up within one life of the asking node; the answer repeats it
- * @param scope what the asked node does about what it can't lend itself
- * @param wants what is missing
+ * @param number the sequence number within the incarnation of the asking node; the answer
+ * contains it
+ * @param scope where the asked node may look for shares that it cannot lend itself
+ * @param wants the missing shares
  */
 public record ShareAsk(long number, Scope scope, List<WorkspaceShare> wants) implements PeerMessage {
 
 	/**
-	 * Takes a copy of the list.
+	 * Copies the list.
 	 */
 	public ShareAsk {
 		wants = (wants != null) ? List.copyOf(wants) : List.of();
 	}
 
 	/**
-	 * How far a want is passed on. Wants from another data centre are never passed on to
-	 * a third, so that two coordinators can not pass a want to and fro and raise it each
-	 * time.
+	 * How far the asked node forwards an ask. An ask from another data centre is never
+	 * forwarded to a third data centre; otherwise, two coordinators could forward it to
+	 * each other and increase it each time.
 	 */
 	public enum Scope {
 
-		/** From a node to its data centre's coordinator: look everywhere. */
+		/**
+		 * From a node to the coordinator of its data centre, which asks its own nodes and
+		 * other data centres.
+		 */
 		TO_COORDINATOR,
 
-		/** From a coordinator to another data centre's: look in that data centre. */
+		/**
+		 * From a coordinator to that of another data centre, which asks its own nodes
+		 * only.
+		 */
 		TO_DATA_CENTRE,
 
-		/** From a coordinator to a node: lend what is at hand. */
+		/**
+		 * From a coordinator to a node of its data centre, which lends only its own
+		 * unused share.
+		 */
 		TO_NODE
 
 	}
--- a/src/main/java/sycamorehill/model/peer/ShareLoan.java
+++ b/src/main/java/sycamorehill/model/peer/ShareLoan.java
@@ -5,20 +5,20 @@
 import sycamorehill.model.identity.NodeIncarnation;
 
 /**
- * Lends parts of workspace limits. The loan counts from the moment before the ask was
- * sent, on the borrower's clock.
+ * Lends shares of workspace limits. The lease of the loan starts just before the ask was
+ * sent, measured by the clock of the borrower.
  *
- * @param borrower the life of the node that asked: a later life of it has asked other
- * things under the same numbers
- * @param number the number of the ask
- * @param leaseMilliseconds how long it holds
- * @param loans what is lent
+ * @param borrower the incarnation of the node that asked. A later incarnation of the node
+ * reuses the same numbers for other asks
+ * @param number the number of the {@link ShareAsk}
+ * @param leaseMilliseconds how long the loan is valid, in milliseconds
+ * @param loans the shares that are lent
  */
 public record ShareLoan(NodeIncarnation borrower, long number, long leaseMilliseconds,
 		List<WorkspaceShare> loans) implements PeerMessage {
 
 	/**
-	 * Takes a copy of the list.
+	 * Copies the list.
 	 */
 	public ShareLoan {
 		loans = (loans != null) ? List.copyOf(loans) : List.of();
--- a/src/main/java/sycamorehill/model/peer/SuspectCleared.java
+++ b/src/main/java/sycamorehill/model/peer/SuspectCleared.java
@@ -4,10 +4,10 @@
 import sycamorehill.model.request.Fingerprint;
 
 /**
- * To the arbiter of a service: content is no longer suspected.
+ * Tells the arbiter of a service that content is no longer suspected.
  *
  * @param service the service
- * @param fingerprint the content
+ * @param fingerprint the fingerprint of the content
  */
 public record SuspectCleared(ServiceName service, Fingerprint fingerprint) implements PeerMessage {
 
--- a/src/main/java/sycamorehill/model/peer/SuspectReported.java
+++ b/src/main/java/sycamorehill/model/peer/SuspectReported.java
@@ -3,7 +3,8 @@
 import sycamorehill.model.identity.ServiceName;
 
 /**
- * To the arbiter of a service: a target broke off while it ran content.
+ * Tells the arbiter of a service that the connection to a target was lost while the
+ * target ran content.
  *
  * @param service the service
  * @param suspect the content and the target
--- a/src/main/java/sycamorehill/model/peer/SuspectsSpread.java
+++ b/src/main/java/sycamorehill/model/peer/SuspectsSpread.java
@@ -5,15 +5,16 @@
 import sycamorehill.model.request.Fingerprint;
 
 /**
- * From an arbiter to all nodes: what has become suspected and what no longer is.
+ * Tells all nodes which content has become suspected and which no longer is. The arbiter
+ * of a service sends it.
  *
- * @param suspects content that targets ran when they broke off
- * @param cleared content that is no longer suspected
+ * @param suspects the content that targets ran when the connection to them was lost
+ * @param cleared the fingerprints of content that is no longer suspected
  */
 public record SuspectsSpread(List<SuspectEntry> suspects, List<Fingerprint> cleared) implements PeerMessage {
 
 	/**
-	 * Takes copies of the lists.
+	 * Copies the lists.
 	 */
 	public SuspectsSpread {
 		suspects = List.copyOf(suspects);
--- a/src/main/java/sycamorehill/model/peer/TicketsAsked.java
+++ b/src/main/java/sycamorehill/model/peer/TicketsAsked.java
@@ -1,9 +1,10 @@
 package sycamorehill.model.peer;
 
 /**
- * Asks a node for the tickets behind a number, or for its whole truth.
+ * Asks a node for the tickets after a number, or for its complete desired state.
  *
- * @param after the asker's last ticket, -1 if it has no truth yet
+ * @param after the number of the last ticket that the asking node has applied, -1 if it
+ * has no desired state yet
  */
 public record TicketsAsked(long after) implements PeerMessage {
 }
--- a/src/main/java/sycamorehill/model/peer/TicketsSent.java
+++ b/src/main/java/sycamorehill/model/peer/TicketsSent.java
@@ -5,14 +5,14 @@
 import sycamorehill.model.ticket.Ticket;
 
 /**
- * Accepted tickets, by number and without gaps.
+ * Sends accepted tickets in the order of their numbers and without gaps.
  *
  * @param tickets the tickets
  */
 public record TicketsSent(List<Ticket> tickets) implements PeerMessage {
 
 	/**
-	 * Takes a copy of the list.
+	 * Copies the list.
 	 */
 	public TicketsSent {
 		tickets = (tickets != null) ? List.copyOf(tickets) : List.of();
--- a/src/main/java/sycamorehill/model/peer/TruthSent.java
+++ b/src/main/java/sycamorehill/model/peer/TruthSent.java
@@ -3,9 +3,10 @@
 import sycamorehill.model.ticket.DesiredStateSnapshot;
 
 /**
- * The whole truth of the sender, for a node that is too far behind for single tickets.
+ * Sends the complete desired state of the sender to a node that lags too far behind to
+ * apply single tickets.
  *
- * @param snapshot the truth
+ * @param snapshot the desired state
  */
 public record TruthSent(DesiredStateSnapshot snapshot) implements PeerMessage {
 }
--- a/src/main/java/sycamorehill/model/peer/VmSightsSent.java
+++ b/src/main/java/sycamorehill/model/peer/VmSightsSent.java
@@ -5,21 +5,22 @@
 import sycamorehill.model.group.VmReport;
 
 /**
- * What an observer has seen of its VMs.
+ * Sends the observations of an observer to the stewards of its data centre.
  *
- * @param sentAt the sender's own monotonic time in milliseconds: differences between two
- * messages of one sender show how long one was under way
- * @param whole whether the reports are those of all VMs that the sender sees
- * @param reports reports that changed, or all
- * @param ages age of each of these reports in milliseconds when it was sent
- * @param hash over the standing of all VMs that the sender sees
- * @param oldest age in milliseconds of the oldest of these sights
+ * @param sentAt the monotonic time of the sender in milliseconds. From the differences
+ * between messages of one sender, the receiver estimates how long a message was delayed
+ * @param whole whether the message has the reports of all VMs that the sender observes
+ * @param reports the reports of all VMs or, if not whole, of the VMs that have load
+ * @param ages the age of each report when the message was sent, in milliseconds
+ * @param hash the hash over the states, without load, of all VMs that the sender observes
+ * @param oldest the age of the oldest observation when the message was sent, in
+ * milliseconds
  */
 public record VmSightsSent(long sentAt, boolean whole, List<VmReport> reports, List<Integer> ages, long hash,
 		int oldest) implements PeerMessage {
 
 	/**
-	 * Takes copies of the lists.
+	 * Copies the lists.
 	 */
 	public VmSightsSent {
 		reports = List.copyOf(reports);
--- a/src/main/java/sycamorehill/model/peer/WorkspaceShare.java
+++ b/src/main/java/sycamorehill/model/peer/WorkspaceShare.java
@@ -3,10 +3,10 @@
 import sycamorehill.model.identity.WorkspaceName;
 
 /**
- * A part of one workspace's limits.
+ * A share of the limits of one workspace.
  *
  * @param workspace the workspace
- * @param amounts the part
+ * @param amounts the amounts of the share
  */
 public record WorkspaceShare(WorkspaceName workspace, ShareAmounts amounts) {
 }
--- a/src/main/java/sycamorehill/model/peer/package-info.java
+++ b/src/main/java/sycamorehill/model/peer/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Messages between our own processes. A field that a reader does not know is passed over.
+ * Messages between the nodes of the load balancer. A receiver ignores fields that it does
+ * not know.
  */
 package sycamorehill.model.peer;
--- a/src/main/java/sycamorehill/model/request/AttemptResult.java
+++ b/src/main/java/sycamorehill/model/request/AttemptResult.java
@@ -4,59 +4,61 @@
 import java.util.Optional;
 
 /**
- * How one attempt ended, as the traffic thread saw it.
+ * The result of one attempt, as reported by the traffic thread.
  */
 public sealed interface AttemptResult {
 
 	/**
-	 * The whole answer arrived, with its end mark.
+	 * The complete answer was received, up to its end marker.
 	 *
-	 * @param tokens tokens of the whole answer, 0 for a plain service
+	 * @param tokens the number of tokens of the complete answer, 0 for a plain service
 	 * @param recorded the answer, if it is to be recorded and is small enough
 	 */
 	record Completed(int tokens, Optional<RecordedAnswer> recorded) implements AttemptResult {
 	}
 
 	/**
-	 * The target itself refused before running the request.
+	 * The target refused the request before running it.
 	 *
-	 * @param leaving whether the target said that it is leaving
-	 * @param retryAfter the target's own word on when to come back, zero if it gave none
-	 * @param detail what it said
+	 * @param leaving whether the target reported that it is leaving
+	 * @param retryAfter the time after which the target asks for a retry, zero if it gave
+	 * none
+	 * @param detail the message of the target
 	 */
 	record RefusedBeforeRunning(boolean leaving, Duration retryAfter, String detail) implements AttemptResult {
 	}
 
 	/**
-	 * No byte of the request was handed to the target: the connection could not be made.
+	 * No byte of the request was sent to the target, since the connection could not be
+	 * established.
 	 *
-	 * @param detail what happened
+	 * @param detail the cause
 	 */
 	record NotSent(String detail) implements AttemptResult {
 	}
 
 	/**
-	 * The target answered that it ran the request and failed.
+	 * The target answered that it failed while running the request.
 	 *
-	 * @param detail what it said
+	 * @param detail the message of the target
 	 */
 	record FailedWhileRunning(String detail) implements AttemptResult {
 	}
 
 	/**
-	 * The answer broke off: whether the request ran to its end is not known.
+	 * The answer was interrupted: it is unknown whether the request ran to its end.
 	 *
-	 * @param connectionLost whether the connection itself was lost, which may mean that
-	 * the target died, rather than that nothing came for too long
-	 * @param detail what happened
+	 * @param connectionLost whether the connection was lost, which may mean that the
+	 * target crashed. Otherwise, no data was received for too long
+	 * @param detail the cause
 	 */
 	record Interrupted(boolean connectionLost, String detail) implements AttemptResult {
 	}
 
 	/**
-	 * The attempt was given up by the node itself; it says nothing about the target.
+	 * The node itself cancelled the attempt. The result says nothing about the target.
 	 *
-	 * @param detail why
+	 * @param detail the reason
 	 */
 	record Cancelled(String detail) implements AttemptResult {
 	}
--- a/src/main/java/sycamorehill/model/request/Fingerprint.java
+++ b/src/main/java/sycamorehill/model/request/Fingerprint.java
@@ -1,10 +1,10 @@
 package sycamorehill.model.request;
 
 /**
- * Hash over service, method and body of a request, free of identifiers, so that the same
- * request sent again has the same.
+ * A hash over service, method and body of a request. It excludes identifiers, so that a
+ * retry of a request has the same fingerprint.
  *
- * @param value lower-case hex
+ * @param value the hash in lower-case hexadecimal digits
  */
 public record Fingerprint(String value) {
 
--- a/src/main/java/sycamorehill/model/request/Idempotency.java
+++ b/src/main/java/sycamorehill/model/request/Idempotency.java
@@ -1,17 +1,20 @@
 package sycamorehill.model.request;
 
 /**
- * How often a request may be sent to targets.
+ * Tells whether a request may be sent to targets more than once.
  */
 public enum Idempotency {
 
-	/** Idempotent: may be sent again. */
+	/** Idempotent: may be retried. */
 	REPEATABLE,
 
-	/** Not idempotent and without a key: one attempt, no retry. */
+	/** Not idempotent and without an idempotency key: one attempt, no retry. */
 	ONCE_WITHOUT_KEY,
 
-	/** Not idempotent with a key: claimed before its one attempt. */
+	/**
+	 * Not idempotent, with an idempotency key: the key is claimed before the only
+	 * attempt.
+	 */
 	ONCE_WITH_KEY
 
 }
--- a/src/main/java/sycamorehill/model/request/OrderKey.java
+++ b/src/main/java/sycamorehill/model/request/OrderKey.java
@@ -1,10 +1,10 @@
 package sycamorehill.model.request;
 
 /**
- * Hash over workspace, service and idempotency key.
+ * A 128-bit hash over workspace, service and idempotency key.
  *
- * @param high upper half
- * @param low lower half
+ * @param high the upper 64 bits
+ * @param low the lower 64 bits
  */
 public record OrderKey(long high, long low) implements Comparable<OrderKey> {
 
--- a/src/main/java/sycamorehill/model/request/Priority.java
+++ b/src/main/java/sycamorehill/model/request/Priority.java
@@ -1,17 +1,17 @@
 package sycamorehill.model.request;
 
 /**
- * Urgency that the caller gives.
+ * The priority that the caller requests.
  */
 public enum Priority {
 
-	/** Served before the others. */
+	/** Served before requests of other priorities. */
 	HIGH,
 
-	/** The usual. */
+	/** The default. */
 	NORMAL,
 
-	/** Served when there is room. */
+	/** Served when capacity is left. */
 	LOW
 
 }
--- a/src/main/java/sycamorehill/model/request/RecordedAnswer.java
+++ b/src/main/java/sycamorehill/model/request/RecordedAnswer.java
@@ -1,10 +1,10 @@
 package sycamorehill.model.request;
 
 /**
- * A whole answer small enough to be recorded and given again.
+ * A complete answer that is small enough to be recorded and replayed.
  *
- * @param status HTTP status
- * @param contentType media type
+ * @param status the HTTP status code
+ * @param contentType the media type
  * @param body the body as text
  */
 public record RecordedAnswer(int status, String contentType, String body) {
--- a/src/main/java/sycamorehill/model/request/Refusal.java
+++ b/src/main/java/sycamorehill/model/request/Refusal.java
@@ -4,18 +4,18 @@
 import java.util.Optional;
 
 /**
- * What a caller hears when its request is not served whole.
+ * The error answer to a caller whose request was not served completely.
  *
- * @param reason why
- * @param detail one sentence for people
- * @param retryAfter when to come back, if that helps
+ * @param reason the reason
+ * @param detail a message for people, in one sentence
+ * @param retryAfter the time after which to retry, if a retry can succeed
  */
 public record Refusal(RefusalReason reason, String detail, Optional<Duration> retryAfter) {
 
 	/**
-	 * A refusal without a time to come back.
-	 * @param reason why
-	 * @param detail one sentence for people
+	 * Creates a refusal without a time to retry.
+	 * @param reason the reason
+	 * @param detail a message for people, in one sentence
 	 * @return the refusal
 	 */
 	public static Refusal of(RefusalReason reason, String detail) {
@@ -23,10 +23,10 @@
 	}
 
 	/**
-	 * A refusal with a time to come back.
-	 * @param reason why
-	 * @param detail one sentence for people
-	 * @param retryAfter when to come back
+	 * Creates a refusal with a time to retry.
+	 * @param reason the reason
+	 * @param detail a message for people, in one sentence
+	 * @param retryAfter the time after which to retry
 	 * @return the refusal
 	 */
 	public static Refusal of(RefusalReason reason, String detail, Duration retryAfter) {
--- a/src/main/java/sycamorehill/model/request/RefusalReason.java
+++ b/src/main/java/sycamorehill/model/request/RefusalReason.java
@@ -1,59 +1,59 @@
 package sycamorehill.model.request;
 
 /**
- * Why a request was not served whole.
+ * The reason why a request was not served completely.
  */
 public enum RefusalReason {
 
-	/** The request can not be read. */
+	/** The request is malformed. */
 	BAD_REQUEST,
 
 	/** The workspace key is missing or unknown. */
 	UNAUTHENTICATED,
 
-	/** No ticket has created the service. */
+	/** The desired state has no such service. */
 	UNKNOWN_SERVICE,
 
-	/** A limit of the workspace. */
+	/** A limit of the workspace is reached. */
 	LIMIT_REACHED,
 
-	/** Queues are full. */
+	/** The queue is full or too long. */
 	OVERLOADED,
 
-	/** The deadline can not be met. */
+	/** The deadline cannot be met. */
 	DEADLINE_TOO_SHORT,
 
-	/** No target of the service may be given work. */
+	/** No target of the service can receive the request. */
 	NO_TARGET,
 
-	/** The content has crashed targets. */
+	/** The content has crashed targets and is quarantined. */
 	QUARANTINED,
 
-	/** The idempotency key was used with other content. */
+	/** The idempotency key was used before with different content. */
 	KEY_REUSED,
 
-	/** The order is running under an earlier call. */
+	/** An earlier request with the same idempotency key is still running. */
 	STILL_RUNNING,
 
-	/** The order could not be claimed. */
+	/** The idempotency key could not be claimed. */
 	ORDER_STORE_UNAVAILABLE,
 
-	/** The node has no truth yet. */
+	/** The node has no desired state yet. */
 	NODE_NOT_READY,
 
 	/** The node is stopping. */
 	NODE_STOPPING,
 
-	/** Every target refused before running it. */
+	/** Each target that was tried refused the request before running it. */
 	TARGET_REFUSED,
 
-	/** The target failed while running it. */
+	/** The target failed while running the request. */
 	TARGET_FAILED,
 
-	/** The target was lost while running it. */
+	/** The connection to the target was lost while it ran the request. */
 	TARGET_LOST,
 
-	/** The caller went away. */
+	/** The caller disconnected. */
 	CALLER_GONE
 
 }
--- a/src/main/java/sycamorehill/model/request/RequestDescription.java
+++ b/src/main/java/sycamorehill/model/request/RequestDescription.java
@@ -8,20 +8,23 @@
 import sycamorehill.model.identity.ServiceName;
 
 /**
- * What the decisions need to know of a request; its body stays with the traffic threads.
+ * The properties of a request that admission, routing and retries depend on. The body of
+ * the request stays with the traffic threads.
  *
- * @param identifier this call
- * @param keyHash SHA-256 of the workspace key in hex, empty if none was sent
- * @param service the service asked for
- * @param method HTTP method
- * @param path path after the service name
- * @param promptTokens estimated tokens of the prompt
- * @param maximumTokens most tokens to generate
- * @param prefixHashes hash of the prompt up to each block, shortest first
- * @param priority urgency
- * @param deadline monotonic time by which the caller wants the answer begun
- * @param orderKey hash of the idempotency key, if one was sent
- * @param fingerprint hash of the content
+ * @param identifier the identifier of the request
+ * @param keyHash the SHA-256 hash of the workspace key in hexadecimal digits, empty if
+ * none was sent
+ * @param service the requested service
+ * @param method the HTTP method
+ * @param path the path after the service name
+ * @param promptTokens the estimated number of tokens of the prompt
+ * @param maximumTokens the maximum number of tokens to generate
+ * @param prefixHashes the hashes of the prompt up to the end of each block, shortest
+ * prefix first
+ * @param priority the priority
+ * @param deadline the monotonic time by which the answer must start
+ * @param orderKey the order key, if the caller sent an idempotency key
+ * @param fingerprint the hash of the content
  */
 public record RequestDescription(RequestIdentifier identifier, String keyHash, ServiceName service, String method,
 		String path, int promptTokens, int maximumTokens, List<Long> prefixHashes, Priority priority, Instant deadline,
--- a/src/main/java/sycamorehill/model/request/RequestOutcome.java
+++ b/src/main/java/sycamorehill/model/request/RequestOutcome.java
@@ -1,18 +1,19 @@
 package sycamorehill.model.request;
 
 /**
- * What a request came to: the worst over all its attempts.
+ * The outcome of a request: the worst result of all its attempts.
  */
 public sealed interface RequestOutcome {
 
 	/**
-	 * The whole answer reached the traffic thread that writes to the caller.
+	 * The traffic thread that writes to the caller received the complete answer.
 	 */
 	record Completed() implements RequestOutcome {
 	}
 
 	/**
-	 * The answer of an earlier call with the same idempotency key, given again.
+	 * The recorded answer of an earlier request with the same idempotency key is
+	 * replayed.
 	 *
 	 * @param answer the recorded answer
 	 */
@@ -20,9 +21,9 @@
 	}
 
 	/**
-	 * No target ran the request, and none will.
+	 * No target ran the request or will run it.
 	 *
-	 * @param refusal what the caller hears
+	 * @param refusal the error answer to the caller
 	 */
 	record NotRun(Refusal refusal) implements RequestOutcome {
 	}
@@ -30,15 +31,15 @@
 	/**
 	 * A target ran the request and failed.
 	 *
-	 * @param refusal what the caller hears
+	 * @param refusal the error answer to the caller
 	 */
 	record Failed(Refusal refusal) implements RequestOutcome {
 	}
 
 	/**
-	 * Whether the request ran can not be told.
+	 * It is unknown whether the request ran.
 	 *
-	 * @param refusal what the caller hears
+	 * @param refusal the error answer to the caller
 	 */
 	record Unknown(Refusal refusal) implements RequestOutcome {
 	}
--- a/src/main/java/sycamorehill/model/request/RouteQuery.java
+++ b/src/main/java/sycamorehill/model/request/RouteQuery.java
@@ -5,10 +5,10 @@
 import sycamorehill.model.identity.TargetName;
 
 /**
- * What the choice of a target rests on.
+ * The input for choosing a target.
  *
  * @param request the request
- * @param excluded targets that have already failed it
+ * @param excluded the targets that have already failed the request
  */
 public record RouteQuery(RequestDescription request, Set<TargetName> excluded) {
 
--- a/src/main/java/sycamorehill/model/request/package-info.java
+++ b/src/main/java/sycamorehill/model/request/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Requests of callers, attempts and their outcomes.
+ * Requests of callers, their attempts and their outcomes.
  */
 package sycamorehill.model.request;
--- a/src/main/java/sycamorehill/model/target/ServingTarget.java
+++ b/src/main/java/sycamorehill/model/target/ServingTarget.java
@@ -11,14 +11,14 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * A target that may be given work now.
+ * A target that can currently receive requests.
  *
- * @param name its name
- * @param service what it answers
- * @param dataCentre where it is
- * @param address where it takes requests
- * @param group the group, for a model service
- * @param members the VMs that it needs, empty for a plain service
+ * @param name the name of the target
+ * @param service the service that it serves
+ * @param dataCentre the data centre that it runs in
+ * @param address the address at which it receives requests
+ * @param group the group and generation, empty for a plain service
+ * @param members the VMs that it runs on, empty for a plain service
  * @param modelVersion the version of the model that it has loaded, empty for a plain
  * service
  */
@@ -27,12 +27,12 @@
 
 	/**
 	 * Creates a target without a model version.
-	 * @param name its name
-	 * @param service what it answers
-	 * @param dataCentre where it is
-	 * @param address where it takes requests
-	 * @param group the group, for a model service
-	 * @param members the VMs that it needs, empty for a plain service
+	 * @param name the name of the target
+	 * @param service the service that it serves
+	 * @param dataCentre the data centre that it runs in
+	 * @param address the address at which it receives requests
+	 * @param group the group and generation, empty for a plain service
+	 * @param members the VMs that it runs on, empty for a plain service
 	 */
 	public ServingTarget(TargetName name, ServiceName service, DataCentreName dataCentre, Address address,
 			Optional<GroupIdentity> group, List<VmName> members) {
--- a/src/main/java/sycamorehill/model/target/package-info.java
+++ b/src/main/java/sycamorehill/model/target/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What requests are routed to.
+ * Targets that requests are routed to.
  */
 package sycamorehill.model.target;
--- a/src/main/java/sycamorehill/model/ticket/DesiredState.java
+++ b/src/main/java/sycamorehill/model/ticket/DesiredState.java
@@ -10,28 +10,29 @@
 import sycamorehill.model.identity.ServiceName;
 
 /**
- * The state in force after the tickets 1 to {@link #number()}.
+ * The desired state after applying the tickets 1 to {@link #number()}.
  *
- * @param number the last ticket that is folded in, 0 for none
- * @param items every item with the ticket that set it
- * @param workspacesByKeyHash finds a caller's workspace without a search
+ * @param number the number of the last applied ticket, 0 for none
+ * @param items all items by key, each with the ticket that set it
+ * @param workspacesByKeyHash the workspaces by the hash of their key, to find the
+ * workspace of a caller without a search
  */
 public record DesiredState(long number, PMap<ItemKey, AppliedItem> items,
 		PMap<String, WorkspaceItem> workspacesByKeyHash) {
 
 	/**
-	 * The truth before the first ticket.
-	 * @return the empty truth
+	 * Returns the desired state before the first ticket.
+	 * @return the empty state
 	 */
 	public static DesiredState empty() {
 		return new DesiredState(0, HashTreePMap.empty(), HashTreePMap.empty());
 	}
 
 	/**
-	 * The truth from a snapshot's items.
-	 * @param number the last ticket folded in
-	 * @param items the items in force
-	 * @return the truth
+	 * Creates the desired state from the items of a snapshot.
+	 * @param number the number of the last applied ticket
+	 * @param items the items of the snapshot
+	 * @return the desired state
 	 */
 	public static DesiredState of(long number, List<AppliedItem> items) {
 		DesiredState state = empty();
@@ -42,14 +43,14 @@
 	}
 
 	/**
-	 * Folds the next ticket in.
-	 * @param ticket the ticket with the number after {@link #number()}
-	 * @return the truth after it
+	 * Applies the next ticket.
+	 * @param ticket the ticket with the number that follows {@link #number()}
+	 * @return the desired state after the ticket
 	 */
 	public DesiredState apply(Ticket ticket) {
 		if (ticket.number() != this.number + 1) {
-			throw new IllegalStateException(
-					"ticket " + ticket.number() + " can't follow ticket " + this.number + ": a gap or a way back");
+			throw new IllegalStateException("ticket " + ticket.number() + " can't be applied after ticket "
+					+ this.number + ": the numbers are not consecutive");
 		}
 		DesiredState state = this;
 		for (ItemChange change : ticket.draft().changes()) {
@@ -60,8 +61,8 @@
 	}
 
 	/**
-	 * The ticket that set an item last.
-	 * @param key the item
+	 * Returns the number of the ticket that set an item last.
+	 * @param key the key of the item
 	 * @return the number, 0 for an item that does not exist
 	 */
 	public long lastSetBy(ItemKey key) {
@@ -71,7 +72,7 @@
 
 	/**
 	 * Finds a service.
-	 * @param name its name
+	 * @param name the name of the service
 	 * @return the service, if it exists
 	 */
 	public Optional<ServiceItem> service(ServiceName name) {
@@ -81,7 +82,8 @@
 
 	/**
 	 * Finds the workspace of a caller.
-	 * @param keyHash the SHA-256 of the caller's key in lower-case hex
+	 * @param keyHash the SHA-256 hash of the caller's key in lower-case hexadecimal
+	 * digits
 	 * @return the workspace, if the key is known
 	 */
 	public Optional<WorkspaceItem> workspaceByKeyHash(String keyHash) {
@@ -89,9 +91,10 @@
 	}
 
 	/**
-	 * The group sets of a data centre.
+	 * Returns the group sets of a data centre.
 	 * @param dataCentre the data centre
-	 * @return the sets, each with the ticket that set it, by name
+	 * @return the group sets in the order of their names, each with the ticket that set
+	 * it
 	 */
 	public List<AppliedItem> groupSets(DataCentreName dataCentre) {
 		return this.items.values()
--- a/src/main/java/sycamorehill/model/ticket/FilingOutcome.java
+++ b/src/main/java/sycamorehill/model/ticket/FilingOutcome.java
@@ -3,31 +3,33 @@
 import java.util.List;
 
 /**
- * What an operator hears after filing a ticket.
+ * The answer to an operator who filed a ticket.
  */
 public sealed interface FilingOutcome {
 
 	/**
 	 * The ticket is accepted.
 	 *
-	 * @param number its number
+	 * @param number the number of the ticket
 	 */
 	record Accepted(long number) implements FilingOutcome {
 	}
 
 	/**
-	 * The ticket is refused: it is not accepted and never will be under this filing.
+	 * The ticket is refused. It is not accepted and never will be under this filing
+	 * identifier.
 	 *
-	 * @param faults every fault found
-	 * @param presentItems the present state of the items that another ticket changed
+	 * @param faults all faults found in the ticket
+	 * @param presentItems the current state of the items that another ticket has changed
 	 */
 	record Refused(List<String> faults, List<AppliedItem> presentItems) implements FilingOutcome {
 	}
 
 	/**
-	 * The platform's answer is not known: file again with the same filing identifier.
+	 * It is unknown whether the platform stored the ticket. The operator should file
+	 * again with the same filing identifier.
 	 *
-	 * @param detail what happened
+	 * @param detail the cause
 	 */
 	record NotKnown(String detail) implements FilingOutcome {
 	}
--- a/src/main/java/sycamorehill/model/ticket/IdempotencyRule.java
+++ b/src/main/java/sycamorehill/model/ticket/IdempotencyRule.java
@@ -1,21 +1,22 @@
 package sycamorehill.model.ticket;
 
 /**
- * The service's own word on which of its calls are idempotent: the first rule that
- * matches a call's method and path decides; a call without a rule may not be repeated.
+ * A rule that declares which calls of a service are idempotent. The first rule that
+ * matches the method and path of a call applies; a call without a matching rule is not
+ * retried.
  *
- * @param method the HTTP method, or * for any
- * @param pathPrefix how the path begins, from the slash after the service's name
- * @param repeatable whether such a call is idempotent
+ * @param method the HTTP method, or * for any method
+ * @param pathPrefix the prefix of the path, from the slash after the name of the service
+ * @param repeatable whether matching calls are idempotent
  */
 public record IdempotencyRule(String method, String pathPrefix, boolean repeatable) {
 
 	private static final String ANY_METHOD = "*";
 
 	/**
-	 * Whether the rule speaks of a call.
-	 * @param callMethod the call's HTTP method
-	 * @param callPath the call's path
+	 * Tells whether the rule matches a call.
+	 * @param callMethod the HTTP method of the call
+	 * @param callPath the path of the call
 	 * @return whether the rule matches
 	 */
 	public boolean matches(String callMethod, String callPath) {
--- a/src/main/java/sycamorehill/model/ticket/Item.java
+++ b/src/main/java/sycamorehill/model/ticket/Item.java
@@ -1,12 +1,12 @@
 package sycamorehill.model.ticket;
 
 /**
- * The whole state of one item.
+ * The complete state of one item.
  */
 public sealed interface Item permits ServiceItem, ModelGroupItem, WorkspaceItem {
 
 	/**
-	 * The key under which the item stands in the truth.
+	 * Returns the key of the item in the desired state.
 	 * @return the key
 	 */
 	ItemKey key();
--- a/src/main/java/sycamorehill/model/ticket/ItemChange.java
+++ b/src/main/java/sycamorehill/model/ticket/ItemChange.java
@@ -3,27 +3,27 @@
 import java.util.Optional;
 
 /**
- * One item as a ticket sets it.
+ * The change of one item by a ticket.
  *
- * @param key the item
- * @param newState its whole new state; empty removes the item
- * @param lastSetBy the number of the ticket that the filer saw as having set the item
- * last, 0 for an item that did not exist
+ * @param key the key of the item
+ * @param newState the complete new state; empty removes the item
+ * @param lastSetBy the number of the ticket that had set the item last when the operator
+ * read it, 0 for an item that did not exist
  */
 public record ItemChange(ItemKey key, Optional<Item> newState, long lastSetBy) {
 
 	/**
-	 * Reads a missing state as a removal: every node must be able to fold any accepted
-	 * ticket in.
+	 * Treats a missing state as a removal, because every node must be able to apply any
+	 * accepted ticket.
 	 */
 	public ItemChange {
 		newState = (newState != null) ? newState : Optional.empty();
 	}
 
 	/**
-	 * Sets an item.
-	 * @param item the whole new state
-	 * @param lastSetBy the ticket that set it last, 0 for none
+	 * Creates a change that sets an item.
+	 * @param item the complete new state
+	 * @param lastSetBy the number of the ticket that set the item last, 0 for a new item
 	 * @return the change
 	 */
 	public static ItemChange set(Item item, long lastSetBy) {
@@ -31,9 +31,9 @@
 	}
 
 	/**
-	 * Removes an item.
-	 * @param key the item
-	 * @param lastSetBy the ticket that set it last
+	 * Creates a change that removes an item.
+	 * @param key the key of the item
+	 * @param lastSetBy the number of the ticket that set the item last
 	 * @return the change
 	 */
 	public static ItemChange remove(ItemKey key, long lastSetBy) {
--- a/src/main/java/sycamorehill/model/ticket/ItemKey.java
+++ b/src/main/java/sycamorehill/model/ticket/ItemKey.java
@@ -1,17 +1,17 @@
 package sycamorehill.model.ticket;
 
 /**
- * Names one item.
+ * Identifies one item.
  *
  * @param kind the kind of item
- * @param name its name, unique within the kind
+ * @param name the name, unique within the kind
  */
 public record ItemKey(ItemKind kind, String name) implements Comparable<ItemKey> {
 
 	/**
-	 * Creates the key.
+	 * Creates a key.
 	 * @param kind the kind of item
-	 * @param name its name
+	 * @param name the name of the item
 	 * @return the key
 	 */
 	public static ItemKey of(ItemKind kind, String name) {
--- a/src/main/java/sycamorehill/model/ticket/ItemKind.java
+++ b/src/main/java/sycamorehill/model/ticket/ItemKind.java
@@ -5,7 +5,7 @@
  */
 public enum ItemKind {
 
-	/** A service that callers ask for. */
+	/** A service that callers request. */
 	SERVICE,
 
 	/** Replicas of a model service in one data centre. */
--- a/src/main/java/sycamorehill/model/ticket/ModelGroupItem.java
+++ b/src/main/java/sycamorehill/model/ticket/ModelGroupItem.java
@@ -5,16 +5,18 @@
 import sycamorehill.model.identity.ServiceName;
 
 /**
- * Replicas of one model service in one data centre.
+ * The group set of a model service in one data centre. Each group is a replica of the
+ * service.
  *
- * @param name the set's name
- * @param service the service that the groups answer
- * @param dataCentre where the groups run
- * @param groups how many groups there are to be
- * @param membersPerGroup VMs in each group
- * @param standbys VMs claimed ahead of time for repairs; they cost stranded accelerators
+ * @param name the name of the group set
+ * @param service the service that the groups serve
+ * @param dataCentre the data centre that the groups run in
+ * @param groups the number of groups
+ * @param membersPerGroup the number of VMs in each group
+ * @param standbys the number of VMs reserved for repairs. Their accelerators stay unused
+ * until a repair
  * @param mayCrossDomains whether one group may span fabric domains
- * @param enginesHonourFencing whether the engines refuse an order with an old fencing
+ * @param enginesHonourFencing whether the engines refuse commands with an old fencing
  * number
  */
 public record ModelGroupItem(GroupSetName name, ServiceName service, DataCentreName dataCentre, int groups,
--- a/src/main/java/sycamorehill/model/ticket/PlainTarget.java
+++ b/src/main/java/sycamorehill/model/ticket/PlainTarget.java
@@ -7,9 +7,9 @@
 /**
  * One address of a plain service.
  *
- * @param name the target's name
- * @param dataCentre where it runs
- * @param address where it listens
+ * @param name the name of the target
+ * @param dataCentre the data centre that the target runs in
+ * @param address the address at which the target listens
  */
 public record PlainTarget(TargetName name, DataCentreName dataCentre, Address address) {
 
--- a/src/main/java/sycamorehill/model/ticket/ServiceItem.java
+++ b/src/main/java/sycamorehill/model/ticket/ServiceItem.java
@@ -5,20 +5,20 @@
 import sycamorehill.model.identity.ServiceName;
 
 /**
- * A service that callers ask for.
+ * A service that callers request.
  *
- * @param name the service's name
- * @param kind what answers it
+ * @param name the name of the service
+ * @param kind whether model groups or plain targets serve it
  * @param model the model that its groups load, empty for a plain service
- * @param modelVersion the model's version, empty for a plain service
+ * @param modelVersion the version of the model, empty for a plain service
  * @param plainTargets the addresses of a plain service, empty for a model service
- * @param repeatRules which calls of a plain service are idempotent
+ * @param repeatRules the rules that declare which calls of a plain service are idempotent
  */
 public record ServiceItem(ServiceName name, ServiceKind kind, String model, String modelVersion,
 		List<PlainTarget> plainTargets, List<IdempotencyRule> repeatRules) implements Item {
 
 	/**
-	 * Takes copies of the lists.
+	 * Replaces missing values by empty ones and copies the lists.
 	 */
 	public ServiceItem {
 		model = (model != null) ? model : "";
@@ -29,9 +29,9 @@
 
 	/**
 	 * Creates a model service.
-	 * @param name the service's name
+	 * @param name the name of the service
 	 * @param model the model to load
-	 * @param modelVersion its version
+	 * @param modelVersion the version of the model
 	 * @return the item
 	 */
 	public static ServiceItem model(ServiceName name, String model, String modelVersion) {
@@ -40,9 +40,9 @@
 
 	/**
 	 * Creates a plain service.
-	 * @param name the service's name
-	 * @param targets its addresses
-	 * @param rules which of its calls are idempotent
+	 * @param name the name of the service
+	 * @param targets the addresses of the service
+	 * @param rules the rules that declare which calls are idempotent
 	 * @return the item
 	 */
 	public static ServiceItem plain(ServiceName name, List<PlainTarget> targets, List<IdempotencyRule> rules) {
@@ -55,10 +55,11 @@
 	}
 
 	/**
-	 * Whether a call is idempotent by the service's own word.
+	 * Tells whether a call is idempotent. All calls of a model service are; for a plain
+	 * service, the first matching rule applies.
 	 * @param method the HTTP method
-	 * @param path the path after the service's name
-	 * @return whether the call may be sent more than once
+	 * @param path the path after the name of the service
+	 * @return whether the call may be retried
 	 */
 	public boolean isIdempotent(String method, String path) {
 		if (this.kind == ServiceKind.MODEL) {
--- a/src/main/java/sycamorehill/model/ticket/ServiceKind.java
+++ b/src/main/java/sycamorehill/model/ticket/ServiceKind.java
@@ -1,14 +1,14 @@
 package sycamorehill.model.ticket;
 
 /**
- * What answers a service's calls.
+ * The kind of targets that serve a service.
  */
 public enum ServiceKind {
 
-	/** Model engines in groups; calls are repeatable and streamed. */
+	/** Groups of model engines. Calls are idempotent and their answers are streamed. */
 	MODEL,
 
-	/** Plain HTTP services at fixed addresses. */
+	/** Plain HTTP servers at fixed addresses. */
 	PLAIN
 
 }
--- a/src/main/java/sycamorehill/model/ticket/Ticket.java
+++ b/src/main/java/sycamorehill/model/ticket/Ticket.java
@@ -5,9 +5,9 @@
 /**
  * An accepted ticket.
  *
- * @param number its number; tickets are numbered 1, 2, 3 and so on without gaps
- * @param acceptedAt wall clock of the accepting node, for readers only
- * @param draft what was filed
+ * @param number the number of the ticket; tickets are numbered from 1 without gaps
+ * @param acceptedAt the wall-clock time of the accepting node, for information only
+ * @param draft the ticket as filed
  */
 public record Ticket(long number, Instant acceptedAt, TicketDraft draft) {
 
--- a/src/main/java/sycamorehill/model/ticket/TicketDraft.java
+++ b/src/main/java/sycamorehill/model/ticket/TicketDraft.java
@@ -5,17 +5,17 @@
 import sycamorehill.model.identity.FilingIdentifier;
 
 /**
- * A ticket as an operator files it, not numbered yet.
+ * A ticket as an operator files it, before it has a number.
  *
- * @param filing chosen by the filer; filing again with it is safe
- * @param operator who files
- * @param reason why, for readers
- * @param changes the items that the ticket sets
+ * @param filing the identifier that the operator chose, with which filing again is safe
+ * @param operator the name of the operator
+ * @param reason the reason for the change, for information only
+ * @param changes the items that the ticket changes
  */
 public record TicketDraft(FilingIdentifier filing, String operator, String reason, List<ItemChange> changes) {
 
 	/**
-	 * Takes a copy of the changes.
+	 * Replaces missing values by empty ones and copies the list of changes.
 	 */
 	public TicketDraft {
 		operator = (operator != null) ? operator : "";
--- a/src/main/java/sycamorehill/model/ticket/TicketValue.java
+++ b/src/main/java/sycamorehill/model/ticket/TicketValue.java
@@ -3,12 +3,12 @@
 import sycamorehill.model.platform.PlatformValue;
 
 /**
- * A ticket as the platform keeps it.
+ * A ticket as stored on the platform.
  *
  * @param ticket the ticket
- * @param writer the incarnation and call that wrote it: tells a lost answer from a lost
- * race
- * @param formatVersion version of the format
+ * @param writer the incarnation and call that wrote the ticket. After an answer was lost,
+ * they tell whether this write or another one was stored
+ * @param formatVersion the version of the format
  */
 public record TicketValue(Ticket ticket, String writer, int formatVersion) implements PlatformValue {
 
--- a/src/main/java/sycamorehill/model/ticket/WorkspaceItem.java
+++ b/src/main/java/sycamorehill/model/ticket/WorkspaceItem.java
@@ -3,15 +3,15 @@
 import sycamorehill.model.identity.WorkspaceName;
 
 /**
- * A workspace with its key and its limits over all nodes together.
+ * A workspace with its key and its limits, which apply to all nodes together.
  *
- * @param name the workspace's name
- * @param keyHash SHA-256 of the workspace's key in lower-case hex; the key itself is
- * never kept
- * @param requestsPerSecond the most requests a second
- * @param tokensPerSecond the most tokens (prompt and generated) a second
- * @param inFlight the most requests in flight
- * @param weight the workspace's part of a contended queue, 1 or more
+ * @param name the name of the workspace
+ * @param keyHash the SHA-256 hash of the workspace key in lower-case hexadecimal digits;
+ * the key itself is never stored
+ * @param requestsPerSecond the maximum number of requests per second
+ * @param tokensPerSecond the maximum number of tokens (prompt and generated) per second
+ * @param inFlight the maximum number of requests in flight
+ * @param weight the weight of the workspace in a contended queue, 1 or more
  */
 public record WorkspaceItem(WorkspaceName name, String keyHash, double requestsPerSecond, double tokensPerSecond,
 		int inFlight, int weight) implements Item {
--- a/src/main/java/sycamorehill/model/ticket/WorkspaceKeys.java
+++ b/src/main/java/sycamorehill/model/ticket/WorkspaceKeys.java
@@ -6,8 +6,8 @@
 import java.util.HexFormat;
 
 /**
- * Hashes workspace keys. Only the hash is kept, so that a log, a dump or the platform
- * never shows a key that could be used.
+ * Hashes workspace keys. Only the hash is stored, so that no log, dump or object of the
+ * platform contains a usable key.
  */
 public final class WorkspaceKeys {
 
@@ -15,9 +15,9 @@
 	}
 
 	/**
-	 * Hashes a key.
-	 * @param key the workspace's key
-	 * @return the hash by SHA-256 in lower-case hex
+	 * Hashes a workspace key.
+	 * @param key the workspace key
+	 * @return the SHA-256 hash in lower-case hexadecimal digits
 	 */
 	public static String hash(String key) {
 		try {
