--- a/src/main/java/sycamorehill/logic/admission/AdmissionReducer.java
+++ b/src/main/java/sycamorehill/logic/admission/AdmissionReducer.java
@@ -17,7 +17,8 @@
 import sycamorehill.model.request.AttemptResult;
 
 /**
- * Limits, queues and early refusal.
+ * Admits requests: enforces limits, keeps queues and refuses early what can't be served
+ * in time.
  */
 public final class AdmissionReducer implements Reducer<AdmissionState> {
 
@@ -64,7 +65,7 @@
 			recordLatency(step, first.attempt(), now, true);
 		}
 		else if (event instanceof RequestEvent.AttemptClosed closed) {
-			recordLatency(step, closed.attempt(), now, closed.result() instanceof AttemptResult.Whole);
+			recordLatency(step, closed.attempt(), now, closed.result() instanceof AttemptResult.Completed);
 		}
 		return step.result();
 	}
@@ -85,13 +86,13 @@
 	private static Step<AdmissionState> handleNodeEvent(AdmissionStep step, Instant now, NodeEvent event,
 			NodeView view) {
 		if (event instanceof NodeEvent.Started) {
-			step.setState(step.state().withLimits(step.state().limits().started(now, view)));
+			step.setState(step.state().withLimits(step.state().limits().withOwnershipDelayed(now, view)));
 		}
 		else if (event instanceof NodeEvent.StopRequested) {
 			step.setState(step.state().withStopFrom(now.plus(view.policy().request().stopGrace())));
 		}
 		else if (event instanceof NodeEvent.Ticked) {
-			step.applyLimits(ShareExchange.tick(step.state().limits().withCurrentDivisor(view), now, view));
+			step.applyLimits(ShareExchange.handleTick(step.state().limits().withCurrentDivisor(view), now, view));
 			step.handleTick();
 		}
 		return step.result();
--- a/src/main/java/sycamorehill/logic/admission/TicketedDataCentres.java
+++ b/src/main/java/sycamorehill/logic/admission/TicketedDataCentres.java
@@ -4,41 +4,41 @@
 import org.pcollections.TreePMap;
 
 import sycamorehill.model.identity.DataCentreName;
+import sycamorehill.model.ticket.AppliedItem;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.Item;
-import sycamorehill.model.ticket.ItemInForce;
 import sycamorehill.model.ticket.ModelGroupItem;
 import sycamorehill.model.ticket.PlainTarget;
 import sycamorehill.model.ticket.ServiceItem;
-import sycamorehill.model.ticket.Truth;
 
 /**
- * The data centres that tickets name. All nodes with the same truth find the same, cut
- * off or not.
+ * Collects the data centres that tickets name. All nodes with the same desired state get
+ * the same result, even when partitioned.
  */
 final class TicketedDataCentres {
 
 	private TicketedDataCentres() {
 	}
 
-	static PMap<DataCentreName, Boolean> of(Truth truth) {
-		PMap<DataCentreName, Boolean> named = TreePMap.empty();
-		for (ItemInForce found : truth.items().values()) {
-			named = named.plusAll(of(found.item()));
+	static PMap<DataCentreName, Boolean> of(DesiredState truth) {
+		PMap<DataCentreName, Boolean> dataCentres = TreePMap.empty();
+		for (AppliedItem found : truth.items().values()) {
+			dataCentres = dataCentres.plusAll(of(found.item()));
 		}
-		return named;
+		return dataCentres;
 	}
 
 	private static PMap<DataCentreName, Boolean> of(Item item) {
-		PMap<DataCentreName, Boolean> named = TreePMap.empty();
+		PMap<DataCentreName, Boolean> dataCentres = TreePMap.empty();
 		if (item instanceof ModelGroupItem group) {
-			named = named.plus(group.dataCentre(), true);
+			dataCentres = dataCentres.plus(group.dataCentre(), true);
 		}
 		else if (item instanceof ServiceItem service) {
 			for (PlainTarget target : service.plainTargets()) {
-				named = named.plus(target.dataCentre(), true);
+				dataCentres = dataCentres.plus(target.dataCentre(), true);
 			}
 		}
-		return named;
+		return dataCentres;
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/group/GroupController.java
+++ b/src/main/java/sycamorehill/logic/group/AllocationController.java
@@ -17,25 +17,25 @@
 import sycamorehill.model.group.Fleet;
 import sycamorehill.model.group.GroupRecord;
 import sycamorehill.model.group.VmEntry;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.GroupName;
 import sycamorehill.model.identity.VmName;
-import sycamorehill.model.ticket.ItemInForce;
+import sycamorehill.model.ticket.AppliedItem;
+import sycamorehill.model.ticket.DesiredState;
 import sycamorehill.model.ticket.ItemKey;
 import sycamorehill.model.ticket.ItemKind;
 import sycamorehill.model.ticket.ModelGroupItem;
 import sycamorehill.model.ticket.ServiceItem;
 import sycamorehill.model.ticket.ServiceKind;
-import sycamorehill.model.ticket.Truth;
 
 /**
- * The decisions of the node that holds the lease.
+ * Makes the decisions of the node that holds the controller lease.
  */
-final class GroupController {
+final class AllocationController {
 
-	private static final int MAXIMUM_REPORT_REQUESTS = 8;
+	private static final int MAXIMUM_REPORT_REQUESTS_PER_DECISION = 8;
 
-	private GroupController() {
+	private AllocationController() {
 	}
 
 	static void tick(GroupStep step) {
@@ -52,9 +52,10 @@
 	}
 
 	/**
-	 * Keeps the times since which groups and VMs have been as they are.
-	 * @param step the step
-	 * @param offline whether this node repairs while the platform is silent
+	 * Updates the times since which groups have been in their phase and VMs have been
+	 * silent.
+	 * @param step the current step
+	 * @param offline whether this node repairs groups while the platform does not answer
 	 */
 	private static void updateObservations(GroupStep step, boolean offline) {
 		Optional<Allocation> known = step.state().effectiveAllocation();
@@ -70,26 +71,29 @@
 		}
 		PMap<VmName, Instant> failures = step.state().failedAt();
 		for (VmName vm : claimed) {
-			if (fleet.sight(vm).map(VmSight::report).filter((seen) -> seen.state() == EngineState.FAILED).isPresent()) {
+			if (fleet.observation(vm)
+				.map(VmObservation::report)
+				.filter((seen) -> seen.state() == EngineState.FAILED)
+				.isPresent()) {
 				failures = failures.plus(vm, step.now());
 			}
 		}
 		VmSilences silences = step.state()
 			.silences()
 			.update(fleet, known.get().groups().values(), known.get().standbys().keySet(),
-					step.view().liveNodes().dutiful(step.view().self().dataCentre()).size() > 1, step.now(),
+					step.view().liveNodes().notStoppingIn(step.view().self().dataCentre()).size() > 1, step.now(),
 					step.view().policy().observation().reportInterval());
 		step.update(step.state().withObservations(phases, silences, failures));
 		requestReports(step, silences);
 	}
 
-	// Before a VM is taken for dead the controller asks it itself, as well as its
-	// observers do: what they say may be late.
+	// The controller itself requests a report from a VM before it considers the VM dead,
+	// because the reports that observers relay may arrive late.
 	private static void requestReports(GroupStep step, VmSilences silences) {
 		int asked = 0;
 		for (VmName vm : silences.silentVms()) {
 			VmEntry entry = step.view().fleet().entries().get(vm);
-			if (entry != null && asked++ < MAXIMUM_REPORT_REQUESTS) {
+			if (entry != null && asked++ < MAXIMUM_REPORT_REQUESTS_PER_DECISION) {
 				step.emit(new TargetEffect.AskReport(vm, entry.address()));
 			}
 		}
@@ -103,13 +107,14 @@
 	}
 
 	/**
-	 * Decides, if this node may: it holds the lease, its view holds its own last write,
-	 * and it knows the truth and the VM list.
-	 * @param step the step
+	 * Writes the next allocation or, if nothing changes, sends the due commands to
+	 * engines. Does so only if this node holds the lease, knows the result of its last
+	 * write, and knows the desired state and the VM list.
+	 * @param step the current step
 	 */
 	static void decide(GroupStep step) {
 		GroupState state = step.state();
-		Optional<Truth> truth = step.view().truth();
+		Optional<DesiredState> truth = step.view().truth();
 		boolean ready = state.lease().isHeld(step.now()) && state.allocation().known().isPresent()
 				&& state.allocation().attempt().isEmpty() && step.view().fleet().listedAt().isPresent();
 		if (!ready || truth.isEmpty()) {
@@ -126,19 +131,19 @@
 		EngineCommandDispatcher.dispatch(step, EngineReconciler.requiredCommands(allocation, context));
 	}
 
-	private static PlanContext context(GroupStep step, Truth truth) {
+	private static PlanContext context(GroupStep step, DesiredState truth) {
 		GroupState state = step.state();
 		return new PlanContext(step.now(), step.view().fleet(), specifications(step.view(), truth), state.silences(),
 				state.phaseSince(), state.failedAt(), step.view().policy().observation(), step.policy());
 	}
 
-	private static List<GroupSpecification> specifications(NodeView view, Truth truth) {
+	private static List<GroupSpecification> specifications(NodeView view, DesiredState truth) {
 		List<GroupSpecification> specifications = new ArrayList<>();
-		for (ItemInForce set : truth.groupSets(view.self().dataCentre())) {
+		for (AppliedItem set : truth.groupSets(view.self().dataCentre())) {
 			ModelGroupItem item = (ModelGroupItem) set.item();
 			Optional<ServiceItem> service = truth.service(item.service())
 				.filter((found) -> found.kind() == ServiceKind.MODEL);
-			long setBy = truth.setBy(ItemKey.of(ItemKind.SERVICE, item.service().value()));
+			long setBy = truth.lastSetBy(ItemKey.of(ItemKind.SERVICE, item.service().value()));
 			service.ifPresent((found) -> specifications.add(GroupSpecification.of(set, found, setBy)));
 		}
 		return specifications;
--- a/src/main/java/sycamorehill/logic/group/ServingGroups.java
+++ b/src/main/java/sycamorehill/logic/group/ServingGroups.java
@@ -14,7 +14,7 @@
 import sycamorehill.model.group.GroupPhase;
 import sycamorehill.model.group.GroupRecord;
 import sycamorehill.model.group.VmEntry;
-import sycamorehill.model.group.VmSight;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.identity.VmName;
@@ -22,7 +22,7 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * The groups that may be given work now.
+ * Determines the groups that may receive requests.
  */
 public final class ServingGroups {
 
@@ -30,12 +30,12 @@
 	}
 
 	/**
-	 * The groups of all data centres that may be given work.
-	 * @param state what the node knows of groups
+	 * Returns the groups of all data centres that may receive requests for a service.
+	 * @param state the state of group control
 	 * @param view the node's view
 	 * @param service the service
-	 * @param now own monotonic time
-	 * @return the targets, by data centre and name
+	 * @param now the current monotonic time of this node
+	 * @return the targets, sorted by data centre and name
 	 */
 	public static List<ServingTarget> of(GroupState state, NodeView view, ServiceName service, Instant now) {
 		DataCentreName own = view.self().dataCentre();
@@ -83,21 +83,21 @@
 			}
 			boolean leaving = own && facts.get().members().stream().anyMatch(view.fleet()::isLeaving);
 			if (!leaving) {
-				targets
-					.add(new ServingTarget(group.identity().name().target(), service, dataCentre, facts.get().address(),
-							Optional.of(group.identity()), facts.get().members(), facts.get().modelVersion()));
+				targets.add(new ServingTarget(group.identity().name().targetName(), service, dataCentre,
+						facts.get().address(), Optional.of(group.identity()), facts.get().members(),
+						facts.get().modelVersion()));
 			}
 		}
 		return targets;
 	}
 
 	/**
-	 * The sight of a group's head as the stewards spread it.
-	 * @param state what the node knows of groups
+	 * Returns the observation of a group's head as published by the stewards.
+	 * @param state the state of group control
 	 * @param head the head
-	 * @return the sight, if the VM is the head of a known group
+	 * @return the observation, empty if the VM is not the head of a published group
 	 */
-	public static Optional<VmSight> publishedHeadObservation(GroupState state, VmName head) {
+	public static Optional<VmObservation> publishedHeadObservation(GroupState state, VmName head) {
 		for (PublishedGroups groups : state.spread().groups().values()) {
 			for (PublishedGroup group : groups.groups().values()) {
 				if (group.facts().filter((facts) -> facts.members().get(0).equals(head)).isPresent()) {
@@ -109,21 +109,20 @@
 	}
 
 	/**
-	 * Whether a group may be given work. Failure: the head still answers although a
-	 * member is gone, was replaced at the same address, or has joined another group; it
-	 * shows as streams that stall or mix. So every member counts, each must have said of
-	 * itself that it is ready in exactly this generation, and a sight without a recent
-	 * time is none.
+	 * Returns whether a group may receive requests. The head still answers if a member is
+	 * gone, was replaced at the same address or has joined another group; streams would
+	 * then stall or mix. So every member must have reported recently that it is ready in
+	 * exactly this generation.
 	 * @param record the group
-	 * @param fleet what is known of the VMs
-	 * @param now own monotonic time
-	 * @param freshness the oldest sight that counts
-	 * @return whether it serves whole
+	 * @param fleet the known VMs and their reports
+	 * @param now the current monotonic time of this node
+	 * @param freshness the maximum age of an observation
+	 * @return whether the group is in the serving phase and complete
 	 */
 	static boolean isServing(GroupRecord record, Fleet fleet, Instant now, Duration freshness) {
 		return record.phase() == GroupPhase.SERVING && record.members()
 			.stream()
-			.allMatch((vm) -> fleet.seenReady(vm, record.identity(), now, freshness) && !fleet.isLeaving(vm));
+			.allMatch((vm) -> fleet.isObservedReady(vm, record.identity(), now, freshness) && !fleet.isLeaving(vm));
 	}
 
 	private static Optional<ServingTarget> target(Allocation allocation, Fleet fleet, GroupRecord record) {
@@ -132,7 +131,7 @@
 			return Optional.empty();
 		}
 		return Optional
-			.of(new ServingTarget(record.identity().name().target(), record.service(), allocation.dataCentre(),
+			.of(new ServingTarget(record.identity().name().targetName(), record.service(), allocation.dataCentre(),
 					head.address(), Optional.of(record.identity()), record.members(), record.modelVersion()));
 	}
 
--- a/src/main/java/sycamorehill/logic/order/ShardPlacement.java
+++ b/src/main/java/sycamorehill/logic/order/ShardPlacement.java
@@ -11,11 +11,11 @@
 import sycamorehill.model.request.OrderKey;
 
 /**
- * Where the claim of a key is kept and which node commits it.
+ * Determines the page that stores a claim and the node that commits it.
  */
 final class ShardPlacement {
 
-	private static final String DUTY_PREFIX = "order-shard/";
+	private static final String HASH_KEY_PREFIX = "order-shard/";
 
 	private ShardPlacement() {
 	}
@@ -24,18 +24,20 @@
 		return (int) Long.remainderUnsigned(key.low() * 31 + key.high(), shards);
 	}
 
-	static ObjectKey page(int shard, long page) {
+	static ObjectKey pageKey(int shard, long page) {
 		return ObjectKey.of(ObjectKind.ORDER_SHARD, "%04d-%012d".formatted(shard, page));
 	}
 
 	/**
-	 * The node that commits the claims of a shard, by rendezvous hashing over all live
-	 * nodes. Two nodes that disagree do no harm: the conditional update decides.
+	 * Returns the owner of a shard, the node that commits its claims. The owner is chosen
+	 * by rendezvous hashing over all live nodes. Two nodes that choose different owners
+	 * do no harm, because the conditional update lets only one of two competing writes
+	 * succeed.
 	 * @param shard the shard
-	 * @param view the live nodes
-	 * @return the node, this one if none is known
+	 * @param view the view of the live nodes
+	 * @return the owner, this node if no other node is known
 	 */
-	static NodeIdentity keeper(int shard, NodeView view) {
+	static NodeIdentity owner(int shard, NodeView view) {
 		NodeIdentity best = view.self();
 		long bestScore = score(shard, best.incarnation().node());
 		for (LiveNode node : view.liveNodes().nodes().values()) {
@@ -49,17 +51,17 @@
 	}
 
 	/**
-	 * The live node that issued the number of a key.
-	 * @param key the key of an issued number
-	 * @param view the live nodes
-	 * @return the node, or null if its issuer is not alive
+	 * Returns the live node that issued an order number.
+	 * @param key the key of the order number
+	 * @param view the view of the live nodes
+	 * @return the issuer, or null if it is not live
 	 */
 	static NodeIdentity issuer(OrderKey key, NodeView view) {
-		if (OrderNumbers.issuedBy(key, view.self().incarnation())) {
+		if (OrderNumbers.isIssuedBy(key, view.self().incarnation())) {
 			return view.self();
 		}
 		for (LiveNode node : view.liveNodes().nodes().values()) {
-			if (OrderNumbers.issuedBy(key, node.identity().incarnation())) {
+			if (OrderNumbers.isIssuedBy(key, node.identity().incarnation())) {
 				return node.identity();
 			}
 		}
@@ -67,7 +69,7 @@
 	}
 
 	private static long score(int shard, NodeName node) {
-		return RendezvousHash.weight(DUTY_PREFIX + shard, node);
+		return RendezvousHash.weight(HASH_KEY_PREFIX + shard, node);
 	}
 
 }
--- a/src/main/java/sycamorehill/model/effect/TargetEffect.java
+++ b/src/main/java/sycamorehill/model/effect/TargetEffect.java
@@ -2,7 +2,7 @@
 
 import java.time.Instant;
 
-import sycamorehill.model.group.EngineOrder;
+import sycamorehill.model.group.EngineCommand;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.identity.CallIdentifier;
 import sycamorehill.model.identity.DataCentreName;
@@ -31,7 +31,7 @@
 	 * @param command the command
 	 * @param notAfter this node's monotonic time after which the command must not be sent
 	 */
-	record SendOrder(CallIdentifier call, VmName vm, Address address, EngineOrder command,
+	record SendOrder(CallIdentifier call, VmName vm, Address address, EngineCommand command,
 			Instant notAfter) implements TargetEffect {
 	}
 
--- a/src/main/java/sycamorehill/model/platform/ObjectKind.java
+++ b/src/main/java/sycamorehill/model/platform/ObjectKind.java
@@ -4,8 +4,8 @@
 import sycamorehill.model.group.ControllerLease;
 import sycamorehill.model.membership.NodeAnnouncement;
 import sycamorehill.model.order.OrderShard;
+import sycamorehill.model.ticket.DesiredStateSnapshot;
 import sycamorehill.model.ticket.TicketValue;
-import sycamorehill.model.ticket.TruthSnapshot;
 
 /**
  * Kinds of the node's objects in the platform, with the type of their values.
@@ -16,7 +16,7 @@
 	TICKET("tickets", TicketValue.class),
 
 	/** Snapshot of the desired state after a ticket. */
-	SNAPSHOT("snapshots", TruthSnapshot.class),
+	SNAPSHOT("snapshots", DesiredStateSnapshot.class),
 
 	/** One object for each data centre, which assigns its VMs to groups. */
 	ALLOCATION("allocations", Allocation.class),
--- a/src/test/java/sycamorehill/logic/admission/AdmissionHarness.java
+++ b/src/test/java/sycamorehill/logic/admission/AdmissionHarness.java
@@ -18,7 +18,7 @@
 import sycamorehill.model.identity.AttemptIdentifier;
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.TargetName;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.Refusal;
 import sycamorehill.model.request.RequestDescription;
 import sycamorehill.model.request.RequestOutcome;
@@ -28,7 +28,7 @@
 import sycamorehill.model.ticket.ServiceItem;
 
 /**
- * Feeds one node's admission and keeps what it decided.
+ * Feeds events to the admission of one node and records its decisions.
  */
 final class AdmissionHarness {
 
@@ -76,7 +76,7 @@
 	}
 
 	void finish(RequestDescription request) {
-		apply(new RequestEvent.Finished(request, Handling.REPEATABLE, new RequestOutcome.Completed(),
+		apply(new RequestEvent.Finished(request, Idempotency.REPEATABLE, new RequestOutcome.Completed(),
 				request.maximumTokens(), Optional.empty()));
 	}
 
--- a/src/test/java/sycamorehill/logic/order/ClaimRulesTests.java
+++ b/src/test/java/sycamorehill/logic/order/ClaimRulesTests.java
@@ -14,8 +14,8 @@
 import sycamorehill.model.identity.NodeName;
 import sycamorehill.model.membership.LiveNodes;
 import sycamorehill.model.order.OrderClaim;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderStatus;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.peer.OrderClaimReply;
 import sycamorehill.model.policy.OrderPolicy;
 import sycamorehill.model.policy.Policy;
@@ -32,55 +32,56 @@
 			DataCentreName.of("here"), Address.of("10.0.0.1", 1000));
 
 	private static final ClaimRules RULES = ClaimRules
-		.of(new OrderTrialView(HOLDER, Policy.standard().withOrder(OrderPolicy.standard()), LiveNodes.none()), 0);
+		.of(new OrderTrialView(HOLDER, Policy.standard().withOrder(OrderPolicy.standard()), LiveNodes.empty()), 0);
 
 	@Test
-	void releaseOfAClaimThatIsNotSeenIsWritten() {
-		// A write of the claim is still under way when its release arrives. Confirmed
-		// without a write, the claim would take effect later and keep its key.
-		ClaimRules.Decision decision = RULES.decide(null, settle(OrderStatus.RELEASED));
+	void releaseOfUnknownClaimIsWritten() {
+		// A write of the claim is still pending when its release arrives. If the
+		// release were confirmed without a write, the claim would take effect later
+		// and block its key.
+		ClaimRules.Decision decision = RULES.decide(null, settleOperation(OrderStatus.RELEASED));
 		Assertions.assertThat(decision.change().orElseThrow().status()).isEqualTo(OrderStatus.RELEASED);
 	}
 
 	@Test
 	void releasedMarkIsNotGrantedAgain() {
-		// A late copy of the question meets its own release: granted, nobody would run it
-		// and nobody would settle it.
-		ClaimRules.Decision decision = RULES.decide(claim(OrderStatus.RELEASED), ask("m1"));
-		Assertions.assertThat(verdict(decision)).isEqualTo(OrderVerdict.NOT_TAKEN);
+		// A duplicate of the claim request arrives after the claim was released. If
+		// it were granted, no node would run or settle the order.
+		ClaimRules.Decision decision = RULES.decide(claim(OrderStatus.RELEASED), claimOperation("m1"));
+		Assertions.assertThat(verdict(decision)).isEqualTo(OrderClaimDecision.NOT_TAKEN);
 	}
 
 	@Test
-	void releasedKeyIsGrantedToTheNextCall() {
-		Assertions.assertThat(verdict(RULES.decide(claim(OrderStatus.RELEASED), ask("m2"))))
-			.isEqualTo(OrderVerdict.GRANTED);
+	void releasedKeyIsGrantedToNextCall() {
+		Assertions.assertThat(verdict(RULES.decide(claim(OrderStatus.RELEASED), claimOperation("m2"))))
+			.isEqualTo(OrderClaimDecision.GRANTED);
 	}
 
 	@Test
 	void recordedClaimIsNeverReleased() {
-		Assertions.assertThat(RULES.decide(claim(OrderStatus.RECORDED), settle(OrderStatus.RELEASED)).change())
+		Assertions.assertThat(RULES.decide(claim(OrderStatus.RECORDED), settleOperation(OrderStatus.RELEASED)).change())
 			.isEmpty();
 	}
 
 	@Test
 	void unknownClaimIsNeverGranted() {
-		Assertions.assertThat(verdict(RULES.decide(claim(OrderStatus.UNKNOWN), ask("m2"))))
-			.isEqualTo(OrderVerdict.UNKNOWN);
+		Assertions.assertThat(verdict(RULES.decide(claim(OrderStatus.UNKNOWN), claimOperation("m2"))))
+			.isEqualTo(OrderClaimDecision.UNKNOWN);
 	}
 
 	private static OrderClaim claim(OrderStatus status) {
 		return new OrderClaim(KEY, CONTENT, HOLDER.incarnation(), "m1", status, Optional.empty(), 0);
 	}
 
-	private static ShardOperation ask(String mark) {
+	private static ShardOperation claimOperation(String mark) {
 		return new ShardOperation.Claim(KEY, mark, CONTENT, HOLDER, Instant.EPOCH);
 	}
 
-	private static ShardOperation settle(OrderStatus status) {
+	private static ShardOperation settleOperation(OrderStatus status) {
 		return new ShardOperation.Settle(KEY, "m1", status, Optional.empty(), HOLDER, Instant.EPOCH);
 	}
 
-	private static OrderVerdict verdict(ClaimRules.Decision decision) {
+	private static OrderClaimDecision verdict(ClaimRules.Decision decision) {
 		return ((OrderClaimReply) decision.reply()).verdict();
 	}
 
