--- a/src/main/java/sycamorehill/experiment/RequestPathNode.java
+++ b/src/main/java/sycamorehill/experiment/RequestPathNode.java
@@ -177,12 +177,12 @@
 
 	@Override
 	public boolean quarantined(Fingerprint fingerprint) {
-		return this.quarantine.quarantined(fingerprint, this.now);
+		return this.quarantine.isQuarantined(fingerprint, this.now);
 	}
 
 	@Override
 	public boolean suspected(Fingerprint fingerprint) {
-		return this.quarantine.suspected(fingerprint, this.now);
+		return this.quarantine.isSuspect(fingerprint, this.now);
 	}
 
 	@Override
--- a/src/main/java/sycamorehill/gateway/ChatExchange.java
+++ b/src/main/java/sycamorehill/gateway/ChatExchange.java
@@ -7,9 +7,9 @@
 import sycamorehill.engine.AttemptListener;
 import sycamorehill.engine.CompletionCall;
 import sycamorehill.engine.EngineClient;
-import sycamorehill.logic.request.TokenDecision;
+import sycamorehill.logic.request.FrameDecision;
+import sycamorehill.logic.request.FrameStatus;
 import sycamorehill.logic.request.TokenRelay;
-import sycamorehill.logic.request.TokenVerdict;
 import sycamorehill.model.effect.RequestEffect;
 import sycamorehill.model.event.RequestEvent;
 import sycamorehill.model.group.GroupIdentity;
@@ -58,7 +58,7 @@
 	public synchronized void start(RequestEffect.StartAttempt effect) {
 		RequestDescription request = this.call.description();
 		long generation = effect.target().group().map(GroupIdentity::generation).orElse(0L);
-		this.relay = this.relay.begin(effect.attempt());
+		this.relay = this.relay.startAttempt(effect.attempt());
 		CompletionCall completion = new CompletionCall(effect.attempt(), generation, this.call.prompt(),
 				request.maximumTokens(), this.relay.nextIndex(), request.priority(), effect.patience());
 		this.handle = this.engines.complete(effect.target().address(), completion, listener(effect.attempt()));
@@ -66,7 +66,7 @@
 
 	@Override
 	public synchronized void cancel(AttemptIdentifier attempt) {
-		this.relay = this.relay.end(attempt);
+		this.relay = this.relay.endAttempt(attempt);
 		this.handle.cancel();
 	}
 
@@ -97,13 +97,13 @@
 	}
 
 	private synchronized boolean take(AttemptIdentifier attempt, int index, String token) {
-		TokenDecision decision = this.relay.token(attempt, index);
+		FrameDecision decision = this.relay.acceptToken(attempt, index);
 		this.relay = decision.relay();
-		if (decision.verdict() == TokenVerdict.DELIVER) {
+		if (decision.status() == FrameStatus.DELIVER) {
 			this.answer.token(token);
 			return true;
 		}
-		if (decision.verdict() == TokenVerdict.GAP) {
+		if (decision.status() == FrameStatus.GAP) {
 			this.handle.cancel();
 			over(attempt, new AttemptResult.Broken(false, "a token is missing before index " + index));
 		}
@@ -115,19 +115,19 @@
 			over(attempt, result);
 			return;
 		}
-		TokenDecision decision = this.relay.endMark(attempt, whole.tokens());
-		if (decision.verdict() == TokenVerdict.WHOLE) {
+		FrameDecision decision = this.relay.acceptEndMark(attempt, whole.tokens());
+		if (decision.status() == FrameStatus.COMPLETE) {
 			this.relay = decision.relay();
 			ended(attempt, result);
 		}
-		else if (decision.verdict() == TokenVerdict.CUT) {
+		else if (decision.status() == FrameStatus.TRUNCATED) {
 			over(attempt, new AttemptResult.Broken(false, "the end mark does not fit the tokens that came"));
 		}
 	}
 
 	private void over(AttemptIdentifier attempt, AttemptResult result) {
 		if (this.relay.attempt().filter(attempt::equals).isPresent()) {
-			this.relay = this.relay.end(attempt);
+			this.relay = this.relay.endAttempt(attempt);
 			ended(attempt, result);
 		}
 	}
--- a/src/main/java/sycamorehill/logic/health/AsideMark.java
+++ b/src/main/java/sycamorehill/logic/health/Ejection.java
@@ -8,6 +8,6 @@
  * @param reason why
  * @param until when it may be tried again
  */
-record AsideMark(AsideReason reason, Instant until) {
+record Ejection(EjectionReason reason, Instant until) {
 
 }
--- a/src/main/java/sycamorehill/logic/health/AsideReason.java
+++ b/src/main/java/sycamorehill/logic/health/EjectionReason.java
@@ -3,7 +3,7 @@
 /**
  * Why a target gets no work for a while.
  */
-enum AsideReason {
+enum EjectionReason {
 
 	/** Its connections or its requests failed. */
 	FAILED,
--- a/src/main/java/sycamorehill/logic/health/FirstTokenTimes.java
+++ b/src/main/java/sycamorehill/logic/health/FirstTokenTimes.java
@@ -10,15 +10,15 @@
  */
 record FirstTokenTimes(double averageMillis, int samples) {
 
-	private static final double WEIGHT = 0.2;
+	private static final double MINIMUM_SAMPLE_WEIGHT = 0.2;
 
-	static FirstTokenTimes none() {
+	static FirstTokenTimes empty() {
 		return new FirstTokenTimes(0, 0);
 	}
 
-	FirstTokenTimes with(Duration time) {
+	FirstTokenTimes withSample(Duration time) {
 		double millis = time.toNanos() / 1.0e6;
-		double weight = Math.max(WEIGHT, 1.0 / (this.samples + 1));
+		double weight = Math.max(MINIMUM_SAMPLE_WEIGHT, 1.0 / (this.samples + 1));
 		return new FirstTokenTimes(this.averageMillis + weight * (millis - this.averageMillis), this.samples + 1);
 	}
 
--- a/src/main/java/sycamorehill/logic/health/HealthReducer.java
+++ b/src/main/java/sycamorehill/logic/health/HealthReducer.java
@@ -33,24 +33,24 @@
 	public Step<HealthState> reduce(HealthState state, Instant now, Event event, NodeView view) {
 		HealthStep step = new HealthStep(state, now, view);
 		if (event instanceof RequestEvent.AttemptStarted started) {
-			step.started(started);
+			step.handleAttemptStarted(started);
 		}
 		else if (event instanceof RequestEvent.FirstToken first) {
-			step.firstToken(first.attempt());
+			step.handleFirstToken(first.attempt());
 		}
 		else if (event instanceof RequestEvent.AttemptClosed closed) {
-			step.closed(closed);
+			step.handleAttemptClosed(closed);
 		}
 		else if (event instanceof NodeEvent.Ticked) {
-			step.checkWaiting();
-			step.forgetUnused();
+			step.recordOverdueFirstTokens();
+			step.removeUnused();
 		}
 		else if (event instanceof NodeEvent.Started started) {
 			return Step.of(state.withRandom(RandomSequence.of(started.seed())));
 		}
 		else if (event instanceof PeerEvent.MessageReceived received
 				&& received.message() instanceof TargetLeaving leaving) {
-			step.leavingTold(leaving);
+			step.handleTargetLeaving(leaving);
 		}
 		return step.result();
 	}
--- a/src/main/java/sycamorehill/logic/health/HealthState.java
+++ b/src/main/java/sycamorehill/logic/health/HealthState.java
@@ -26,7 +26,7 @@
  * @param random the random numbers to come
  * @param forgetAt when unused targets are next forgotten
  */
-public record HealthState(PMap<TargetName, TargetHealth> targets, PMap<TargetName, LeavingMark> leaving,
+public record HealthState(PMap<TargetName, TargetHealth> targets, PMap<TargetName, TargetLeavingNotice> leaving,
 		PMap<AttemptIdentifier, PendingAttempt> attempts, PSortedSet<FirstTokenCheck> checks, RandomSequence random,
 		Instant forgetAt) {
 
@@ -57,16 +57,17 @@
 	 * @return whether it must get no new work
 	 */
 	public boolean leaving(ServingTarget target, Instant now) {
-		LeavingMark mark = this.leaving.get(target.name());
-		return mark != null && mark.generation() == TargetHealth.generationOf(target) && now.isBefore(mark.until());
+		TargetLeavingNotice notice = this.leaving.get(target.name());
+		return notice != null && notice.generation() == TargetHealth.generationOf(target)
+				&& now.isBefore(notice.until());
 	}
 
-	HealthState with(TargetName name, LeavingMark mark) {
-		return new HealthState(this.targets, this.leaving.plus(name, mark), this.attempts, this.checks, this.random,
+	HealthState with(TargetName name, TargetLeavingNotice notice) {
+		return new HealthState(this.targets, this.leaving.plus(name, notice), this.attempts, this.checks, this.random,
 				this.forgetAt);
 	}
 
-	Optional<TargetHealth> of(ServingTarget target) {
+	Optional<TargetHealth> healthOf(ServingTarget target) {
 		return Optional.ofNullable(this.targets.get(target.name()))
 			.filter((health) -> health.generation() == TargetHealth.generationOf(target));
 	}
--- a/src/main/java/sycamorehill/logic/health/HealthStep.java
+++ b/src/main/java/sycamorehill/logic/health/HealthStep.java
@@ -27,9 +27,9 @@
  */
 final class HealthStep {
 
-	private static final int MOST_DOUBLINGS = 16;
+	private static final int MAXIMUM_DOUBLINGS = 16;
 
-	private static final Duration FORGET_EVERY = Duration.ofMinutes(1);
+	private static final Duration REMOVAL_INTERVAL = Duration.ofMinutes(1);
 
 	private final Instant now;
 
@@ -52,46 +52,47 @@
 		return Step.of(this.state, this.effects);
 	}
 
-	void started(RequestEvent.AttemptStarted event) {
+	void handleAttemptStarted(RequestEvent.AttemptStarted event) {
 		ServingTarget target = event.target();
-		this.state = this.state.with(target.name(), present(target).started(this.now));
+		this.state = this.state.with(target.name(), currentHealth(target).withAttemptStarted(this.now));
 		Instant checkAt = this.now.plus(this.policy.firstTokenCheck());
 		this.state = this.state.with(event.attempt(), new PendingAttempt(target, this.now, Optional.of(checkAt)));
 	}
 
-	void firstToken(AttemptIdentifier attempt) {
+	void handleFirstToken(AttemptIdentifier attempt) {
 		PendingAttempt pending = this.state.attempts().get(attempt);
 		if (pending != null && pending.checkAt().isPresent()) {
 			this.state = this.state.with(attempt, pending.withCheckAt(Optional.empty()));
-			measured(pending);
+			recordFirstTokenTime(pending);
 		}
 	}
 
-	void closed(RequestEvent.AttemptClosed event) {
+	void handleAttemptClosed(RequestEvent.AttemptClosed event) {
 		if (event.result() instanceof AttemptResult.Whole) {
-			firstToken(event.attempt());
+			handleFirstToken(event.attempt());
 		}
 		this.state = this.state.without(event.attempt());
 		TargetName name = event.target().name();
-		Optional<TargetHealth> found = this.state.of(event.target());
+		Optional<TargetHealth> tracked = this.state.healthOf(event.target());
 		// The end of an attempt on an earlier generation says nothing about this one.
-		if (found.isEmpty()) {
+		if (tracked.isEmpty()) {
 			return;
 		}
-		this.state = this.state.with(name, after(name, found.get().closed(), event.result()));
+		this.state = this.state.with(name, healthAfter(name, tracked.get().withAttemptClosed(), event.result()));
 		if (event.result() instanceof AttemptResult.RefusedBeforeRunning refused && refused.leaving()) {
-			leavingHeard(event.target());
+			handleLeavingRefusal(event.target());
 		}
 	}
 
-	private TargetHealth after(TargetName name, TargetHealth health, AttemptResult result) {
+	private TargetHealth healthAfter(TargetName name, TargetHealth health, AttemptResult result) {
 		if (result instanceof AttemptResult.Whole) {
-			return health.succeeded(this.policy.fullAllowance());
+			return health.withSuccess(this.policy.fullAllowance());
 		}
 		if (result instanceof AttemptResult.NothingSent || result instanceof AttemptResult.Broken) {
-			return judged(name, health.connectionFailed());
+			return ejectIfFailing(name, health.withConnectionFailure());
 		}
-		return (result instanceof AttemptResult.FailedWhileRunning) ? judged(name, health.runFailed()) : health;
+		return (result instanceof AttemptResult.FailedWhileRunning) ? ejectIfFailing(name, health.withRunFailure())
+				: health;
 	}
 
 	/**
@@ -99,18 +100,18 @@
 	 * a target that this node has not used yet, too.
 	 * @param message the other node's word
 	 */
-	void leavingTold(TargetLeaving message) {
-		LeavingMark known = this.state.leaving().get(message.target());
+	void handleTargetLeaving(TargetLeaving message) {
+		TargetLeavingNotice known = this.state.leaving().get(message.target());
 		if (known == null || known.generation() <= message.generation()) {
-			markLeaving(message.target(), message.generation());
+			recordLeaving(message.target(), message.generation());
 		}
 	}
 
-	private void leavingHeard(ServingTarget target) {
-		boolean news = !this.state.leaving(target, this.now);
+	private void handleLeavingRefusal(ServingTarget target) {
+		boolean firstNotice = !this.state.leaving(target, this.now);
 		long generation = TargetHealth.generationOf(target);
-		markLeaving(target.name(), generation);
-		if (!news) {
+		recordLeaving(target.name(), generation);
+		if (!firstNotice) {
 			return;
 		}
 		log(LogEvent.TARGET_LEAVING, target.name() + " says that it is leaving");
@@ -123,78 +124,79 @@
 			.forEach((node) -> this.effects.add(new PeerEffect.Send(node.identity(), message)));
 	}
 
-	private void markLeaving(TargetName name, long generation) {
+	private void recordLeaving(TargetName name, long generation) {
 		// A generation of a group never comes back, so its mark does not lapse: the
 		// VM list may show its VM live again. The address of a plain service may.
 		Instant until = (generation > 0) ? Instant.MAX : this.now.plus(this.policy.leavingMark());
-		this.state = this.state.with(name, new LeavingMark(generation, until));
+		this.state = this.state.with(name, new TargetLeavingNotice(generation, until));
 	}
 
 	/**
 	 * Counts attempts that have long waited for their first token as slow: a paused
 	 * target sends none, and would otherwise look as quick as before its pause.
 	 */
-	void checkWaiting() {
+	void recordOverdueFirstTokens() {
 		while (!this.state.checks().isEmpty() && !this.state.checks().first().at().isAfter(this.now)) {
 			AttemptIdentifier attempt = this.state.checks().first().attempt();
 			PendingAttempt pending = this.state.attempts().get(attempt);
 			Duration waited = Duration.between(pending.startedAt(), this.now);
 			this.state = this.state.with(attempt, pending.withCheckAt(Optional.of(this.now.plus(waited))));
-			measured(pending);
+			recordFirstTokenTime(pending);
 		}
 	}
 
-	private void measured(PendingAttempt pending) {
-		Optional<TargetHealth> found = this.state.of(pending.target());
-		if (found.isEmpty()) {
+	private void recordFirstTokenTime(PendingAttempt pending) {
+		Optional<TargetHealth> tracked = this.state.healthOf(pending.target());
+		if (tracked.isEmpty()) {
 			return;
 		}
 		TargetName name = pending.target().name();
-		TargetHealth health = found.get();
+		TargetHealth health = tracked.get();
 		Duration time = Duration.between(pending.startedAt(), this.now);
-		health = health.withFirstTokens(health.firstTokens().with(time));
+		health = health.withFirstTokens(health.firstTokens().withSample(time));
 		this.state = this.state.with(name, health);
-		if (!health.putAside(this.now) && StragglerRule.isStraggler(this.state, name, this.policy)) {
-			this.state = this.state.with(name, putAside(name, health, AsideReason.SLOW));
+		if (!health.isEjected(this.now) && StragglerDetection.isStraggler(this.state, name, this.policy)) {
+			this.state = this.state.with(name, eject(name, health, EjectionReason.SLOW));
 		}
 	}
 
-	private TargetHealth judged(TargetName name, TargetHealth health) {
+	private TargetHealth ejectIfFailing(TargetName name, TargetHealth health) {
 		boolean failed = health.connectionFailures() >= this.policy.connectionFailures()
 				|| health.runFailures() >= this.policy.runFailures();
 		// A returning target is on trial: its first failure is enough.
 		boolean onTrial = health.allowance().isPresent();
-		return (failed || onTrial) ? putAside(name, health, AsideReason.FAILED) : health;
+		return (failed || onTrial) ? eject(name, health, EjectionReason.FAILED) : health;
 	}
 
-	private TargetHealth putAside(TargetName name, TargetHealth health, AsideReason reason) {
+	private TargetHealth eject(TargetName name, TargetHealth health, EjectionReason reason) {
 		// Attempts that were under way together fail together: that is one failure, and
 		// must not double the time several times over.
-		if (health.putAside(this.now)) {
+		if (health.isEjected(this.now)) {
 			return health;
 		}
-		int doublings = Math.min(health.timesAside(), MOST_DOUBLINGS);
+		int doublings = Math.min(health.timesAside(), MAXIMUM_DOUBLINGS);
 		Duration doubled = this.policy.asideFirst().multipliedBy(1L << doublings);
-		Duration longest = (doubled.compareTo(this.policy.asideLongest()) < 0) ? doubled : this.policy.asideLongest();
-		Duration time = this.state.random().jittered(longest);
+		Duration maximum = (doubled.compareTo(this.policy.asideLongest()) < 0) ? doubled : this.policy.asideLongest();
+		Duration time = this.state.random().jittered(maximum);
 		this.state = this.state.withRandom(this.state.random().next());
 		log(LogEvent.TARGET_ASIDE, name + " is put aside for " + time.toMillis() + " ms: " + reason);
-		return health.withAside(new AsideMark(reason, this.now.plus(time)), this.policy.returnAllowance());
+		return health.withEjection(new Ejection(reason, this.now.plus(time)), this.policy.returnAllowance());
 	}
 
-	private TargetHealth present(ServingTarget target) {
+	private TargetHealth currentHealth(ServingTarget target) {
 		TargetHealth known = this.state.targets().get(target.name());
 		if (known == null) {
 			return TargetHealth.trusted(target, this.now);
 		}
 		long generation = TargetHealth.generationOf(target);
-		return (known.generation() == generation) ? known : known.renewed(generation, this.policy.returnAllowance());
+		return (known.generation() == generation) ? known
+				: known.forNewGeneration(generation, this.policy.returnAllowance());
 	}
 
 	/**
 	 * Forgets targets that have long not been used, once a minute.
 	 */
-	void forgetUnused() {
+	void removeUnused() {
 		if (this.now.isBefore(this.state.forgetAt())) {
 			return;
 		}
@@ -205,7 +207,7 @@
 			.filter((entry) -> entry.getValue().inFlight() == 0 && entry.getValue().usedAt().isBefore(usedBefore))
 			.map((entry) -> entry.getKey())
 			.toList();
-		this.state = this.state.withTargets(this.state.targets().minusAll(unused), this.now.plus(FORGET_EVERY));
+		this.state = this.state.withTargets(this.state.targets().minusAll(unused), this.now.plus(REMOVAL_INTERVAL));
 	}
 
 	private void log(LogEvent event, String detail) {
--- a/src/main/java/sycamorehill/logic/health/StragglerRule.java
+++ b/src/main/java/sycamorehill/logic/health/StragglerDetection.java
@@ -9,11 +9,11 @@
  * Tells a straggler by comparison with the other targets of its service: when all slow
  * down together, none of them is one.
  */
-final class StragglerRule {
+final class StragglerDetection {
 
-	private static final int FEWEST_SIBLINGS = 2;
+	private static final int MINIMUM_SIBLINGS = 2;
 
-	private StragglerRule() {
+	private StragglerDetection() {
 	}
 
 	static boolean isStraggler(HealthState state, TargetName name, HealthPolicy policy) {
@@ -30,7 +30,7 @@
 					&& other.firstTokens().samples() >= policy.stragglerSamples())
 			.mapToDouble((other) -> other.firstTokens().averageMillis())
 			.toArray();
-		if (siblings.length < FEWEST_SIBLINGS) {
+		if (siblings.length < MINIMUM_SIBLINGS) {
 			return false;
 		}
 		Arrays.sort(siblings);
--- a/src/main/java/sycamorehill/logic/health/TargetHealth.java
+++ b/src/main/java/sycamorehill/logic/health/TargetHealth.java
@@ -21,32 +21,32 @@
  * @param usedAt when an attempt was last sent to it
  */
 record TargetHealth(ServiceName service, long generation, int inFlight, int connectionFailures, int runFailures,
-		int timesAside, Optional<AsideMark> aside, Optional<Integer> allowance, FirstTokenTimes firstTokens,
+		int timesAside, Optional<Ejection> aside, Optional<Integer> allowance, FirstTokenTimes firstTokens,
 		Instant usedAt) {
 
 	static TargetHealth trusted(ServingTarget target, Instant now) {
 		return new TargetHealth(target.service(), generationOf(target), 0, 0, 0, 0, Optional.empty(), Optional.empty(),
-				FirstTokenTimes.none(), now);
+				FirstTokenTimes.empty(), now);
 	}
 
 	static long generationOf(ServingTarget target) {
 		return target.group().map((group) -> group.generation()).orElse(0L);
 	}
 
-	boolean putAside(Instant now) {
-		return this.aside.filter((mark) -> now.isBefore(mark.until())).isPresent();
+	boolean isEjected(Instant now) {
+		return this.aside.filter((ejection) -> now.isBefore(ejection.until())).isPresent();
 	}
 
-	boolean allowanceUsedUp() {
-		return this.allowance.filter((most) -> this.inFlight >= most).isPresent();
+	boolean isAllowanceExhausted() {
+		return this.allowance.filter((maximum) -> this.inFlight >= maximum).isPresent();
 	}
 
-	TargetHealth started(Instant now) {
+	TargetHealth withAttemptStarted(Instant now) {
 		return new TargetHealth(this.service, this.generation, this.inFlight + 1, this.connectionFailures,
 				this.runFailures, this.timesAside, this.aside, this.allowance, this.firstTokens, now);
 	}
 
-	TargetHealth closed() {
+	TargetHealth withAttemptClosed() {
 		return new TargetHealth(this.service, this.generation, Math.max(0, this.inFlight - 1), this.connectionFailures,
 				this.runFailures, this.timesAside, this.aside, this.allowance, this.firstTokens, this.usedAt);
 	}
@@ -57,18 +57,19 @@
 	 * @param fullAllowance where that is
 	 * @return the health after it
 	 */
-	TargetHealth succeeded(int fullAllowance) {
-		Optional<Integer> larger = this.allowance.map((most) -> most * 2).filter((most) -> most < fullAllowance);
+	TargetHealth withSuccess(int fullAllowance) {
+		Optional<Integer> larger = this.allowance.map((maximum) -> maximum * 2)
+			.filter((maximum) -> maximum < fullAllowance);
 		return new TargetHealth(this.service, this.generation, this.inFlight, 0, 0,
 				larger.isPresent() ? this.timesAside : 0, this.aside, larger, this.firstTokens, this.usedAt);
 	}
 
-	TargetHealth connectionFailed() {
+	TargetHealth withConnectionFailure() {
 		return new TargetHealth(this.service, this.generation, this.inFlight, this.connectionFailures + 1,
 				this.runFailures, this.timesAside, this.aside, this.allowance, this.firstTokens, this.usedAt);
 	}
 
-	TargetHealth runFailed() {
+	TargetHealth withRunFailure() {
 		return new TargetHealth(this.service, this.generation, this.inFlight, this.connectionFailures,
 				this.runFailures + 1, this.timesAside, this.aside, this.allowance, this.firstTokens, this.usedAt);
 	}
@@ -76,13 +77,13 @@
 	/**
 	 * Puts the target aside. When the time is over it begins with little, and its speed
 	 * is measured anew.
-	 * @param mark why and until when
+	 * @param ejection why and until when
 	 * @param returnAllowance what it begins with
 	 * @return the health after it
 	 */
-	TargetHealth withAside(AsideMark mark, int returnAllowance) {
+	TargetHealth withEjection(Ejection ejection, int returnAllowance) {
 		return new TargetHealth(this.service, this.generation, this.inFlight, 0, 0, this.timesAside + 1,
-				Optional.of(mark), Optional.of(returnAllowance), FirstTokenTimes.none(), this.usedAt);
+				Optional.of(ejection), Optional.of(returnAllowance), FirstTokenTimes.empty(), this.usedAt);
 	}
 
 	/**
@@ -92,9 +93,9 @@
 	 * @param returnAllowance what it begins with
 	 * @return the health of the new generation
 	 */
-	TargetHealth renewed(long newGeneration, int returnAllowance) {
+	TargetHealth forNewGeneration(long newGeneration, int returnAllowance) {
 		return new TargetHealth(this.service, newGeneration, 0, 0, 0, 0, Optional.empty(), Optional.of(returnAllowance),
-				FirstTokenTimes.none(), this.usedAt);
+				FirstTokenTimes.empty(), this.usedAt);
 	}
 
 	TargetHealth withFirstTokens(FirstTokenTimes times) {
--- a/src/main/java/sycamorehill/logic/health/LeavingMark.java
+++ b/src/main/java/sycamorehill/logic/health/TargetLeavingNotice.java
@@ -8,6 +8,6 @@
  * @param generation the generation that said so, 0 for a plain service
  * @param until until when the word counts
  */
-record LeavingMark(long generation, Instant until) {
+record TargetLeavingNotice(long generation, Instant until) {
 
 }
--- a/src/main/java/sycamorehill/logic/health/UsableTargets.java
+++ b/src/main/java/sycamorehill/logic/health/UsableTargets.java
@@ -20,54 +20,58 @@
 	}
 
 	static List<ServingTarget> of(HealthState state, List<ServingTarget> targets, Instant now, HealthPolicy policy) {
-		List<ServingTarget> staying = targets.stream().filter((target) -> !state.leaving(target, now)).toList();
-		Set<TargetName> aside = putAside(state, staying, now, policy);
-		List<ServingTarget> trusted = staying.stream().filter((target) -> !aside.contains(target.name())).toList();
-		List<ServingTarget> ready = trusted.stream().filter((target) -> !usedUp(state, target)).toList();
+		List<ServingTarget> candidates = targets.stream().filter((target) -> !state.leaving(target, now)).toList();
+		Set<TargetName> ejected = ejectedTargets(state, candidates, now, policy);
+		List<ServingTarget> notEjected = candidates.stream()
+			.filter((target) -> !ejected.contains(target.name()))
+			.toList();
+		List<ServingTarget> ready = notEjected.stream()
+			.filter((target) -> !isAllowanceExhausted(state, target))
+			.toList();
 		// If all of them return at once, as after an outage, the allowances would refuse
 		// work that the targets can take.
-		return ready.isEmpty() ? trusted : ready;
+		return ready.isEmpty() ? notEjected : ready;
 	}
 
-	private static Set<TargetName> putAside(HealthState state, List<ServingTarget> staying, Instant now,
+	private static Set<TargetName> ejectedTargets(HealthState state, List<ServingTarget> candidates, Instant now,
 			HealthPolicy policy) {
-		List<ServingTarget> marked = new ArrayList<>(
-				staying.stream().filter((target) -> isPutAside(state, target, now)).toList());
+		List<ServingTarget> ordered = new ArrayList<>(
+				candidates.stream().filter((target) -> isEjected(state, target, now)).toList());
 		// The longest aside are the most certain.
-		marked.sort(Comparator.comparing((ServingTarget target) -> reason(state, target))
+		ordered.sort(Comparator.comparing((ServingTarget target) -> reason(state, target))
 			.thenComparing((target) -> until(state, target), Comparator.reverseOrder())
 			.thenComparing(ServingTarget::name));
-		Set<TargetName> aside = new HashSet<>();
-		for (ServingTarget target : marked) {
-			double share = (reason(state, target) == AsideReason.FAILED) ? policy.failedShare()
+		Set<TargetName> ejected = new HashSet<>();
+		for (ServingTarget target : ordered) {
+			double share = (reason(state, target) == EjectionReason.FAILED) ? policy.failedShare()
 					: policy.stragglerShare();
-			if (aside.size() < mostAside(staying.size(), share)) {
-				aside.add(target.name());
+			if (ejected.size() < maximumEjected(candidates.size(), share)) {
+				ejected.add(target.name());
 			}
 		}
-		return aside;
+		return ejected;
 	}
 
-	private static int mostAside(int targets, double share) {
+	private static int maximumEjected(int targets, double share) {
 		// Without a bound, a broken link of this node or a wrong measure would put all
 		// targets aside, and the node would refuse everything while they are well.
 		return Math.min(targets - 1, Math.max(1, (int) (targets * share)));
 	}
 
-	private static boolean isPutAside(HealthState state, ServingTarget target, Instant now) {
-		return state.of(target).filter((health) -> health.putAside(now)).isPresent();
+	private static boolean isEjected(HealthState state, ServingTarget target, Instant now) {
+		return state.healthOf(target).filter((health) -> health.isEjected(now)).isPresent();
 	}
 
-	private static boolean usedUp(HealthState state, ServingTarget target) {
-		return state.of(target).filter(TargetHealth::allowanceUsedUp).isPresent();
+	private static boolean isAllowanceExhausted(HealthState state, ServingTarget target) {
+		return state.healthOf(target).filter(TargetHealth::isAllowanceExhausted).isPresent();
 	}
 
-	private static AsideReason reason(HealthState state, ServingTarget target) {
-		return state.of(target).orElseThrow().aside().orElseThrow().reason();
+	private static EjectionReason reason(HealthState state, ServingTarget target) {
+		return state.healthOf(target).orElseThrow().aside().orElseThrow().reason();
 	}
 
 	private static Instant until(HealthState state, ServingTarget target) {
-		return state.of(target).orElseThrow().aside().orElseThrow().until();
+		return state.healthOf(target).orElseThrow().aside().orElseThrow().until();
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/node/StateView.java
+++ b/src/main/java/sycamorehill/logic/node/StateView.java
@@ -103,12 +103,12 @@
 
 	@Override
 	public boolean quarantined(Fingerprint fingerprint) {
-		return this.state.quarantine().quarantined(fingerprint, this.now);
+		return this.state.quarantine().isQuarantined(fingerprint, this.now);
 	}
 
 	@Override
 	public boolean suspected(Fingerprint fingerprint) {
-		return this.state.quarantine().suspected(fingerprint, this.now);
+		return this.state.quarantine().isSuspect(fingerprint, this.now);
 	}
 
 	@Override
--- a/src/main/java/sycamorehill/logic/quarantine/ArbiterRule.java
+++ b/src/main/java/sycamorehill/logic/quarantine/Arbiter.java
@@ -19,11 +19,11 @@
  * What a node does as the arbiter of a service: it gives each suspect a target for
  * itself, at most one at a time, and tells all nodes what is suspected.
  */
-final class ArbiterRule {
+final class Arbiter {
 
-	private static final int MOST_IN_ONE_MESSAGE = 256;
+	private static final int MAXIMUM_ENTRIES_PER_MESSAGE = 256;
 
-	private ArbiterRule() {
+	private Arbiter() {
 	}
 
 	/**
@@ -36,15 +36,15 @@
 	 * @param ask the question
 	 * @return the answer
 	 */
-	static IsolationAnswered ask(QuarantineStep step, IsolationAsked ask) {
-		learnDeaths(step, ask);
-		boolean refused = step.quarantined(ask.fingerprint()) || tooEarly(step, ask.fingerprint());
-		Optional<TargetName> target = refused ? Optional.empty() : choose(step, ask);
-		target.ifPresent((name) -> take(step, ask, name));
+	static IsolationAnswered handleIsolationAsked(QuarantineStep step, IsolationAsked ask) {
+		recordReportedCrashes(step, ask);
+		boolean refused = step.isQuarantined(ask.fingerprint()) || hasCrashedRecently(step, ask.fingerprint());
+		Optional<TargetName> target = refused ? Optional.empty() : chooseTarget(step, ask);
+		target.ifPresent((name) -> reserveSlot(step, ask, name));
 		return new IsolationAnswered(ask.request(), ask.service(), ask.fingerprint(), target);
 	}
 
-	private static void learnDeaths(QuarantineStep step, IsolationAsked ask) {
+	private static void recordReportedCrashes(QuarantineStep step, IsolationAsked ask) {
 		// The question may overtake the report of the death, or reach a new arbiter
 		// that was never told of it.
 		for (TargetName target : ask.died()) {
@@ -52,38 +52,39 @@
 				.filter((suspect) -> suspect.deaths().containsKey(target))
 				.isPresent();
 			if (!known) {
-				reported(step, new SuspectReported(ask.service(), new SuspectEntry(target, ask.fingerprint())));
+				handleSuspectReported(step,
+						new SuspectReported(ask.service(), new SuspectEntry(target, ask.fingerprint())));
 			}
 		}
 	}
 
-	private static boolean tooEarly(QuarantineStep step, Fingerprint fingerprint) {
+	private static boolean hasCrashedRecently(QuarantineStep step, Fingerprint fingerprint) {
 		// Copies of the content that its caller sent at the same moment die at nearly the
 		// same time. Their deaths have to be told before it runs again, or a third target
 		// would die for what is known.
-		Instant latestDeath = step.now().minus(step.policy().isolationDelay());
+		Instant recentSince = step.now().minus(step.policy().isolationDelay());
 		return step.suspect(fingerprint)
-			.filter((suspect) -> suspect.deaths().values().stream().anyMatch((at) -> at.isAfter(latestDeath)))
+			.filter((suspect) -> suspect.deaths().values().stream().anyMatch((at) -> at.isAfter(recentSince)))
 			.isPresent();
 	}
 
-	private static void take(QuarantineStep step, IsolationAsked ask, TargetName target) {
+	private static void reserveSlot(QuarantineStep step, IsolationAsked ask, TargetName target) {
 		Instant until = step.now().plus(step.policy().slotTime());
 		IsolationSlot slot = new IsolationSlot(target, ask.service(), ask.fingerprint(), ask.request(), until);
-		step.replace(step.state().withArbiter(step.state().arbiter().with(slot)));
+		step.replaceState(step.state().withArbiter(step.state().arbiter().withSlot(slot)));
 	}
 
-	private static Optional<TargetName> choose(QuarantineStep step, IsolationAsked ask) {
-		Optional<IsolationSlot> own = step.state()
+	private static Optional<TargetName> chooseTarget(QuarantineStep step, IsolationAsked ask) {
+		Optional<IsolationSlot> existing = step.state()
 			.arbiter()
 			.slots()
 			.values()
 			.stream()
 			.filter((slot) -> slot.fingerprint().equals(ask.fingerprint()) && step.now().isBefore(slot.until()))
 			.findFirst();
-		if (own.isPresent()) {
+		if (existing.isPresent()) {
 			// The answer may have been lost: the same request gets the same place again.
-			return own.filter((slot) -> slot.request().equals(ask.request())).map(IsolationSlot::target);
+			return existing.filter((slot) -> slot.request().equals(ask.request())).map(IsolationSlot::target);
 		}
 		List<TargetName> free = step.view()
 			.servingTargets(ask.service())
@@ -94,21 +95,21 @@
 		if (free.isEmpty()) {
 			return Optional.empty();
 		}
-		int drawn = (int) (step.state().random().fraction() * free.size());
-		step.replace(step.state().withRandom(step.state().random().next()));
-		return Optional.of(free.get(drawn));
+		int index = (int) (step.state().random().fraction() * free.size());
+		step.replaceState(step.state().withRandom(step.state().random().next()));
+		return Optional.of(free.get(index));
 	}
 
 	private static boolean isFree(QuarantineStep step, TargetName target) {
 		IsolationSlot slot = step.state().arbiter().slots().get(target);
-		boolean taken = slot != null && step.now().isBefore(slot.until());
-		return !taken && !step.state().recentDeaths().containsKey(target);
+		boolean reserved = slot != null && step.now().isBefore(slot.until());
+		return !reserved && !step.state().recentDeaths().containsKey(target);
 	}
 
-	static void release(QuarantineStep step, IsolationReleased message) {
+	static void handleIsolationReleased(QuarantineStep step, IsolationReleased message) {
 		IsolationSlot slot = step.state().arbiter().slots().get(message.target());
 		if (slot != null && slot.fingerprint().equals(message.fingerprint())) {
-			step.replace(step.state().withArbiter(step.state().arbiter().without(message.target())));
+			step.replaceState(step.state().withArbiter(step.state().arbiter().withoutSlot(message.target())));
 		}
 	}
 
@@ -117,23 +118,23 @@
 	 * @param step the step
 	 * @param message that node's word
 	 */
-	static void reported(QuarantineStep step, SuspectReported message) {
+	static void handleSuspectReported(QuarantineStep step, SuspectReported message) {
 		SuspectEntry entry = message.suspect();
-		step.addDeath(entry.fingerprint(), entry.target());
-		if (step.quarantined(entry.fingerprint()) || step.explained(entry.target())) {
+		step.addCrash(entry.fingerprint(), entry.target());
+		if (step.isQuarantined(entry.fingerprint()) || step.isExplained(entry.target())) {
 			return;
 		}
-		step.replace(step.state().withArbiter(step.state().arbiter().withSuspect(entry)));
+		step.replaceState(step.state().withArbiter(step.state().arbiter().withSuspect(entry)));
 		Optional<Suspect> suspect = step.suspect(entry.fingerprint());
-		if (suspect.isPresent() && crashedTwo(step, entry.fingerprint(), suspect.get())) {
-			Verdicts.guilty(step, entry.fingerprint());
+		if (suspect.isPresent() && aloneCrashedTwoTargets(step, entry.fingerprint(), suspect.get())) {
+			QuarantinePropagation.quarantineContent(step, entry.fingerprint());
 		}
 	}
 
-	private static boolean crashedTwo(QuarantineStep step, Fingerprint fingerprint, Suspect suspect) {
+	private static boolean aloneCrashedTwoTargets(QuarantineStep step, Fingerprint fingerprint, Suspect suspect) {
 		// A caller may send the same content to two nodes at once: it crashes two targets
 		// before anything is suspected. Content that alone ran on both is guilty.
-		if (suspect.deaths().size() < 2 || step.massDeaths()) {
+		if (suspect.deaths().size() < 2 || step.isMassCrash()) {
 			return false;
 		}
 		return step.state()
@@ -151,9 +152,9 @@
 				.count() >= 2);
 	}
 
-	static void cleared(QuarantineStep step, SuspectCleared message) {
-		step.clear(message.fingerprint());
-		step.replace(step.state().withArbiter(step.state().arbiter().withCleared(message.fingerprint())));
+	static void handleSuspectCleared(QuarantineStep step, SuspectCleared message) {
+		step.clearSuspect(message.fingerprint());
+		step.replaceState(step.state().withArbiter(step.state().arbiter().withCleared(message.fingerprint())));
 	}
 
 	/**
@@ -162,22 +163,22 @@
 	 * square of the nodes.
 	 * @param step the step
 	 */
-	static void spread(QuarantineStep step) {
+	static void publishSuspects(QuarantineStep step) {
 		List<SuspectEntry> suspects = step.state().arbiter().suspects();
 		List<Fingerprint> cleared = step.state().arbiter().cleared();
 		if (suspects.isEmpty() && cleared.isEmpty()) {
 			return;
 		}
-		int longest = Math.max(suspects.size(), cleared.size());
-		for (int from = 0; from < longest; from += MOST_IN_ONE_MESSAGE) {
-			step.sendToOthers(new SuspectsSpread(part(suspects, from), part(cleared, from)));
+		int largerSize = Math.max(suspects.size(), cleared.size());
+		for (int from = 0; from < largerSize; from += MAXIMUM_ENTRIES_PER_MESSAGE) {
+			step.sendToPeers(new SuspectsSpread(slice(suspects, from), slice(cleared, from)));
 		}
-		step.replace(step.state().withArbiter(step.state().arbiter().spread()));
+		step.replaceState(step.state().withArbiter(step.state().arbiter().withoutUnpublished()));
 	}
 
-	private static <T> List<T> part(List<T> all, int from) {
+	private static <T> List<T> slice(List<T> all, int from) {
 		int begin = Math.min(from, all.size());
-		return List.copyOf(all.subList(begin, Math.min(begin + MOST_IN_ONE_MESSAGE, all.size())));
+		return List.copyOf(all.subList(begin, Math.min(begin + MAXIMUM_ENTRIES_PER_MESSAGE, all.size())));
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/quarantine/Arbiters.java
+++ b/src/main/java/sycamorehill/logic/quarantine/ArbiterSelection.java
@@ -11,14 +11,14 @@
  * Chooses for each service one live node, its arbiter, that keeps suspects apart. Each
  * data centre that is cut off has its own.
  */
-final class Arbiters {
+final class ArbiterSelection {
 
-	private static final String DUTY_PREFIX = "arbiter/";
+	private static final String HASH_KEY_PREFIX = "arbiter/";
 
-	private Arbiters() {
+	private ArbiterSelection() {
 	}
 
-	static NodeIdentity of(NodeView view, ServiceName service) {
+	static NodeIdentity arbiterOf(NodeView view, ServiceName service) {
 		return view.liveNodes()
 			.nodes()
 			.values()
@@ -34,7 +34,7 @@
 	}
 
 	private static long weight(NodeIdentity node, ServiceName service) {
-		return RendezvousHash.weight(DUTY_PREFIX + service, node.incarnation().node());
+		return RendezvousHash.weight(HASH_KEY_PREFIX + service, node.incarnation().node());
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/quarantine/ArbiterState.java
+++ b/src/main/java/sycamorehill/logic/quarantine/ArbiterState.java
@@ -23,11 +23,11 @@
 		return new ArbiterState(HashTreePMap.empty(), TreePVector.empty(), TreePVector.empty());
 	}
 
-	ArbiterState with(IsolationSlot slot) {
+	ArbiterState withSlot(IsolationSlot slot) {
 		return new ArbiterState(this.slots.plus(slot.target(), slot), this.suspects, this.cleared);
 	}
 
-	ArbiterState without(TargetName target) {
+	ArbiterState withoutSlot(TargetName target) {
 		return new ArbiterState(this.slots.minus(target), this.suspects, this.cleared);
 	}
 
@@ -39,7 +39,7 @@
 		return new ArbiterState(this.slots, this.suspects, this.cleared.plus(fingerprint));
 	}
 
-	ArbiterState spread() {
+	ArbiterState withoutUnpublished() {
 		return new ArbiterState(this.slots, TreePVector.empty(), TreePVector.empty());
 	}
 
--- a/src/main/java/sycamorehill/logic/quarantine/ContentDeadline.java
+++ b/src/main/java/sycamorehill/logic/quarantine/ContentExpiry.java
@@ -11,13 +11,13 @@
  * @param at the time
  * @param fingerprint the content
  */
-record ContentDeadline(Instant at, Fingerprint fingerprint) implements Comparable<ContentDeadline> {
+record ContentExpiry(Instant at, Fingerprint fingerprint) implements Comparable<ContentExpiry> {
 
-	private static final Comparator<ContentDeadline> ORDER = Comparator.comparing(ContentDeadline::at)
+	private static final Comparator<ContentExpiry> ORDER = Comparator.comparing(ContentExpiry::at)
 		.thenComparing((deadline) -> deadline.fingerprint().value());
 
 	@Override
-	public int compareTo(ContentDeadline other) {
+	public int compareTo(ContentExpiry other) {
 		return ORDER.compare(this, other);
 	}
 
--- a/src/main/java/sycamorehill/logic/quarantine/ContentBook.java
+++ b/src/main/java/sycamorehill/logic/quarantine/ExpiringContentMap.java
@@ -18,38 +18,38 @@
  * @param entries by content
  * @param byTime by when it is forgotten
  */
-record ContentBook<V>(PMap<Fingerprint, Entry<V>> entries, PSortedSet<ContentDeadline> byTime) {
+record ExpiringContentMap<V>(PMap<Fingerprint, Entry<V>> entries, PSortedSet<ContentExpiry> byTime) {
 
-	static <V> ContentBook<V> empty() {
-		return new ContentBook<>(HashTreePMap.empty(), TreePSet.empty());
+	static <V> ExpiringContentMap<V> empty() {
+		return new ExpiringContentMap<>(HashTreePMap.empty(), TreePSet.empty());
 	}
 
-	Optional<V> at(Fingerprint fingerprint, Instant now) {
+	Optional<V> get(Fingerprint fingerprint, Instant now) {
 		return Optional.ofNullable(this.entries.get(fingerprint))
 			.filter((entry) -> now.isBefore(entry.until()))
 			.map(Entry::value);
 	}
 
-	ContentBook<V> with(Fingerprint fingerprint, V value, Instant until, int most) {
-		ContentBook<V> cleared = without(fingerprint);
-		if (cleared.entries.size() >= most) {
+	ExpiringContentMap<V> with(Fingerprint fingerprint, V value, Instant until, int maximumEntries) {
+		ExpiringContentMap<V> cleared = without(fingerprint);
+		if (cleared.entries.size() >= maximumEntries) {
 			cleared = cleared.without(cleared.byTime.first().fingerprint());
 		}
-		return new ContentBook<>(cleared.entries.plus(fingerprint, new Entry<>(value, until)),
-				cleared.byTime.plus(new ContentDeadline(until, fingerprint)));
+		return new ExpiringContentMap<>(cleared.entries.plus(fingerprint, new Entry<>(value, until)),
+				cleared.byTime.plus(new ContentExpiry(until, fingerprint)));
 	}
 
-	ContentBook<V> without(Fingerprint fingerprint) {
+	ExpiringContentMap<V> without(Fingerprint fingerprint) {
 		Entry<V> old = this.entries.get(fingerprint);
 		if (old == null) {
 			return this;
 		}
-		return new ContentBook<>(this.entries.minus(fingerprint),
-				this.byTime.minus(new ContentDeadline(old.until(), fingerprint)));
+		return new ExpiringContentMap<>(this.entries.minus(fingerprint),
+				this.byTime.minus(new ContentExpiry(old.until(), fingerprint)));
 	}
 
-	ContentBook<V> withoutExpired(Instant now) {
-		ContentBook<V> kept = this;
+	ExpiringContentMap<V> withoutExpired(Instant now) {
+		ExpiringContentMap<V> kept = this;
 		while (!kept.byTime.isEmpty() && !now.isBefore(kept.byTime.first().at())) {
 			kept = kept.without(kept.byTime.first().fingerprint());
 		}
--- a/src/main/java/sycamorehill/logic/quarantine/BrokenContent.java
+++ b/src/main/java/sycamorehill/logic/quarantine/InterruptedContent.java
@@ -6,6 +6,6 @@
  * @param isolated whether no other suspect ran there
  * @param repeated whether a target had died running it before
  */
-record BrokenContent(boolean isolated, boolean repeated) {
+record InterruptedContent(boolean isolated, boolean repeated) {
 
 }
--- a/src/main/java/sycamorehill/logic/quarantine/IsolationAsk.java
+++ b/src/main/java/sycamorehill/logic/quarantine/PendingIsolationAsk.java
@@ -7,6 +7,6 @@
  *
  * @param askedAt when it was asked
  */
-record IsolationAsk(Instant askedAt) {
+record PendingIsolationAsk(Instant askedAt) {
 
 }
--- a/src/main/java/sycamorehill/logic/quarantine/Verdicts.java
+++ b/src/main/java/sycamorehill/logic/quarantine/QuarantinePropagation.java
@@ -15,11 +15,11 @@
 /**
  * Quarantines content and has all nodes know.
  */
-final class Verdicts {
+final class QuarantinePropagation {
 
-	private static final int MOST_IN_DIGEST = 128;
+	private static final int MAXIMUM_DIGEST_ENTRIES = 128;
 
-	private Verdicts() {
+	private QuarantinePropagation() {
 	}
 
 	/**
@@ -28,25 +28,25 @@
 	 * @param step the step
 	 * @param fingerprint the content
 	 */
-	static void guilty(QuarantineStep step, Fingerprint fingerprint) {
+	static void quarantineContent(QuarantineStep step, Fingerprint fingerprint) {
 		List<TargetName> targets = step.suspect(fingerprint)
 			.map((suspect) -> List.copyOf(suspect.deaths().keySet()))
 			.orElse(List.of());
-		Duration time = step.policy().quarantine();
-		step.quarantine(fingerprint, step.now().plus(time));
-		step.explain(targets);
+		Duration duration = step.policy().quarantine();
+		step.quarantine(fingerprint, step.now().plus(duration));
+		step.attributeCrashes(targets);
 		step.log(LogEvent.CONTENT_QUARANTINED, fingerprint.value() + " crashed " + targets);
-		step.sendToOthers(new ContentQuarantined(new QuarantineEntry(fingerprint, time), targets));
+		step.sendToPeers(new ContentQuarantined(new QuarantineEntry(fingerprint, duration), targets));
 	}
 
-	static void told(QuarantineStep step, ContentQuarantined message) {
-		learn(step, message.entry());
-		step.explain(message.explained());
+	static void handleContentQuarantined(QuarantineStep step, ContentQuarantined message) {
+		applyEntry(step, message.entry());
+		step.attributeCrashes(message.explained());
 	}
 
-	static void learn(QuarantineStep step, QuarantineEntry entry) {
-		Duration longest = step.policy().quarantine();
-		Duration remaining = (entry.remaining().compareTo(longest) < 0) ? entry.remaining() : longest;
+	static void applyEntry(QuarantineStep step, QuarantineEntry entry) {
+		Duration maximum = step.policy().quarantine();
+		Duration remaining = (entry.remaining().compareTo(maximum) < 0) ? entry.remaining() : maximum;
 		step.quarantine(entry.fingerprint(), step.now().plus(remaining));
 	}
 
@@ -56,29 +56,29 @@
 	 * targets.
 	 * @param step the step
 	 */
-	static void digest(QuarantineStep step) {
+	static void sendDigest(QuarantineStep step) {
 		if (step.now().isBefore(step.state().digestAt())) {
 			return;
 		}
-		step.replace(step.state().withDigestAt(step.now().plus(step.policy().digestEvery())));
-		List<NodeIdentity> others = step.others();
-		if (others.isEmpty() || step.state().quarantinedCount() == 0) {
+		step.replaceState(step.state().withDigestAt(step.now().plus(step.policy().digestEvery())));
+		List<NodeIdentity> peers = step.peers();
+		if (peers.isEmpty() || step.state().quarantinedCount() == 0) {
 			return;
 		}
-		int drawn = (int) (step.state().random().fraction() * others.size());
-		step.replace(step.state().withRandom(step.state().random().next()));
+		int index = (int) (step.state().random().fraction() * peers.size());
+		step.replaceState(step.state().withRandom(step.state().random().next()));
 		List<QuarantineEntry> entries = step.state()
 			.quarantine()
 			.byTime()
 			.descendingSet()
 			.stream()
-			.limit(MOST_IN_DIGEST)
-			.map((deadline) -> entry(deadline, step.now()))
+			.limit(MAXIMUM_DIGEST_ENTRIES)
+			.map((deadline) -> digestEntry(deadline, step.now()))
 			.toList();
-		step.send(others.get(drawn), new QuarantineDigest(entries));
+		step.send(peers.get(index), new QuarantineDigest(entries));
 	}
 
-	private static QuarantineEntry entry(ContentDeadline deadline, Instant now) {
+	private static QuarantineEntry digestEntry(ContentExpiry deadline, Instant now) {
 		return new QuarantineEntry(deadline.fingerprint(), Duration.between(now, deadline.at()));
 	}
 
--- a/src/main/java/sycamorehill/logic/quarantine/QuarantineReducer.java
+++ b/src/main/java/sycamorehill/logic/quarantine/QuarantineReducer.java
@@ -46,113 +46,113 @@
 	public Step<QuarantineState> reduce(QuarantineState state, Instant now, Event event, NodeView view) {
 		QuarantineStep step = new QuarantineStep(state, now, view);
 		if (event instanceof RequestEvent requestEvent) {
-			request(step, requestEvent);
+			handleRequestEvent(step, requestEvent);
 		}
 		else if (event instanceof PeerEvent.MessageReceived received) {
-			message(step, received);
+			handleMessage(step, received);
 		}
 		else if (event instanceof NodeEvent.Ticked) {
-			BreakRule.settle(step);
-			ArbiterRule.spread(step);
-			Verdicts.digest(step);
-			step.expire();
+			CrashDetection.settleSuspectedCrashes(step);
+			Arbiter.publishSuspects(step);
+			QuarantinePropagation.sendDigest(step);
+			step.removeExpired();
 		}
 		else if (event instanceof NodeEvent.Started started) {
-			step.replace(state.withRandom(RandomSequence.of(started.seed())));
+			step.replaceState(state.withRandom(RandomSequence.of(started.seed())));
 		}
 		return step.result();
 	}
 
-	private static void request(QuarantineStep step, RequestEvent event) {
+	private static void handleRequestEvent(QuarantineStep step, RequestEvent event) {
 		if (event instanceof RequestEvent.AttemptStarted started) {
-			started(step, started);
+			handleAttemptStarted(step, started);
 		}
 		else if (event instanceof RequestEvent.FirstToken first) {
 			RunningContent content = step.state().running().get(first.attempt());
 			if (content != null) {
-				BreakRule.answered(step, content);
+				CrashDetection.handleAnswer(step, content);
 			}
 		}
 		else if (event instanceof RequestEvent.AttemptClosed closed) {
-			closed(step, closed);
+			handleAttemptClosed(step, closed);
 		}
 		else if (event instanceof RequestEvent.IsolationWanted wanted) {
-			IsolationRule.wanted(step, wanted);
+			IsolationClient.handleIsolationWanted(step, wanted);
 		}
 		else if (event instanceof RequestEvent.Finished finished) {
-			finished(step, finished);
+			handleFinished(step, finished);
 		}
 	}
 
-	private static void started(QuarantineStep step, RequestEvent.AttemptStarted event) {
-		boolean isolated = IsolationRule.holds(step, event.request().identifier(), event.target().name());
+	private static void handleAttemptStarted(QuarantineStep step, RequestEvent.AttemptStarted event) {
+		boolean isolated = IsolationClient.holdsSlot(step, event.request().identifier(), event.target().name());
 		RunningContent content = new RunningContent(event.request().identifier(), event.request().fingerprint(),
 				event.target(), step.now(), isolated);
-		step.replace(step.state().withRunning(step.state().running().plus(event.attempt(), content)));
+		step.replaceState(step.state().withRunning(step.state().running().plus(event.attempt(), content)));
 	}
 
-	private static void closed(QuarantineStep step, RequestEvent.AttemptClosed event) {
+	private static void handleAttemptClosed(QuarantineStep step, RequestEvent.AttemptClosed event) {
 		AttemptIdentifier attempt = event.attempt();
 		RunningContent content = step.state().running().get(attempt);
 		if (content == null) {
 			return;
 		}
-		step.replace(step.state().withRunning(step.state().running().minus(attempt)));
+		step.replaceState(step.state().withRunning(step.state().running().minus(attempt)));
 		if (event.result() instanceof AttemptResult.Whole) {
-			BreakRule.answered(step, content);
+			CrashDetection.handleAnswer(step, content);
 			if (step.suspect(content.fingerprint()).isPresent()) {
-				step.clear(content.fingerprint());
-				BreakRule.tellCleared(step, content.target().service(), content.fingerprint());
+				step.clearSuspect(content.fingerprint());
+				CrashDetection.reportCleared(step, content.target().service(), content.fingerprint());
 			}
 		}
 		else if (event.result() instanceof AttemptResult.Broken broken && broken.connectionLost()) {
-			BreakRule.broken(step, content);
+			CrashDetection.handleConnectionLost(step, content);
 		}
-		IsolationRule.forget(step, content.request());
+		IsolationClient.removeRequest(step, content.request());
 	}
 
-	private static void finished(QuarantineStep step, RequestEvent.Finished event) {
-		IsolationRule.forget(step, event.request().identifier());
+	private static void handleFinished(QuarantineStep step, RequestEvent.Finished event) {
+		IsolationClient.removeRequest(step, event.request().identifier());
 		// As long as its caller goes on sending it, it stays refused: if it lapsed
 		// under the caller's retries, two more targets would die.
-		if (refusedAsQuarantined(event.outcome()) && step.quarantined(event.request().fingerprint())) {
+		if (isRefusedAsQuarantined(event.outcome()) && step.isQuarantined(event.request().fingerprint())) {
 			step.quarantine(event.request().fingerprint(), step.now().plus(step.policy().quarantine()));
 		}
 	}
 
-	private static boolean refusedAsQuarantined(RequestOutcome outcome) {
-		return outcome instanceof RequestOutcome.NotRun notRun && isQuarantine(notRun.refusal());
+	private static boolean isRefusedAsQuarantined(RequestOutcome outcome) {
+		return outcome instanceof RequestOutcome.NotRun notRun && isQuarantineRefusal(notRun.refusal());
 	}
 
-	private static boolean isQuarantine(Refusal refusal) {
+	private static boolean isQuarantineRefusal(Refusal refusal) {
 		return refusal.reason() == RefusalReason.QUARANTINED;
 	}
 
-	private static void message(QuarantineStep step, PeerEvent.MessageReceived received) {
+	private static void handleMessage(QuarantineStep step, PeerEvent.MessageReceived received) {
 		if (received.message() instanceof SuspectReported reported) {
-			ArbiterRule.reported(step, reported);
+			Arbiter.handleSuspectReported(step, reported);
 		}
 		else if (received.message() instanceof SuspectsSpread spread) {
-			spread.suspects().forEach((entry) -> step.addDeath(entry.fingerprint(), entry.target()));
-			spread.cleared().forEach(step::clear);
+			spread.suspects().forEach((entry) -> step.addCrash(entry.fingerprint(), entry.target()));
+			spread.cleared().forEach(step::clearSuspect);
 		}
 		else if (received.message() instanceof SuspectCleared cleared) {
-			ArbiterRule.cleared(step, cleared);
+			Arbiter.handleSuspectCleared(step, cleared);
 		}
 		else if (received.message() instanceof IsolationAsked ask) {
-			step.send(received.from(), ArbiterRule.ask(step, ask));
+			step.send(received.from(), Arbiter.handleIsolationAsked(step, ask));
 		}
 		else if (received.message() instanceof IsolationAnswered answer) {
-			IsolationRule.answered(step, answer);
+			IsolationClient.handleIsolationAnswered(step, answer);
 		}
 		else if (received.message() instanceof IsolationReleased released) {
-			ArbiterRule.release(step, released);
+			Arbiter.handleIsolationReleased(step, released);
 		}
 		else if (received.message() instanceof ContentQuarantined quarantined) {
-			Verdicts.told(step, quarantined);
+			QuarantinePropagation.handleContentQuarantined(step, quarantined);
 		}
 		else if (received.message() instanceof QuarantineDigest digest) {
-			digest.entries().forEach((entry) -> Verdicts.learn(step, entry));
+			digest.entries().forEach((entry) -> QuarantinePropagation.applyEntry(step, entry));
 		}
 	}
 
--- a/src/main/java/sycamorehill/logic/quarantine/QuarantineState.java
+++ b/src/main/java/sycamorehill/logic/quarantine/QuarantineState.java
@@ -26,19 +26,20 @@
  * @param random the random numbers to come
  * @param digestAt when another node is next told what is quarantined
  */
-public record QuarantineState(PMap<AttemptIdentifier, RunningContent> running, ContentBook<Suspect> suspects,
-		ContentBook<Instant> quarantine, PMap<TargetName, TargetBreak> breaks, PMap<TargetName, Instant> recentDeaths,
-		PMap<TargetName, Instant> explained, PMap<RequestIdentifier, IsolationAsk> asks,
-		PMap<RequestIdentifier, IsolationSlot> held, ArbiterState arbiter, RandomSequence random, Instant digestAt) {
+public record QuarantineState(PMap<AttemptIdentifier, RunningContent> running, ExpiringContentMap<Suspect> suspects,
+		ExpiringContentMap<Instant> quarantine, PMap<TargetName, SuspectedCrash> breaks,
+		PMap<TargetName, Instant> recentDeaths, PMap<TargetName, Instant> explained,
+		PMap<RequestIdentifier, PendingIsolationAsk> asks, PMap<RequestIdentifier, IsolationSlot> held,
+		ArbiterState arbiter, RandomSequence random, Instant digestAt) {
 
 	/**
 	 * The state of a fresh node.
 	 * @return the state before the first event
 	 */
 	public static QuarantineState initial() {
-		return new QuarantineState(HashTreePMap.empty(), ContentBook.empty(), ContentBook.empty(), HashTreePMap.empty(),
+		return new QuarantineState(HashTreePMap.empty(), ExpiringContentMap.empty(), ExpiringContentMap.empty(),
 				HashTreePMap.empty(), HashTreePMap.empty(), HashTreePMap.empty(), HashTreePMap.empty(),
-				ArbiterState.initial(), RandomSequence.of(0), Instant.MIN);
+				HashTreePMap.empty(), ArbiterState.initial(), RandomSequence.of(0), Instant.MIN);
 	}
 
 	/**
@@ -47,8 +48,8 @@
 	 * @param now monotonic time
 	 * @return whether it must not be sent
 	 */
-	public boolean quarantined(Fingerprint fingerprint, Instant now) {
-		return this.quarantine.at(fingerprint, now).isPresent();
+	public boolean isQuarantined(Fingerprint fingerprint, Instant now) {
+		return this.quarantine.get(fingerprint, now).isPresent();
 	}
 
 	/**
@@ -57,8 +58,8 @@
 	 * @param now monotonic time
 	 * @return whether it is suspected
 	 */
-	public boolean suspected(Fingerprint fingerprint, Instant now) {
-		return this.suspects.at(fingerprint, now).isPresent();
+	public boolean isSuspect(Fingerprint fingerprint, Instant now) {
+		return this.suspects.get(fingerprint, now).isPresent();
 	}
 
 	/**
@@ -82,17 +83,17 @@
 				this.explained, this.asks, this.held, this.arbiter, this.random, this.digestAt);
 	}
 
-	QuarantineState withSuspects(ContentBook<Suspect> changed) {
+	QuarantineState withSuspects(ExpiringContentMap<Suspect> changed) {
 		return new QuarantineState(this.running, changed, this.quarantine, this.breaks, this.recentDeaths,
 				this.explained, this.asks, this.held, this.arbiter, this.random, this.digestAt);
 	}
 
-	QuarantineState withQuarantine(ContentBook<Instant> changed) {
+	QuarantineState withQuarantine(ExpiringContentMap<Instant> changed) {
 		return new QuarantineState(this.running, this.suspects, changed, this.breaks, this.recentDeaths, this.explained,
 				this.asks, this.held, this.arbiter, this.random, this.digestAt);
 	}
 
-	QuarantineState withBreaks(PMap<TargetName, TargetBreak> changed) {
+	QuarantineState withBreaks(PMap<TargetName, SuspectedCrash> changed) {
 		return new QuarantineState(this.running, this.suspects, this.quarantine, changed, this.recentDeaths,
 				this.explained, this.asks, this.held, this.arbiter, this.random, this.digestAt);
 	}
@@ -107,7 +108,7 @@
 				changed, this.asks, this.held, this.arbiter, this.random, this.digestAt);
 	}
 
-	QuarantineState withAsks(PMap<RequestIdentifier, IsolationAsk> changed) {
+	QuarantineState withAsks(PMap<RequestIdentifier, PendingIsolationAsk> changed) {
 		return new QuarantineState(this.running, this.suspects, this.quarantine, this.breaks, this.recentDeaths,
 				this.explained, changed, this.held, this.arbiter, this.random, this.digestAt);
 	}
--- a/src/main/java/sycamorehill/logic/quarantine/QuarantineStep.java
+++ b/src/main/java/sycamorehill/logic/quarantine/QuarantineStep.java
@@ -26,7 +26,7 @@
  */
 final class QuarantineStep {
 
-	private static final Duration SAME_DEATH = Duration.ofSeconds(5);
+	private static final Duration SAME_CRASH_PERIOD = Duration.ofSeconds(5);
 
 	private final Instant now;
 
@@ -50,8 +50,8 @@
 		return this.state;
 	}
 
-	void replace(QuarantineState changed) {
-		this.state = changed;
+	void replaceState(QuarantineState newState) {
+		this.state = newState;
 	}
 
 	Instant now() {
@@ -78,11 +78,11 @@
 		this.effects.add(new PeerEffect.Send(to, message));
 	}
 
-	void sendToOthers(PeerMessage message) {
-		others().forEach((node) -> send(node, message));
+	void sendToPeers(PeerMessage message) {
+		peers().forEach((node) -> send(node, message));
 	}
 
-	List<NodeIdentity> others() {
+	List<NodeIdentity> peers() {
 		return this.view.liveNodes()
 			.nodes()
 			.values()
@@ -92,12 +92,12 @@
 			.toList();
 	}
 
-	boolean quarantined(Fingerprint fingerprint) {
-		return this.state.quarantined(fingerprint, this.now);
+	boolean isQuarantined(Fingerprint fingerprint) {
+		return this.state.isQuarantined(fingerprint, this.now);
 	}
 
 	Optional<Suspect> suspect(Fingerprint fingerprint) {
-		return this.state.suspects().at(fingerprint, this.now);
+		return this.state.suspects().get(fingerprint, this.now);
 	}
 
 	/**
@@ -105,18 +105,19 @@
 	 * @param fingerprint the content
 	 * @param target the target
 	 */
-	void addDeath(Fingerprint fingerprint, TargetName target) {
-		if (quarantined(fingerprint) || explained(target)) {
+	void addCrash(Fingerprint fingerprint, TargetName target) {
+		if (isQuarantined(fingerprint) || isExplained(target)) {
 			return;
 		}
-		noteDeath(target);
-		Suspect suspect = suspect(fingerprint).orElse(Suspect.none()).with(target, this.now, SAME_DEATH);
+		recordRecentCrash(target);
+		Suspect suspect = suspect(fingerprint).orElse(Suspect.withoutCrashes())
+			.withCrash(target, this.now, SAME_CRASH_PERIOD);
 		Instant until = this.now.plus(policy().suspicion());
 		this.state = this.state
 			.withSuspects(this.state.suspects().with(fingerprint, suspect, until, policy().mostContents()));
 	}
 
-	private void noteDeath(TargetName target) {
+	private void recordRecentCrash(TargetName target) {
 		if (!this.state.recentDeaths().containsKey(target)) {
 			this.state = this.state.withRecentDeaths(this.state.recentDeaths().plus(target, this.now));
 		}
@@ -128,23 +129,23 @@
 	 * @param target the target that lives
 	 * @return whether nothing else is held against the content
 	 */
-	boolean removeDeath(Fingerprint fingerprint, TargetName target) {
+	boolean removeCrash(Fingerprint fingerprint, TargetName target) {
 		Optional<Suspect> found = suspect(fingerprint);
 		if (found.isEmpty()) {
 			return false;
 		}
-		Suspect rest = found.get().without(target);
-		if (rest.deaths().isEmpty()) {
-			clear(fingerprint);
+		Suspect remaining = found.get().withoutCrash(target);
+		if (remaining.deaths().isEmpty()) {
+			clearSuspect(fingerprint);
 			return true;
 		}
 		Instant until = this.state.suspects().entries().get(fingerprint).until();
 		this.state = this.state
-			.withSuspects(this.state.suspects().with(fingerprint, rest, until, policy().mostContents()));
+			.withSuspects(this.state.suspects().with(fingerprint, remaining, until, policy().mostContents()));
 		return false;
 	}
 
-	void clear(Fingerprint fingerprint) {
+	void clearSuspect(Fingerprint fingerprint) {
 		this.state = this.state.withSuspects(this.state.suspects().without(fingerprint));
 	}
 
@@ -154,8 +155,8 @@
 	 * @param until until when at the least
 	 */
 	void quarantine(Fingerprint fingerprint, Instant until) {
-		clear(fingerprint);
-		ContentBook.Entry<Instant> known = this.state.quarantine().entries().get(fingerprint);
+		clearSuspect(fingerprint);
+		ExpiringContentMap.Entry<Instant> known = this.state.quarantine().entries().get(fingerprint);
 		if (known == null || known.until().isBefore(until)) {
 			this.state = this.state
 				.withQuarantine(this.state.quarantine().with(fingerprint, this.now, until, policy().mostContents()));
@@ -167,18 +168,18 @@
 	 * about it.
 	 * @param targets the targets
 	 */
-	void explain(List<TargetName> targets) {
+	void attributeCrashes(List<TargetName> targets) {
 		for (TargetName target : targets) {
 			this.state = this.state.withExplained(this.state.explained().plus(target, this.now));
 		}
 		// Suspects are few, and this comes with a quarantine only.
 		List<Fingerprint> suspects = List.copyOf(this.state.suspects().entries().keySet());
 		for (Fingerprint fingerprint : suspects) {
-			targets.forEach((target) -> removeDeath(fingerprint, target));
+			targets.forEach((target) -> removeCrash(fingerprint, target));
 		}
 	}
 
-	boolean explained(TargetName target) {
+	boolean isExplained(TargetName target) {
 		return this.state.explained().containsKey(target);
 	}
 
@@ -187,7 +188,7 @@
 	 * a dark fabric domain or a lost link.
 	 * @return whether it was a mass of deaths
 	 */
-	boolean massDeaths() {
+	boolean isMassCrash() {
 		return this.state.recentDeaths().size() >= policy().massDeaths();
 	}
 
@@ -195,23 +196,23 @@
 	 * Forgets what is over. The maps by target hold the last seconds only and are mostly
 	 * empty.
 	 */
-	void expire() {
+	void removeExpired() {
 		this.state = this.state.withSuspects(this.state.suspects().withoutExpired(this.now))
 			.withQuarantine(this.state.quarantine().withoutExpired(this.now));
-		Instant before = this.now.minus(SAME_DEATH);
+		Instant oldestKept = this.now.minus(SAME_CRASH_PERIOD);
 		for (TargetName target : List.copyOf(this.state.recentDeaths().keySet())) {
-			if (this.state.recentDeaths().get(target).isBefore(before)) {
+			if (this.state.recentDeaths().get(target).isBefore(oldestKept)) {
 				this.state = this.state.withRecentDeaths(this.state.recentDeaths().minus(target));
 			}
 		}
 		for (TargetName target : List.copyOf(this.state.explained().keySet())) {
-			if (this.state.explained().get(target).isBefore(before)) {
+			if (this.state.explained().get(target).isBefore(oldestKept)) {
 				this.state = this.state.withExplained(this.state.explained().minus(target));
 			}
 		}
 		for (TargetName target : List.copyOf(this.state.breaks().keySet())) {
-			TargetBreak found = this.state.breaks().get(target);
-			if (found.settled() && found.since().isBefore(before)) {
+			SuspectedCrash found = this.state.breaks().get(target);
+			if (found.settled() && found.since().isBefore(oldestKept)) {
 				this.state = this.state.withBreaks(this.state.breaks().minus(target));
 			}
 		}
--- a/src/main/java/sycamorehill/logic/quarantine/Suspect.java
+++ b/src/main/java/sycamorehill/logic/quarantine/Suspect.java
@@ -15,7 +15,7 @@
  */
 record Suspect(PMap<TargetName, Instant> deaths) {
 
-	static Suspect none() {
+	static Suspect withoutCrashes() {
 		return new Suspect(HashTreePMap.empty());
 	}
 
@@ -24,22 +24,22 @@
 	 * a later time would make it look as if it came after the content's next run.
 	 * @param target the target
 	 * @param at when this node heard of it
-	 * @param sameDeath how far apart two words about one death may be
+	 * @param sameCrashPeriod how far apart two words about one death may be
 	 * @return the suspect with it
 	 */
-	Suspect with(TargetName target, Instant at, Duration sameDeath) {
-		Instant known = this.deaths.get(target);
-		if (known != null && at.isBefore(known.plus(sameDeath))) {
+	Suspect withCrash(TargetName target, Instant at, Duration sameCrashPeriod) {
+		Instant recorded = this.deaths.get(target);
+		if (recorded != null && at.isBefore(recorded.plus(sameCrashPeriod))) {
 			return this;
 		}
 		return new Suspect(this.deaths.plus(target, at));
 	}
 
-	Suspect without(TargetName target) {
+	Suspect withoutCrash(TargetName target) {
 		return new Suspect(this.deaths.minus(target));
 	}
 
-	boolean diedBefore(Instant time) {
+	boolean hasCrashedBefore(Instant time) {
 		return this.deaths.values().stream().anyMatch((at) -> at.isBefore(time));
 	}
 
--- a/src/main/java/sycamorehill/logic/request/ActiveRequest.java
+++ b/src/main/java/sycamorehill/logic/request/ActiveRequest.java
@@ -25,8 +25,8 @@
 		Optional<RunningAttempt> running, AttemptHistory history, Optional<String> begunWith, boolean callerGone,
 		boolean isolated, Instant giveUpAt, Optional<Instant> wakeAt) {
 
-	static ActiveRequest arrived(RequestDescription description) {
-		return new ActiveRequest(description, Optional.empty(), Optional.empty(), AttemptHistory.none(),
+	static ActiveRequest create(RequestDescription description) {
+		return new ActiveRequest(description, Optional.empty(), Optional.empty(), AttemptHistory.empty(),
 				Optional.empty(), false, false, description.deadline(), Optional.empty());
 	}
 
@@ -34,36 +34,37 @@
 		return this.description.identifier();
 	}
 
-	boolean begun() {
+	boolean hasBegun() {
 		return this.begunWith.isPresent();
 	}
 
-	private Optional<String> version() {
-		return begun() ? this.begunWith : this.running.map((attempt) -> attempt.target().modelVersion());
+	private Optional<String> modelVersion() {
+		return hasBegun() ? this.begunWith : this.running.map((attempt) -> attempt.target().modelVersion());
 	}
 
-	boolean repeatable() {
+	boolean isIdempotent() {
 		return this.handling.equals(Optional.of(Handling.REPEATABLE));
 	}
 
-	ActiveRequest cleared(Handling how, Instant until) {
-		return new ActiveRequest(this.description, Optional.of(how), this.running, this.history, this.begunWith,
+	ActiveRequest withClearance(Handling idempotency, Instant until) {
+		return new ActiveRequest(this.description, Optional.of(idempotency), this.running, this.history, this.begunWith,
 				this.callerGone, this.isolated, until, this.wakeAt);
 	}
 
-	ActiveRequest started(RunningAttempt attempt) {
-		return new ActiveRequest(this.description, this.handling, Optional.of(attempt), this.history.begun(),
-				this.begunWith, this.callerGone, this.isolated, this.giveUpAt, this.wakeAt);
+	ActiveRequest withAttemptStarted(RunningAttempt attempt) {
+		return new ActiveRequest(this.description, this.handling, Optional.of(attempt),
+				this.history.withAttemptStarted(), this.begunWith, this.callerGone, this.isolated, this.giveUpAt,
+				this.wakeAt);
 	}
 
-	ActiveRequest ended(AttemptHistory longer) {
-		return new ActiveRequest(this.description, this.handling, Optional.empty(), longer,
-				(longer.tokens() > 0) ? version() : this.begunWith, this.callerGone, this.isolated, this.giveUpAt,
-				this.wakeAt);
+	ActiveRequest withAttemptEnded(AttemptHistory newHistory) {
+		return new ActiveRequest(this.description, this.handling, Optional.empty(), newHistory,
+				(newHistory.tokens() > 0) ? modelVersion() : this.begunWith, this.callerGone, this.isolated,
+				this.giveUpAt, this.wakeAt);
 	}
 
 	ActiveRequest withBegun() {
-		return new ActiveRequest(this.description, this.handling, this.running, this.history, version(),
+		return new ActiveRequest(this.description, this.handling, this.running, this.history, modelVersion(),
 				this.callerGone, this.isolated, this.giveUpAt, this.wakeAt);
 	}
 
--- a/src/main/java/sycamorehill/logic/request/AttemptHistory.java
+++ b/src/main/java/sycamorehill/logic/request/AttemptHistory.java
@@ -26,12 +26,12 @@
 record AttemptHistory(int started, PSet<TargetName> failedTargets, RunEvidence evidence, RefusalReason refusalReason,
 		String detail, Duration retryAfter, int tokens) {
 
-	static AttemptHistory none() {
+	static AttemptHistory empty() {
 		return new AttemptHistory(0, HashTreePSet.empty(), RunEvidence.NOT_RUN, RefusalReason.NO_TARGET,
 				"no target may be given work now", Duration.ZERO, 0);
 	}
 
-	AttemptHistory begun() {
+	AttemptHistory withAttemptStarted() {
 		return new AttemptHistory(this.started + 1, this.failedTargets, this.evidence, this.refusalReason, this.detail,
 				this.retryAfter, this.tokens);
 	}
@@ -43,10 +43,10 @@
 	 * @param result how it ended
 	 * @return the longer history
 	 */
-	AttemptHistory ended(TargetName target, int delivered, AttemptResult result) {
-		RunEvidence found = evidenceOf(result);
-		boolean decides = found.compareTo(this.evidence) >= 0;
-		return new AttemptHistory(this.started, this.failedTargets.plus(target), this.evidence.worse(found),
+	AttemptHistory withAttemptEnded(TargetName target, int delivered, AttemptResult result) {
+		RunEvidence current = evidenceOf(result);
+		boolean decides = current.compareTo(this.evidence) >= 0;
+		return new AttemptHistory(this.started, this.failedTargets.plus(target), this.evidence.worseOf(current),
 				decides ? reasonOf(result) : this.refusalReason, decides ? detailOf(result) : this.detail,
 				longer(this.retryAfter, retryAfterOf(result)), Math.max(this.tokens, delivered));
 	}
@@ -55,12 +55,12 @@
 	 * Adds an attempt that was given up while it may have been running.
 	 * @return the longer history
 	 */
-	AttemptHistory abandoned() {
+	AttemptHistory withAttemptAbandoned() {
 		return new AttemptHistory(this.started, this.failedTargets, RunEvidence.UNKNOWN, this.refusalReason,
 				this.detail, this.retryAfter, this.tokens);
 	}
 
-	AttemptHistory whole(int delivered) {
+	AttemptHistory withAttemptCompleted(int delivered) {
 		return new AttemptHistory(this.started, this.failedTargets, this.evidence, this.refusalReason, this.detail,
 				this.retryAfter, Math.max(this.tokens, delivered));
 	}
@@ -69,15 +69,15 @@
 	 * The final answer when nothing more is tried. The worst of all attempts decides, not
 	 * the last: after an attempt that broke off, a target that refuses does not make the
 	 * request "not run", or the caller would send an order that ran a second time.
-	 * @param comeBack when the caller may come back, at the least
+	 * @param minimumRetryAfter when the caller may come back, at the least
 	 * @return the outcome
 	 */
-	RequestOutcome outcome(Duration comeBack) {
-		return outcome(this.refusalReason, this.detail, comeBack);
+	RequestOutcome outcome(Duration minimumRetryAfter) {
+		return outcome(this.refusalReason, this.detail, minimumRetryAfter);
 	}
 
-	RequestOutcome outcome(RefusalReason reason, String text, Duration comeBack) {
-		Refusal refusal = Refusal.of(reason, text, longer(this.retryAfter, comeBack));
+	RequestOutcome outcome(RefusalReason reason, String text, Duration minimumRetryAfter) {
+		Refusal refusal = Refusal.of(reason, text, longer(this.retryAfter, minimumRetryAfter));
 		return switch (this.evidence) {
 			case NOT_RUN -> new RequestOutcome.NotRun(refusal);
 			case FAILED -> new RequestOutcome.Failed(refusal);
--- a/src/main/java/sycamorehill/logic/request/TokenDecision.java
+++ b/src/main/java/sycamorehill/logic/request/FrameDecision.java
@@ -3,9 +3,9 @@
 /**
  * A verdict on one frame and the relay after it.
  *
- * @param verdict what becomes of the frame
+ * @param status what becomes of the frame
  * @param relay the relay for the next frame
  */
-public record TokenDecision(TokenVerdict verdict, TokenRelay relay) {
+public record FrameDecision(FrameStatus status, TokenRelay relay) {
 
 }
--- a/src/main/java/sycamorehill/logic/request/NodeStop.java
+++ b/src/main/java/sycamorehill/logic/request/NodeStop.java
@@ -17,9 +17,9 @@
 	private NodeStop() {
 	}
 
-	static void request(RequestStep step) {
+	static void begin(RequestStep step) {
 		if (step.state().stop().isEmpty()) {
-			step.replace(step.state().withStop(new StopProgress(step.now(), false)));
+			step.replaceState(step.state().withStop(new StopProgress(step.now(), false)));
 		}
 	}
 
@@ -29,37 +29,38 @@
 	 * noticed, still sends to it.
 	 * @param step the step
 	 */
-	static void check(RequestStep step) {
+	static void exitIfDrained(RequestStep step) {
 		if (step.state().stop().isEmpty() || step.state().stop().get().exited()) {
 			return;
 		}
 		Instant since = step.state().stop().get().since();
-		boolean graceOver = !step.now().isBefore(since.plus(step.policy().stopGrace()));
-		boolean boundPassed = !step.now().isBefore(since.plus(step.policy().stopBound()));
-		if (!graceOver || (step.state().inFlight() > 0 && !boundPassed)) {
+		boolean gracePeriodOver = !step.now().isBefore(since.plus(step.policy().stopGrace()));
+		boolean timeLimitReached = !step.now().isBefore(since.plus(step.policy().stopBound()));
+		if (!gracePeriodOver || (step.state().inFlight() > 0 && !timeLimitReached)) {
 			return;
 		}
-		step.replace(step.state().withStop(new StopProgress(since, true)));
-		cutOff(step);
+		step.replaceState(step.state().withStop(new StopProgress(since, true)));
+		abortRemaining(step);
 		step.emit(new NodeEffect.Exit());
 	}
 
-	private static void cutOff(RequestStep step) {
-		List<ActiveRequest> left = step.state()
+	private static void abortRemaining(RequestStep step) {
+		List<ActiveRequest> remaining = step.state()
 			.active()
 			.values()
 			.stream()
 			.sorted(Comparator.comparingLong((request) -> request.identifier().number()))
 			.toList();
 		int number = 0;
-		for (ActiveRequest request : left) {
+		for (ActiveRequest request : remaining) {
 			number++;
-			log(step, LogEvent.REQUEST_CUT, number + " of " + left.size() + ": " + request.identifier() + " for "
+			log(step, LogEvent.REQUEST_CUT, number + " of " + remaining.size() + ": " + request.identifier() + " for "
 					+ request.description().service() + " after " + request.history().started() + " attempts");
-			AttemptHistory history = request.running().isPresent() ? request.history().abandoned() : request.history();
-			step.finish(request, history.outcome(RefusalReason.NODE_STOPPING, "the node stopped", step.comeBack()));
+			AttemptHistory history = request.running().isPresent() ? request.history().withAttemptAbandoned()
+					: request.history();
+			step.finish(request, history.outcome(RefusalReason.NODE_STOPPING, "the node stopped", step.retryAfter()));
 		}
-		log(step, LogEvent.REQUESTS_DRAINED, left.size() + " requests cut off");
+		log(step, LogEvent.REQUESTS_DRAINED, remaining.size() + " requests cut off");
 	}
 
 	private static void log(RequestStep step, LogEvent event, String detail) {
--- a/src/main/java/sycamorehill/logic/request/RequestReducer.java
+++ b/src/main/java/sycamorehill/logic/request/RequestReducer.java
@@ -39,54 +39,55 @@
 	public Step<RequestState> reduce(RequestState state, Instant now, Event event, NodeView view) {
 		RequestStep step = new RequestStep(state, now, view);
 		if (event instanceof RequestEvent requestEvent) {
-			request(step, requestEvent);
+			handleRequestEvent(step, requestEvent);
 		}
 		else if (event instanceof NodeEvent.Started started) {
-			step.replace(state.withRandom(RandomSequence.of(started.seed())));
+			step.replaceState(state.withRandom(RandomSequence.of(started.seed())));
 		}
 		else if (event instanceof NodeEvent.StopRequested) {
-			NodeStop.request(step);
+			NodeStop.begin(step);
 		}
 		else if (event instanceof NodeEvent.Ticked) {
-			wake(step);
-			NodeStop.check(step);
+			handleDueWakeups(step);
+			NodeStop.exitIfDrained(step);
 		}
 		return step.result();
 	}
 
-	private static void request(RequestStep step, RequestEvent event) {
+	private static void handleRequestEvent(RequestStep step, RequestEvent event) {
 		if (event instanceof RequestEvent.Arrived arrived) {
-			arrived(step, arrived);
+			handleArrived(step, arrived);
 		}
 		else if (event instanceof RequestEvent.Cleared cleared) {
-			cleared(step, cleared);
+			handleCleared(step, cleared);
 		}
 		else if (event instanceof RequestEvent.AttemptDue due) {
-			find(step, due.request()).filter((request) -> request.running().isEmpty()).ifPresent(step::seekTarget);
+			find(step, due.request()).filter((request) -> request.running().isEmpty())
+				.ifPresent(step::startOrAwaitTarget);
 		}
 		else if (event instanceof RequestEvent.IsolationGranted granted) {
 			find(step, granted.request()).filter((request) -> request.running().isEmpty())
-				.ifPresent((request) -> step.start(request, granted.target()));
+				.ifPresent((request) -> step.startAttempt(request, granted.target()));
 		}
 		else if (event instanceof RequestEvent.FirstToken first) {
 			find(step, step.state().attempts().get(first.attempt()))
-				.ifPresent((request) -> step.put(request.withBegun().withWakeAt(Optional.empty())));
+				.ifPresent((request) -> step.putRequest(request.withBegun().withWakeAt(Optional.empty())));
 		}
 		else if (event instanceof RequestEvent.AttemptEnded ended) {
 			find(step, step.state().attempts().get(ended.attempt()))
-				.ifPresent((request) -> attemptEnded(step, request, ended));
+				.ifPresent((request) -> handleAttemptEnded(step, request, ended));
 		}
 		else if (event instanceof RequestEvent.Refused refused) {
-			find(step, refused.request()).ifPresent((request) -> refused(step, request, refused.outcome()));
+			find(step, refused.request()).ifPresent((request) -> handleRefused(step, request, refused.outcome()));
 		}
 		else if (event instanceof RequestEvent.CallerGone gone) {
-			find(step, gone.request()).ifPresent((request) -> callerGone(step, request));
+			find(step, gone.request()).ifPresent((request) -> handleCallerGone(step, request));
 		}
 	}
 
-	private static void arrived(RequestStep step, RequestEvent.Arrived event) {
+	private static void handleArrived(RequestStep step, RequestEvent.Arrived event) {
 		if (find(step, event.request().identifier()).isEmpty()) {
-			step.put(ActiveRequest.arrived(event.request()));
+			step.putRequest(ActiveRequest.create(event.request()));
 		}
 	}
 
@@ -94,20 +95,21 @@
 		return Optional.ofNullable(identifier).map(step.state().active()::get);
 	}
 
-	private static void cleared(RequestStep step, RequestEvent.Cleared event) {
+	private static void handleCleared(RequestStep step, RequestEvent.Cleared event) {
 		Optional<ActiveRequest> found = find(step, event.request().identifier());
 		if (found.isEmpty()) {
-			alreadyFinished(step, event);
+			handleClearedAfterFinish(step, event);
 			return;
 		}
 		ServiceName service = event.request().service();
-		step.setBudgets(service, step.budgets(service).earned(step.policy()));
+		step.setBudgets(service, step.budgets(service).afterFirstAttempt(step.policy()));
 		Instant waitEnd = step.now().plus(step.policy().targetWait());
 		Instant deadline = event.request().deadline();
-		step.seekTarget(found.get().cleared(event.handling(), waitEnd.isBefore(deadline) ? waitEnd : deadline));
+		step.startOrAwaitTarget(
+				found.get().withClearance(event.handling(), waitEnd.isBefore(deadline) ? waitEnd : deadline));
 	}
 
-	private static void alreadyFinished(RequestStep step, RequestEvent.Cleared event) {
+	private static void handleClearedAfterFinish(RequestStep step, RequestEvent.Cleared event) {
 		// The caller went away while the request was queued or its order was being
 		// claimed, so it has its final answer already. The claim would be held for
 		// ever if nobody told the orders that nothing will run.
@@ -116,65 +118,67 @@
 		step.raise(new RequestEvent.Finished(event.request(), event.handling(), notRun, 0, Optional.empty()));
 	}
 
-	private static void attemptEnded(RequestStep step, ActiveRequest request, RequestEvent.AttemptEnded event) {
+	private static void handleAttemptEnded(RequestStep step, ActiveRequest request, RequestEvent.AttemptEnded event) {
 		RunningAttempt running = request.running().orElseThrow();
 		step.raise(new RequestEvent.AttemptClosed(request.description(), running.identifier(), running.target(),
 				event.result()));
 		if (event.result() instanceof AttemptResult.Whole whole) {
-			step.finish(request.ended(request.history().whole(event.deliveredTokens())), new RequestOutcome.Completed(),
-					whole.recorded());
+			step.finish(request.withAttemptEnded(request.history().withAttemptCompleted(event.deliveredTokens())),
+					new RequestOutcome.Completed(), whole.recorded());
 			return;
 		}
 		AttemptHistory history = request.history()
-			.ended(running.target().name(), event.deliveredTokens(), event.result());
-		RetryRule.apply(step, request.ended(history), event.result());
+			.withAttemptEnded(running.target().name(), event.deliveredTokens(), event.result());
+		RetryRule.retryOrFinish(step, request.withAttemptEnded(history), event.result());
 	}
 
-	private static void refused(RequestStep step, ActiveRequest request, RequestOutcome outcome) {
+	private static void handleRefused(RequestStep step, ActiveRequest request, RequestOutcome outcome) {
 		// Another part refused the request. If an attempt may have run before, "not run"
 		// would be false, and the attempts decide.
 		if (request.history().started() > 0 && outcome instanceof RequestOutcome.NotRun notRun) {
-			AttemptHistory history = request.running().isPresent() ? request.history().abandoned() : request.history();
-			Duration comeBack = notRun.refusal().retryAfter().orElse(Duration.ZERO);
-			step.finish(request, history.outcome(notRun.refusal().reason(), notRun.refusal().detail(), comeBack));
+			AttemptHistory history = request.running().isPresent() ? request.history().withAttemptAbandoned()
+					: request.history();
+			Duration retryAfter = notRun.refusal().retryAfter().orElse(Duration.ZERO);
+			step.finish(request, history.outcome(notRun.refusal().reason(), notRun.refusal().detail(), retryAfter));
 			return;
 		}
 		step.finish(request, outcome);
 	}
 
-	private static void callerGone(RequestStep step, ActiveRequest request) {
+	private static void handleCallerGone(RequestStep step, ActiveRequest request) {
 		// Work that may be repeated is cancelled when its caller has gone, as nobody will
 		// read it. An order that was sent runs on: to break it off could leave half of it
 		// done, and its answer is kept for the caller's next call.
-		if (request.running().isPresent() && !request.repeatable()) {
-			step.put(request.withCallerGone());
+		if (request.running().isPresent() && !request.isIdempotent()) {
+			step.putRequest(request.withCallerGone());
 			return;
 		}
-		AttemptHistory history = request.running().isPresent() ? request.history().abandoned() : request.history();
+		AttemptHistory history = request.running().isPresent() ? request.history().withAttemptAbandoned()
+				: request.history();
 		step.finish(request, history.outcome(RefusalReason.CALLER_GONE, "the caller went away", Duration.ZERO));
 	}
 
-	private static void wake(RequestStep step) {
+	private static void handleDueWakeups(RequestStep step) {
 		while (!step.state().wakeups().isEmpty()) {
 			Wakeup first = step.state().wakeups().first();
 			if (first.at().isAfter(step.now())) {
 				return;
 			}
 			ActiveRequest request = step.state().active().get(first.request()).withWakeAt(Optional.empty());
-			step.put(request);
+			step.putRequest(request);
 			if (request.running().isPresent()) {
-				notBegunByDeadline(step, request);
+				finishAfterDeadline(step, request);
 			}
 			else {
-				step.seekTarget(request);
+				step.startOrAwaitTarget(request);
 			}
 		}
 	}
 
-	private static void notBegunByDeadline(RequestStep step, ActiveRequest request) {
-		AttemptHistory history = request.history().abandoned();
+	private static void finishAfterDeadline(RequestStep step, ActiveRequest request) {
+		AttemptHistory history = request.history().withAttemptAbandoned();
 		step.finish(request, history.outcome(RefusalReason.DEADLINE_TOO_SHORT,
-				"its answer had not begun by its deadline and was cancelled", step.comeBack()));
+				"its answer had not begun by its deadline and was cancelled", step.retryAfter()));
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/request/RequestStep.java
+++ b/src/main/java/sycamorehill/logic/request/RequestStep.java
@@ -55,11 +55,11 @@
 		return this.state;
 	}
 
-	void replace(RequestState changed) {
-		this.state = changed;
+	void replaceState(RequestState newState) {
+		this.state = newState;
 	}
 
-	void put(ActiveRequest request) {
+	void putRequest(ActiveRequest request) {
 		this.state = this.state.with(request);
 	}
 
@@ -83,7 +83,7 @@
 	 * Sends the request to a target, or has it wait for one.
 	 * @param request the request, without an attempt under way
 	 */
-	void seekTarget(ActiveRequest request) {
+	void startOrAwaitTarget(ActiveRequest request) {
 		if (this.view.quarantined(request.description().fingerprint())) {
 			finish(request,
 					request.history()
@@ -97,15 +97,15 @@
 		}
 		Optional<ServingTarget> target = chooseTarget(request);
 		if (target.isPresent()) {
-			start(request, target.get());
+			startAttempt(request, target.get());
 		}
-		else if (!awaitNextLook(request)) {
-			finish(request, request.history().outcome(comeBack()));
+		else if (!scheduleRecheck(request)) {
+			finish(request, request.history().outcome(retryAfter()));
 		}
 	}
 
 	Optional<ServingTarget> chooseTarget(ActiveRequest request) {
-		return this.view.chooseTarget(new RouteQuery(request.description(), excluded(request)));
+		return this.view.chooseTarget(new RouteQuery(request.description(), excludedTargets(request)));
 	}
 
 	/**
@@ -117,9 +117,9 @@
 	 * @param request the request
 	 * @return targets that have failed it, and those with another version
 	 */
-	Set<TargetName> excluded(ActiveRequest request) {
+	Set<TargetName> excludedTargets(ActiveRequest request) {
 		Set<TargetName> excluded = new HashSet<>(request.history().failedTargets());
-		if (request.begun()) {
+		if (request.hasBegun()) {
 			this.view.servingTargets(request.description().service())
 				.stream()
 				.filter((target) -> !target.modelVersion().equals(request.begunWith().get()))
@@ -133,37 +133,37 @@
 		if (!request.isolated()) {
 			Instant until = this.now.plus(this.view.policy().quarantine().isolationWait());
 			Instant deadline = request.description().deadline();
-			waiting = request.withIsolation((request.begun() || until.isBefore(deadline)) ? until : deadline);
+			waiting = request.withIsolation((request.hasBegun() || until.isBefore(deadline)) ? until : deadline);
 		}
-		if (awaitNextLook(waiting)) {
-			raise(new RequestEvent.IsolationWanted(request.description(), excluded(request)));
+		if (scheduleRecheck(waiting)) {
+			raise(new RequestEvent.IsolationWanted(request.description(), excludedTargets(request)));
 		}
 		else {
 			finish(request,
 					request.history()
 						.outcome(RefusalReason.NO_TARGET, "targets died running it, and none was free to run it apart",
-								comeBack()));
+								retryAfter()));
 		}
 	}
 
-	void start(ActiveRequest request, ServingTarget target) {
+	void startAttempt(ActiveRequest request, ServingTarget target) {
 		AttemptIdentifier identifier = AttemptIdentifier.of(this.view.self().incarnation(), this.state.attemptsDrawn());
 		this.state = this.state.withAttemptDrawn();
-		Optional<Instant> wakeAt = (request.repeatable() && !request.begun())
+		Optional<Instant> wakeAt = (request.isIdempotent() && !request.hasBegun())
 				? Optional.of(request.description().deadline()) : Optional.empty();
-		put(request.started(new RunningAttempt(identifier, target)).withWakeAt(wakeAt));
+		putRequest(request.withAttemptStarted(new RunningAttempt(identifier, target)).withWakeAt(wakeAt));
 		Handling handling = request.handling().orElseThrow();
 		emit(new RequestEffect.StartAttempt(request.identifier(), identifier, target, handling, policy().patience()));
 		raise(new RequestEvent.AttemptStarted(request.description(), identifier, target));
 	}
 
-	private boolean awaitNextLook(ActiveRequest request) {
+	private boolean scheduleRecheck(ActiveRequest request) {
 		if (!this.now.isBefore(request.giveUpAt())) {
 			return false;
 		}
 		Instant recheckAt = this.now.plus(policy().recheck());
 		Instant wakeAt = recheckAt.isBefore(request.giveUpAt()) ? recheckAt : request.giveUpAt();
-		put(request.withWakeAt(Optional.of(wakeAt)));
+		putRequest(request.withWakeAt(Optional.of(wakeAt)));
 		return true;
 	}
 
@@ -178,14 +178,14 @@
 	}
 
 	void finish(ActiveRequest request, RequestOutcome outcome, Optional<RecordedAnswer> answer) {
-		request.running().ifPresent((running) -> cancel(request, running));
+		request.running().ifPresent((running) -> cancelAttempt(request, running));
 		this.state = this.state.without(request.identifier());
 		emit(new RequestEffect.FinishRequest(request.identifier(), outcome));
 		raise(new RequestEvent.Finished(request.description(), request.handling().orElse(Handling.ONCE_WITHOUT_KEY),
 				outcome, request.history().tokens(), answer));
 	}
 
-	private void cancel(ActiveRequest request, RunningAttempt running) {
+	private void cancelAttempt(ActiveRequest request, RunningAttempt running) {
 		emit(new RequestEffect.CancelAttempt(running.identifier()));
 		raise(new RequestEvent.AttemptClosed(request.description(), running.identifier(), running.target(),
 				new AttemptResult.Cancelled("given up")));
@@ -196,14 +196,14 @@
 	 * together do not come back together.
 	 * @return the time
 	 */
-	Duration comeBack() {
+	Duration retryAfter() {
 		return jittered(policy().comeBack().multipliedBy(2));
 	}
 
-	Duration jittered(Duration longest) {
-		Duration drawn = this.state.random().jittered(longest);
+	Duration jittered(Duration maximum) {
+		Duration duration = this.state.random().jittered(maximum);
 		this.state = this.state.withRandom(this.state.random().next());
-		return drawn;
+		return duration;
 	}
 
 	ServiceBudgets budgets(ServiceName service) {
--- a/src/main/java/sycamorehill/logic/request/RetryBudget.java
+++ b/src/main/java/sycamorehill/logic/request/RetryBudget.java
@@ -18,15 +18,15 @@
 		return new RetryBudget(policy.burst());
 	}
 
-	RetryBudget earned(RetryBudgetPolicy policy) {
+	RetryBudget afterFirstAttempt(RetryBudgetPolicy policy) {
 		return new RetryBudget(Math.min(policy.burst(), this.left + policy.ratio()));
 	}
 
-	boolean allows() {
+	boolean allowsRetry() {
 		return this.left >= 1;
 	}
 
-	RetryBudget spent() {
+	RetryBudget afterRetry() {
 		return new RetryBudget(this.left - 1);
 	}
 
--- a/src/main/java/sycamorehill/logic/request/RetryRule.java
+++ b/src/main/java/sycamorehill/logic/request/RetryRule.java
@@ -22,32 +22,33 @@
 	 * @param request the request, whose last attempt is in its history
 	 * @param result how that attempt ended
 	 */
-	static void apply(RequestStep step, ActiveRequest request, AttemptResult result) {
+	static void retryOrFinish(RequestStep step, ActiveRequest request, AttemptResult result) {
 		ServiceName service = request.description().service();
 		ServiceBudgets budgets = step.budgets(service);
-		if (!mayTryAgain(step, request, result) || !budgets.allows(request.begun()) || !hasPlaceToGo(step, request)) {
-			step.finish(request, request.history().outcome(step.comeBack()));
+		if (!isRetryAllowed(step, request, result) || !budgets.allowsRetry(request.hasBegun())
+				|| !isTargetAvailable(step, request)) {
+			step.finish(request, request.history().outcome(step.retryAfter()));
 			return;
 		}
 		Duration backoff = backoff(step, request, result);
 		Instant tryAt = step.now().plus(backoff);
-		if (!request.begun() && !tryAt.isBefore(request.description().deadline())) {
-			step.finish(request, request.history().outcome(step.comeBack()));
+		if (!request.hasBegun() && !tryAt.isBefore(request.description().deadline())) {
+			step.finish(request, request.history().outcome(step.retryAfter()));
 			return;
 		}
-		step.setBudgets(service, budgets.spent(request.begun()));
-		Instant giveUpAt = request.begun() ? tryAt.plus(step.policy().resumeWait()) : tryAt;
+		step.setBudgets(service, budgets.afterRetry(request.hasBegun()));
+		Instant giveUpAt = request.hasBegun() ? tryAt.plus(step.policy().resumeWait()) : tryAt;
 		ActiveRequest waiting = request.withGiveUpAt(giveUpAt);
 		if (backoff.isZero()) {
-			step.put(waiting.withWakeAt(Optional.empty()));
+			step.putRequest(waiting.withWakeAt(Optional.empty()));
 			step.raise(new RequestEvent.AttemptDue(request.identifier()));
 		}
 		else {
-			step.put(waiting.withWakeAt(Optional.of(tryAt)));
+			step.putRequest(waiting.withWakeAt(Optional.of(tryAt)));
 		}
 	}
 
-	private static boolean mayTryAgain(RequestStep step, ActiveRequest request, AttemptResult result) {
+	private static boolean isRetryAllowed(RequestStep step, ActiveRequest request, AttemptResult result) {
 		// Whether the kind of work and of failure allow a further attempt. Work that
 		// is not idempotent may go to another target only if the one before certainly
 		// did not run it: it was never connected to, or it said itself that it
@@ -58,13 +59,13 @@
 		}
 		boolean certainlyNotRun = result instanceof AttemptResult.NothingSent
 				|| result instanceof AttemptResult.RefusedBeforeRunning;
-		return request.repeatable() || certainlyNotRun;
+		return request.isIdempotent() || certainlyNotRun;
 	}
 
-	private static boolean hasPlaceToGo(RequestStep step, ActiveRequest request) {
+	private static boolean isTargetAvailable(RequestStep step, ActiveRequest request) {
 		// A stream that has begun waits a little for a target; any other request is
 		// better told at once than after a wait for nothing.
-		return request.begun() || step.chooseTarget(request).isPresent();
+		return request.hasBegun() || step.chooseTarget(request).isPresent();
 	}
 
 	private static Duration backoff(RequestStep step, ActiveRequest request, AttemptResult result) {
@@ -72,13 +73,13 @@
 		// not help it; else a wait that doubles, with jitter, so that a target that
 		// is overloaded or slow is not asked by all at one moment.
 		int ended = request.history().started();
-		if (ended == 1 && targetGone(result)) {
+		if (ended == 1 && isTargetGone(result)) {
 			return Duration.ZERO;
 		}
 		return step.jittered(step.policy().backoff().multipliedBy(1L << (ended - 1)));
 	}
 
-	private static boolean targetGone(AttemptResult result) {
+	private static boolean isTargetGone(AttemptResult result) {
 		if (result instanceof AttemptResult.RefusedBeforeRunning refused) {
 			return refused.leaving();
 		}
--- a/src/main/java/sycamorehill/logic/request/RunEvidence.java
+++ b/src/main/java/sycamorehill/logic/request/RunEvidence.java
@@ -14,7 +14,7 @@
 	/** A target may have run it, or may be running it still. */
 	UNKNOWN;
 
-	RunEvidence worse(RunEvidence other) {
+	RunEvidence worseOf(RunEvidence other) {
 		return (compareTo(other) >= 0) ? this : other;
 	}
 
--- a/src/main/java/sycamorehill/logic/request/ServiceBudgets.java
+++ b/src/main/java/sycamorehill/logic/request/ServiceBudgets.java
@@ -16,17 +16,18 @@
 		return new ServiceBudgets(RetryBudget.full(policy.retries()), RetryBudget.full(policy.resumes()));
 	}
 
-	ServiceBudgets earned(RequestPolicy policy) {
-		return new ServiceBudgets(this.retries.earned(policy.retries()), this.resumes.earned(policy.resumes()));
+	ServiceBudgets afterFirstAttempt(RequestPolicy policy) {
+		return new ServiceBudgets(this.retries.afterFirstAttempt(policy.retries()),
+				this.resumes.afterFirstAttempt(policy.resumes()));
 	}
 
-	boolean allows(boolean begun) {
-		return (begun ? this.resumes : this.retries).allows();
+	boolean allowsRetry(boolean begun) {
+		return (begun ? this.resumes : this.retries).allowsRetry();
 	}
 
-	ServiceBudgets spent(boolean begun) {
-		return begun ? new ServiceBudgets(this.retries, this.resumes.spent())
-				: new ServiceBudgets(this.retries.spent(), this.resumes);
+	ServiceBudgets afterRetry(boolean begun) {
+		return begun ? new ServiceBudgets(this.retries, this.resumes.afterRetry())
+				: new ServiceBudgets(this.retries.afterRetry(), this.resumes);
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/request/TokenRelay.java
+++ b/src/main/java/sycamorehill/logic/request/TokenRelay.java
@@ -12,9 +12,9 @@
  * @param attempt the attempt whose frames count, empty between attempts
  * @param nextIndex the index that the caller needs next, and that a further attempt
  * resumes from
- * @param whole whether the caller has the whole answer
+ * @param complete whether the caller has the whole answer
  */
-public record TokenRelay(Optional<AttemptIdentifier> attempt, int nextIndex, boolean whole) {
+public record TokenRelay(Optional<AttemptIdentifier> attempt, int nextIndex, boolean complete) {
 
 	/**
 	 * The relay of a request that has no attempt yet.
@@ -26,11 +26,11 @@
 
 	/**
 	 * Begins an attempt; the one before it no longer counts.
-	 * @param begun the attempt
+	 * @param started the attempt
 	 * @return the relay with it
 	 */
-	public TokenRelay begin(AttemptIdentifier begun) {
-		return new TokenRelay(Optional.of(begun), this.nextIndex, this.whole);
+	public TokenRelay startAttempt(AttemptIdentifier started) {
+		return new TokenRelay(Optional.of(started), this.nextIndex, this.complete);
 	}
 
 	/**
@@ -39,8 +39,8 @@
 	 * @param ended the attempt; another than the present one changes nothing
 	 * @return the relay without it
 	 */
-	public TokenRelay end(AttemptIdentifier ended) {
-		return isPresent(ended) ? new TokenRelay(Optional.empty(), this.nextIndex, this.whole) : this;
+	public TokenRelay endAttempt(AttemptIdentifier ended) {
+		return isCurrent(ended) ? new TokenRelay(Optional.empty(), this.nextIndex, this.complete) : this;
 	}
 
 	/**
@@ -49,24 +49,24 @@
 	 * @param index its place in the whole answer, from 0
 	 * @return what becomes of it
 	 */
-	public TokenDecision token(AttemptIdentifier from, int index) {
+	public FrameDecision acceptToken(AttemptIdentifier from, int index) {
 		// A late frame of an abandoned attempt, or of another request over a
 		// connection that is used again, would show the caller a doubled or foreign
 		// token. Attempt identifiers are never drawn twice, so comparing them keeps
 		// both out.
-		if (!isPresent(from) || this.whole) {
-			return new TokenDecision(TokenVerdict.FOREIGN, this);
+		if (!isCurrent(from) || this.complete) {
+			return new FrameDecision(FrameStatus.STALE, this);
 		}
 		// A target that starts over instead of resuming, or sends a frame twice, would
 		// double tokens. The index tells.
 		if (index < this.nextIndex) {
-			return new TokenDecision(TokenVerdict.REPEATED, this);
+			return new FrameDecision(FrameStatus.DUPLICATE, this);
 		}
 		// A lost or overtaking frame would leave a hole that the caller can not see.
 		if (index > this.nextIndex) {
-			return new TokenDecision(TokenVerdict.GAP, this);
+			return new FrameDecision(FrameStatus.GAP, this);
 		}
-		return new TokenDecision(TokenVerdict.DELIVER, new TokenRelay(this.attempt, this.nextIndex + 1, false));
+		return new FrameDecision(FrameStatus.DELIVER, new TokenRelay(this.attempt, this.nextIndex + 1, false));
 	}
 
 	/**
@@ -75,18 +75,18 @@
 	 * @param tokens how many tokens the whole answer has
 	 * @return whether the answer is whole
 	 */
-	public TokenDecision endMark(AttemptIdentifier from, int tokens) {
-		if (!isPresent(from) || this.whole) {
-			return new TokenDecision(TokenVerdict.FOREIGN, this);
+	public FrameDecision acceptEndMark(AttemptIdentifier from, int tokens) {
+		if (!isCurrent(from) || this.complete) {
+			return new FrameDecision(FrameStatus.STALE, this);
 		}
 		// An end that overtakes the last tokens would make a cut answer look whole.
 		if (tokens != this.nextIndex) {
-			return new TokenDecision(TokenVerdict.CUT, this);
+			return new FrameDecision(FrameStatus.TRUNCATED, this);
 		}
-		return new TokenDecision(TokenVerdict.WHOLE, new TokenRelay(Optional.empty(), this.nextIndex, true));
+		return new FrameDecision(FrameStatus.COMPLETE, new TokenRelay(Optional.empty(), this.nextIndex, true));
 	}
 
-	private boolean isPresent(AttemptIdentifier other) {
+	private boolean isCurrent(AttemptIdentifier other) {
 		return this.attempt.isPresent() && this.attempt.get().equals(other);
 	}
 
--- a/src/test/java/sycamorehill/history/HistoryNode.java
+++ b/src/test/java/sycamorehill/history/HistoryNode.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 
 import sycamorehill.experiment.RequestPathNode;
-import sycamorehill.logic.request.TokenDecision;
-import sycamorehill.logic.request.TokenVerdict;
+import sycamorehill.logic.request.FrameDecision;
+import sycamorehill.logic.request.FrameStatus;
 import sycamorehill.model.effect.Effect;
 import sycamorehill.model.effect.PeerEffect;
 import sycamorehill.model.effect.RequestEffect;
@@ -108,7 +108,7 @@
 	private void start(RequestEffect.StartAttempt start) {
 		CallerRecord caller = this.callers.get(start.request());
 		AttemptIdentifier attempt = start.attempt();
-		caller.relay = caller.relay.begin(attempt);
+		caller.relay = caller.relay.startAttempt(attempt);
 		caller.lastByteAt = this.world.now();
 		FakeTarget target = this.world.target(start.target().name());
 		this.attempts.put(attempt, caller);
@@ -141,9 +141,9 @@
 		if (caller == null) {
 			return;
 		}
-		TokenDecision decision = caller.relay.token(attempt, index);
+		FrameDecision decision = caller.relay.acceptToken(attempt, index);
 		caller.relay = decision.relay();
-		if (decision.verdict() == TokenVerdict.DELIVER) {
+		if (decision.status() == FrameStatus.DELIVER) {
 			caller.foreign |= !this.attempts.containsKey(attempt);
 			caller.tokens.add(token);
 			caller.lastByteAt = this.world.now();
@@ -151,7 +151,7 @@
 				feed(new RequestEvent.FirstToken(attempt));
 			}
 		}
-		else if (decision.verdict() == TokenVerdict.GAP) {
+		else if (decision.status() == FrameStatus.GAP) {
 			ended(attempt, new AttemptResult.Broken(false, "a token is missing"));
 		}
 	}
@@ -165,11 +165,11 @@
 		if (caller == null) {
 			return;
 		}
-		TokenVerdict verdict = caller.relay.endMark(attempt, tokens).verdict();
-		if (verdict == TokenVerdict.WHOLE) {
+		FrameStatus verdict = caller.relay.acceptEndMark(attempt, tokens).status();
+		if (verdict == FrameStatus.COMPLETE) {
 			ended(attempt, new AttemptResult.Whole(tokens, Optional.empty()));
 		}
-		else if (verdict == TokenVerdict.CUT) {
+		else if (verdict == FrameStatus.TRUNCATED) {
 			ended(attempt, new AttemptResult.Broken(false, "the end came too early"));
 		}
 	}
@@ -198,7 +198,7 @@
 		CallerRecord caller = this.attempts.remove(attempt);
 		if (caller != null) {
 			this.world.remember(attempt, caller);
-			caller.relay = caller.relay.end(attempt);
+			caller.relay = caller.relay.endAttempt(attempt);
 			this.world.later(() -> this.targets.get(attempt).cancel(attempt));
 		}
 	}
--- a/src/test/java/sycamorehill/logic/health/HealthRun.java
+++ b/src/test/java/sycamorehill/logic/health/HealthHarness.java
@@ -21,9 +21,9 @@
 /**
  * Feeds attempts to the health part alone.
  */
-final class HealthRun {
+final class HealthHarness {
 
-	private static final AttemptResult WHOLE = new AttemptResult.Whole(1, Optional.empty());
+	private static final AttemptResult COMPLETED = new AttemptResult.Whole(1, Optional.empty());
 
 	private static final RequestDescription REQUEST = SampleRequests.request("n1", 1, "a");
 
@@ -47,14 +47,14 @@
 		return this.effects;
 	}
 
-	HealthRun feed(Event event) {
+	HealthHarness feed(Event event) {
 		Step<HealthState> step = this.reducer.reduce(this.state, this.now, event, this.view);
 		this.state = step.state();
 		this.effects.addAll(step.effects());
 		return this;
 	}
 
-	HealthRun pass(Duration duration) {
+	HealthHarness advance(Duration duration) {
 		this.now = this.now.plus(duration);
 		return feed(new NodeEvent.Ticked(this.now));
 	}
@@ -65,19 +65,19 @@
 		return attempt;
 	}
 
-	HealthRun close(ServingTarget target, AttemptIdentifier attempt, AttemptResult result) {
+	HealthHarness close(ServingTarget target, AttemptIdentifier attempt, AttemptResult result) {
 		return feed(new RequestEvent.AttemptClosed(REQUEST, attempt, target, result));
 	}
 
-	HealthRun end(ServingTarget target, AttemptResult result) {
+	HealthHarness end(ServingTarget target, AttemptResult result) {
 		return close(target, start(target), result);
 	}
 
-	HealthRun whole(ServingTarget target, Duration firstToken) {
+	HealthHarness complete(ServingTarget target, Duration firstToken) {
 		AttemptIdentifier attempt = start(target);
-		pass(firstToken);
+		advance(firstToken);
 		feed(new RequestEvent.FirstToken(attempt));
-		return close(target, attempt, WHOLE);
+		return close(target, attempt, COMPLETED);
 	}
 
 	List<ServingTarget> usable(List<ServingTarget> targets) {
--- a/src/test/java/sycamorehill/logic/health/HealthReducerTests.java
+++ b/src/test/java/sycamorehill/logic/health/HealthReducerTests.java
@@ -33,7 +33,7 @@
 
 	private static final Duration SLOW = Duration.ofMillis(900);
 
-	private final HealthRun run = new HealthRun();
+	private final HealthHarness run = new HealthHarness();
 
 	private final List<ServingTarget> targets = IntStream.range(0, 6)
 		.mapToObj((number) -> SampleRequests.target("t" + number))
@@ -42,83 +42,83 @@
 	private final ServingTarget first = this.targets.get(0);
 
 	@Test
-	void failedConnectionsPutATargetAside() {
+	void failedConnectionsEjectATarget() {
 		fail(this.first);
 		assertThat(this.run.usable(this.targets)).doesNotContain(this.first);
 	}
 
 	@Test
-	void oneFailedConnectionDoesNot() {
+	void oneFailedConnectionDoesNotEjectATarget() {
 		this.run.end(this.first, REFUSED_CONNECTION);
 		assertThat(this.run.usable(this.targets)).contains(this.first);
 	}
 
 	@Test
-	void targetPutAsideIsTriedAgain() {
+	void ejectedTargetIsTriedAgain() {
 		fail(this.first);
-		assertThat(this.run.pass(Duration.ofSeconds(1)).usable(this.targets)).contains(this.first);
+		assertThat(this.run.advance(Duration.ofSeconds(1)).usable(this.targets)).contains(this.first);
 	}
 
 	@Test
-	void eachTimeAsideIsLonger() {
+	void repeatedEjectionLastsLonger() {
 		fail(this.first);
-		this.run.pass(Duration.ofSeconds(1)).end(this.first, REFUSED_CONNECTION).pass(Duration.ofSeconds(1));
+		this.run.advance(Duration.ofSeconds(1)).end(this.first, REFUSED_CONNECTION).advance(Duration.ofSeconds(1));
 		assertThat(this.run.usable(this.targets)).doesNotContain(this.first);
 	}
 
 	// A target comes back after a pause, gets all the waiting work at once, and falls
 	// over again: callers see one failure after another.
 	@Test
-	void returningTargetBeginsWithOneRequest() {
+	void returningTargetStartsWithOneRequest() {
 		fail(this.first);
-		this.run.pass(Duration.ofSeconds(1)).start(this.first);
+		this.run.advance(Duration.ofSeconds(1)).start(this.first);
 		assertThat(this.run.usable(this.targets)).doesNotContain(this.first);
 	}
 
 	@Test
-	void returningTargetMayTakeMoreAfterAWholeAnswer() {
+	void returningTargetReceivesMoreAfterACompleteAnswer() {
 		fail(this.first);
-		this.run.pass(Duration.ofSeconds(1)).whole(this.first, QUICK).start(this.first);
+		this.run.advance(Duration.ofSeconds(1)).complete(this.first, QUICK).start(this.first);
 		assertThat(this.run.usable(this.targets)).contains(this.first);
 	}
 
 	// All targets of a service come back together after an outage. Each has its one
 	// request, and callers hear "no target" although all are idle but for it.
 	@Test
-	void targetsThatReturnTogetherTakeMoreThanTheirAllowance() {
+	void allowanceIsIgnoredWhenAllTargetsAreAtTheirAllowance() {
 		fail(this.first);
-		this.run.pass(Duration.ofSeconds(1)).start(this.first);
+		this.run.advance(Duration.ofSeconds(1)).start(this.first);
 		assertThat(this.run.usable(List.of(this.first))).containsExactly(this.first);
 	}
 
 	// This node's link to the other data centres breaks. Every target behind it
 	// fails, all are put aside, and callers hear "no target" although some are well.
 	@Test
-	void failuresPutAtMostTwoThirdsAside() {
+	void failuresEjectAtMostTwoThirdsOfTheTargets() {
 		this.targets.forEach(this::fail);
 		assertThat(this.run.usable(this.targets)).hasSize(2);
 	}
 
 	@Test
-	void lastTargetIsNeverPutAside() {
+	void lastTargetIsNeverEjected() {
 		fail(this.first);
 		assertThat(this.run.usable(List.of(this.first))).containsExactly(this.first);
 	}
 
 	@Test
-	void stragglerIsPutAside() {
+	void stragglerIsEjected() {
 		measureAll(1);
 		assertThat(this.run.usable(this.targets)).doesNotContain(this.first).hasSize(5);
 	}
 
 	@Test
-	void nobodyIsAStragglerWhenAllAreSlow() {
+	void noTargetIsAStragglerWhenAllAreSlow() {
 		measureAll(this.targets.size());
 		assertThat(this.run.usable(this.targets)).hasSize(6);
 	}
 
 	@Test
-	void atMostAThirdIsPutAsideForSlowness() {
+	void atMostAThirdOfTheTargetsIsEjectedForSlowness() {
 		List<ServingTarget> nine = IntStream.range(0, 9)
 			.mapToObj((number) -> SampleRequests.target("s" + number))
 			.toList();
@@ -129,21 +129,21 @@
 	// A target pauses with requests on it. No answer is slow, because none comes, and it
 	// goes on getting its share of all work until each request has run out of patience.
 	@Test
-	void pausedTargetIsPutAsideBeforeItsRequestsTimeOut() {
+	void pausedTargetIsEjectedBeforeItsRequestsTimeOut() {
 		measureAll(0);
 		IntStream.range(0, 8).forEach((number) -> this.run.start(this.first));
-		this.run.pass(Duration.ofSeconds(1)).pass(Duration.ofSeconds(1));
+		this.run.advance(Duration.ofSeconds(1)).advance(Duration.ofSeconds(1));
 		assertThat(this.run.usable(this.targets)).doesNotContain(this.first);
 	}
 
 	@Test
-	void targetThatSaysItLeavesGetsNoNewWork() {
+	void targetThatRefusesAsLeavingReceivesNoRequests() {
 		this.run.end(this.first, LEAVING);
 		assertThat(this.run.usable(List.of(this.first))).isEmpty();
 	}
 
 	@Test
-	void otherNodesAreToldOfALeavingTargetOnce() {
+	void peersAreNotifiedOfALeavingTargetOnce() {
 		FixedView other = FixedView.of("n2");
 		this.run.view().live(new LiveNode(other.self(), false, Instant.EPOCH));
 		this.run.end(this.first, LEAVING).end(this.first, LEAVING);
@@ -152,23 +152,23 @@
 	}
 
 	@Test
-	void leavingTargetOfAnotherNodesWordGetsNoNewWork() {
-		tell(new TargetLeaving(this.first.name(), 0));
+	void targetReportedLeavingByAPeerReceivesNoRequests() {
+		receive(new TargetLeaving(this.first.name(), 0));
 		assertThat(this.run.usable(this.targets)).doesNotContain(this.first);
 	}
 
 	// A group is rebuilt after its leaving member was replaced. It stays empty,
 	// because the word about its earlier generation is taken for the new one.
 	@Test
-	void wordOfAnEarlierGenerationDoesNotTouchTheNewOne() {
+	void leavingNoticeOfAnEarlierGenerationDoesNotAffectALaterOne() {
 		GroupName name = GroupName.of(GroupSetName.of("s"), 0);
-		tell(new TargetLeaving(name.target(), 1));
+		receive(new TargetLeaving(name.target(), 1));
 		assertThat(this.run.usable(List.of(group(name, 2)))).hasSize(1);
 		assertThat(this.run.usable(List.of(group(name, 1)))).isEmpty();
 	}
 
 	@Test
-	void cancelledAttemptSaysNothingOfTheTarget() {
+	void cancelledAttemptDoesNotCountAsAFailure() {
 		AttemptResult cancelled = new AttemptResult.Cancelled("caller gone");
 		this.run.end(this.first, cancelled).end(this.first, cancelled);
 		assertThat(this.run.usable(this.targets)).contains(this.first);
@@ -179,7 +179,7 @@
 				Optional.of(GroupIdentity.of(name, generation)), List.of());
 	}
 
-	private void tell(TargetLeaving message) {
+	private void receive(TargetLeaving message) {
 		this.run.feed(new PeerEvent.MessageReceived(FixedView.of("n2").self(), message));
 	}
 
@@ -194,9 +194,9 @@
 	private void measure(List<ServingTarget> all, int slowOnes) {
 		for (int round = 0; round < 8; round++) {
 			List<AttemptIdentifier> attempts = all.stream().map(this.run::start).toList();
-			this.run.pass(QUICK);
+			this.run.advance(QUICK);
 			answer(all, attempts, slowOnes, all.size());
-			this.run.pass(SLOW.minus(QUICK));
+			this.run.advance(SLOW.minus(QUICK));
 			answer(all, attempts, 0, slowOnes);
 		}
 	}
--- a/src/test/java/sycamorehill/logic/quarantine/QuarantineReducerTests.java
+++ b/src/test/java/sycamorehill/logic/quarantine/QuarantineReducerTests.java
@@ -38,9 +38,9 @@
 
 class QuarantineReducerTests {
 
-	private static final Fingerprint GUILTY = new Fingerprint("guilty");
+	private static final Fingerprint CRASHING = new Fingerprint("guilty");
 
-	private static final Fingerprint BYSTANDER = new Fingerprint("bystander");
+	private static final Fingerprint HARMLESS = new Fingerprint("bystander");
 
 	private static final ServingTarget FIRST = SampleRequests.target("t1");
 
@@ -55,126 +55,126 @@
 	private long attempts;
 
 	@Test
-	void contentThatATargetRanWhenItsConnectionWasLostIsSuspected() {
-		lose(start(GUILTY, FIRST), GUILTY, FIRST);
-		assertThat(this.state.suspected(GUILTY, this.now)).isTrue();
+	void contentRunningWhenATargetsConnectionIsLostIsSuspect() {
+		loseConnection(start(CRASHING, FIRST), CRASHING, FIRST);
+		assertThat(this.state.isSuspect(CRASHING, this.now)).isTrue();
 	}
 
 	@Test
-	void wholeAnswerClearsASuspect() {
-		lose(start(GUILTY, FIRST), GUILTY, FIRST);
-		close(start(GUILTY, SECOND), GUILTY, SECOND, new AttemptResult.Whole(1, Optional.empty()));
-		assertThat(this.state.suspected(GUILTY, this.now)).isFalse();
+	void completeAnswerClearsASuspect() {
+		loseConnection(start(CRASHING, FIRST), CRASHING, FIRST);
+		close(start(CRASHING, SECOND), CRASHING, SECOND, new AttemptResult.Whole(1, Optional.empty()));
+		assertThat(this.state.isSuspect(CRASHING, this.now)).isFalse();
 	}
 
 	// The callers whose requests ran beside the guilty one go on waiting for a place
 	// to run alone, although it is known by now what crashed the target.
 	@Test
-	void bystandersAreClearedWhenTheGuiltyOneIsFound() {
-		AttemptIdentifier guilty = start(GUILTY, FIRST);
-		AttemptIdentifier bystander = start(BYSTANDER, FIRST);
-		lose(guilty, GUILTY, FIRST);
-		lose(bystander, BYSTANDER, FIRST);
-		pass(Duration.ofSeconds(1));
-		lose(start(GUILTY, SECOND), GUILTY, SECOND);
-		pass(Duration.ofSeconds(3));
-		assertThat(this.state.quarantined(GUILTY, this.now)).isTrue();
-		assertThat(this.state.suspected(BYSTANDER, this.now)).isFalse();
+	void harmlessContentIsClearedWhenTheCrashingContentIsFound() {
+		AttemptIdentifier crashing = start(CRASHING, FIRST);
+		AttemptIdentifier harmless = start(HARMLESS, FIRST);
+		loseConnection(crashing, CRASHING, FIRST);
+		loseConnection(harmless, HARMLESS, FIRST);
+		advance(Duration.ofSeconds(1));
+		loseConnection(start(CRASHING, SECOND), CRASHING, SECOND);
+		advance(Duration.ofSeconds(3));
+		assertThat(this.state.isQuarantined(CRASHING, this.now)).isTrue();
+		assertThat(this.state.isSuspect(HARMLESS, this.now)).isFalse();
 	}
 
 	// The word about a death comes back from the arbiter after the content has been sent
 	// again. If its time counted, the next death would look like the first, and a third
 	// target would die.
 	@Test
-	void sameDeathToldAgainStaysAtItsFirstTime() {
+	void repeatedReportOfACrashKeepsItsFirstTime() {
 		this.view.live(new LiveNode(FixedView.of("n2").self(), false, Instant.EPOCH));
-		lose(start(GUILTY, FIRST), GUILTY, FIRST);
-		pass(Duration.ofMillis(100));
-		AttemptIdentifier again = start(GUILTY, SECOND);
-		pass(Duration.ofMillis(100));
-		tell(new SuspectsSpread(List.of(new SuspectEntry(FIRST.name(), GUILTY)), List.of()));
-		lose(again, GUILTY, SECOND);
-		pass(Duration.ofSeconds(3));
-		assertThat(this.state.quarantined(GUILTY, this.now)).isTrue();
+		loseConnection(start(CRASHING, FIRST), CRASHING, FIRST);
+		advance(Duration.ofMillis(100));
+		AttemptIdentifier again = start(CRASHING, SECOND);
+		advance(Duration.ofMillis(100));
+		receive(new SuspectsSpread(List.of(new SuspectEntry(FIRST.name(), CRASHING)), List.of()));
+		loseConnection(again, CRASHING, SECOND);
+		advance(Duration.ofSeconds(3));
+		assertThat(this.state.isQuarantined(CRASHING, this.now)).isTrue();
 	}
 
 	// A fabric domain goes dark. A common prompt ran on several of its targets, and all
 	// callers that send it are refused for a day.
 	@Test
-	void contentIsNotBlamedForAMassOfDeaths() {
+	void contentIsNotQuarantinedForAMassCrash() {
 		report("t1", "a");
 		report("t2", "b");
 		report("t3", "c");
 		report("t1", "guilty");
 		report("t2", "guilty");
-		assertThat(this.state.quarantined(GUILTY, this.now)).isFalse();
+		assertThat(this.state.isQuarantined(CRASHING, this.now)).isFalse();
 	}
 
 	@Test
-	void contentThatAloneRanOnTwoDeadTargetsIsQuarantined() {
+	void contentThatAloneRanOnTwoCrashedTargetsIsQuarantined() {
 		report("t1", "guilty");
 		report("t2", "guilty");
-		assertThat(this.state.quarantined(GUILTY, this.now)).isTrue();
+		assertThat(this.state.isQuarantined(CRASHING, this.now)).isTrue();
 	}
 
 	// A plain service crashes and is up again within a second. Its next answer looks
 	// like a sign that it never died, and the content crashes it again and again.
 	@Test
 	void answerOfARestartedTargetDoesNotClearTheContent() {
-		lose(start(GUILTY, FIRST), GUILTY, FIRST);
-		pass(Duration.ofMillis(300));
-		AttemptIdentifier next = start(BYSTANDER, FIRST);
-		pass(Duration.ofMillis(600));
+		loseConnection(start(CRASHING, FIRST), CRASHING, FIRST);
+		advance(Duration.ofMillis(300));
+		AttemptIdentifier next = start(HARMLESS, FIRST);
+		advance(Duration.ofMillis(600));
 		feed(new RequestEvent.FirstToken(next));
-		assertThat(this.state.suspected(GUILTY, this.now)).isTrue();
+		assertThat(this.state.isSuspect(CRASHING, this.now)).isTrue();
 	}
 
 	@Test
-	void answerToAnAttemptThatWasUnderWayClearsTheContent() {
-		AttemptIdentifier other = start(BYSTANDER, FIRST);
-		pass(Duration.ofMillis(100));
-		lose(start(GUILTY, FIRST), GUILTY, FIRST);
-		pass(Duration.ofMillis(600));
+	void answerToAnAttemptStartedBeforeTheLossClearsTheContent() {
+		AttemptIdentifier other = start(HARMLESS, FIRST);
+		advance(Duration.ofMillis(100));
+		loseConnection(start(CRASHING, FIRST), CRASHING, FIRST);
+		advance(Duration.ofMillis(600));
 		feed(new RequestEvent.FirstToken(other));
-		assertThat(this.state.suspected(GUILTY, this.now)).isFalse();
+		assertThat(this.state.isSuspect(CRASHING, this.now)).isFalse();
 	}
 
 	// This node's link to a group breaks, and what ran there is held to have killed it,
 	// while other nodes see the group serve.
 	@Test
-	void freshSightOfTheTargetClearsTheContent() {
+	void freshObservationOfTheTargetClearsTheContent() {
 		VmName member = VmName.of("v1");
 		ServingTarget group = new ServingTarget(FIRST.name(), FIRST.service(), FIRST.dataCentre(), FIRST.address(),
 				Optional.empty(), List.of(member));
-		lose(start(GUILTY, group), GUILTY, group);
-		pass(Duration.ofSeconds(1));
+		loseConnection(start(CRASHING, group), CRASHING, group);
+		advance(Duration.ofSeconds(1));
 		VmReport report = new VmReport(member, "i1", EngineState.READY, Optional.empty(), false, 0, 0, 0, 0, 1);
 		this.view.sights().put(member, new VmSight(report, this.now));
-		pass(Duration.ofSeconds(2));
-		assertThat(this.state.suspected(GUILTY, this.now)).isFalse();
+		advance(Duration.ofSeconds(2));
+		assertThat(this.state.isSuspect(CRASHING, this.now)).isFalse();
 	}
 
 	// A caller sends its content every hour. The quarantine lapses after a day, and
 	// two more targets die.
 	@Test
-	void quarantineLastsAsLongAsTheContentIsSent() {
-		tell(new ContentQuarantined(new QuarantineEntry(GUILTY, Duration.ofHours(24)), List.of()));
+	void quarantineIsExtendedWhileTheContentIsSent() {
+		receive(new ContentQuarantined(new QuarantineEntry(CRASHING, Duration.ofHours(24)), List.of()));
 		this.now = this.now.plus(Duration.ofHours(23));
 		RequestOutcome refused = new RequestOutcome.NotRun(Refusal.of(RefusalReason.QUARANTINED, ""));
-		feed(new RequestEvent.Finished(request(GUILTY), Handling.REPEATABLE, refused, 0, Optional.empty()));
+		feed(new RequestEvent.Finished(request(CRASHING), Handling.REPEATABLE, refused, 0, Optional.empty()));
 		this.now = this.now.plus(Duration.ofHours(2));
-		assertThat(this.state.quarantined(GUILTY, this.now)).isTrue();
+		assertThat(this.state.isQuarantined(CRASHING, this.now)).isTrue();
 	}
 
 	@Test
-	void quarantineLapses() {
-		tell(new ContentQuarantined(new QuarantineEntry(GUILTY, Duration.ofHours(24)), List.of()));
-		pass(Duration.ofHours(24));
+	void quarantineExpires() {
+		receive(new ContentQuarantined(new QuarantineEntry(CRASHING, Duration.ofHours(24)), List.of()));
+		advance(Duration.ofHours(24));
 		assertThat(this.state.quarantinedCount()).isZero();
 	}
 
 	@Test
-	void suspectsAreBounded() {
+	void numberOfSuspectsIsLimited() {
 		for (int number = 0; number < 5000; number++) {
 			report("t1", "c" + number);
 		}
@@ -182,11 +182,11 @@
 	}
 
 	private void report(String target, String content) {
-		tell(new SuspectReported(SampleRequests.SERVICE,
+		receive(new SuspectReported(SampleRequests.SERVICE,
 				new SuspectEntry(SampleRequests.target(target).name(), new Fingerprint(content))));
 	}
 
-	private void tell(PeerMessage message) {
+	private void receive(PeerMessage message) {
 		feed(new PeerEvent.MessageReceived(FixedView.of("n2").self(), message));
 	}
 
@@ -196,7 +196,7 @@
 		return attempt;
 	}
 
-	private void lose(AttemptIdentifier attempt, Fingerprint content, ServingTarget target) {
+	private void loseConnection(AttemptIdentifier attempt, Fingerprint content, ServingTarget target) {
 		close(attempt, content, target, new AttemptResult.Broken(true, "reset"));
 	}
 
@@ -208,7 +208,7 @@
 		return SampleRequests.request("n1", content.value().length(), content.value());
 	}
 
-	private void pass(Duration duration) {
+	private void advance(Duration duration) {
 		this.now = this.now.plus(duration);
 		feed(new NodeEvent.Ticked(this.now));
 	}
--- a/src/test/java/sycamorehill/logic/request/RequestRun.java
+++ b/src/test/java/sycamorehill/logic/request/RequestHarness.java
@@ -24,7 +24,7 @@
 /**
  * Feeds events to the request part alone and keeps what came out.
  */
-final class RequestRun {
+final class RequestHarness {
 
 	private static final Duration TICK = Duration.ofMillis(100);
 
@@ -52,7 +52,7 @@
 		return this.effects;
 	}
 
-	RequestRun feed(Event event) {
+	RequestHarness feed(Event event) {
 		Deque<Event> events = new ArrayDeque<>(List.of(event));
 		while (!events.isEmpty()) {
 			Step<RequestState> step = this.reducer.reduce(this.state, this.now, events.poll(), this.view);
@@ -70,11 +70,11 @@
 		return this;
 	}
 
-	RequestRun clear(RequestDescription request, Handling handling) {
+	RequestHarness clear(RequestDescription request, Handling handling) {
 		return feed(new RequestEvent.Arrived(request)).feed(new RequestEvent.Cleared(request, handling));
 	}
 
-	RequestRun pass(Duration duration) {
+	RequestHarness advance(Duration duration) {
 		Instant end = this.now.plus(duration);
 		while (this.now.isBefore(end)) {
 			this.now = this.now.plus(TICK);
@@ -83,15 +83,15 @@
 		return this;
 	}
 
-	RequestRun firstToken() {
+	RequestHarness firstToken() {
 		return feed(new RequestEvent.FirstToken(lastAttempt()));
 	}
 
-	RequestRun end(AttemptResult result) {
+	RequestHarness end(AttemptResult result) {
 		return end(0, result);
 	}
 
-	RequestRun end(int delivered, AttemptResult result) {
+	RequestHarness end(int delivered, AttemptResult result) {
 		return feed(new RequestEvent.AttemptEnded(lastAttempt(), delivered, result));
 	}
 
--- a/src/test/java/sycamorehill/logic/request/RequestReducerTests.java
+++ b/src/test/java/sycamorehill/logic/request/RequestReducerTests.java
@@ -25,7 +25,7 @@
 
 class RequestReducerTests {
 
-	private static final AttemptResult BROKEN = new AttemptResult.Broken(true, "reset");
+	private static final AttemptResult CONNECTION_LOST = new AttemptResult.Broken(true, "reset");
 
 	private static final AttemptResult STALLED = new AttemptResult.Broken(false, "nothing came");
 
@@ -36,23 +36,23 @@
 
 	private final RequestDescription request = SampleRequests.request("n1", 1, "a");
 
-	private final RequestRun run = new RequestRun();
+	private final RequestHarness run = new RequestHarness();
 
 	@BeforeEach
-	void twoTargets() {
+	void addTwoTargets() {
 		this.run.view().targets().add(SampleRequests.target("t1"));
 		this.run.view().targets().add(SampleRequests.target("t2"));
 	}
 
 	@Test
-	void wholeAnswerCompletesTheRequest() {
+	void completeAnswerCompletesTheRequest() {
 		this.run.clear(this.request, Handling.REPEATABLE).end(new AttemptResult.Whole(5, Optional.empty()));
 		assertThat(this.run.outcomes()).containsExactly(new RequestOutcome.Completed());
 	}
 
 	@Test
-	void brokenStreamGoesOnOnAnotherTarget() {
-		this.run.clear(this.request, Handling.REPEATABLE).firstToken().end(3, BROKEN);
+	void interruptedStreamResumesOnAnotherTarget() {
+		this.run.clear(this.request, Handling.REPEATABLE).firstToken().end(3, CONNECTION_LOST);
 		assertThat(this.run.starts()).extracting((start) -> start.target().name())
 			.containsExactly(TargetName.of("t1"), TargetName.of("t2"));
 	}
@@ -61,29 +61,32 @@
 	// second half is of another. A service is rolled to a new version, a stream
 	// breaks midway, and the nearest target has the new version already.
 	@Test
-	void brokenStreamGoesOnOnlyOnTheModelVersionThatItBeganWith() {
-		versions("1", "2", "1");
-		this.run.clear(this.request, Handling.REPEATABLE).firstToken().end(3, BROKEN);
+	void interruptedStreamResumesOnlyOnItsModelVersion() {
+		setModelVersions("1", "2", "1");
+		this.run.clear(this.request, Handling.REPEATABLE).firstToken().end(3, CONNECTION_LOST);
 		assertThat(this.run.starts()).extracting((start) -> start.target().name())
 			.containsExactly(TargetName.of("t1"), TargetName.of("t3"));
 	}
 
 	@Test
-	void brokenStreamWithNoTargetOfItsModelVersionLeftEndsInAnError() {
-		versions("1", "2", "2");
-		this.run.clear(this.request, Handling.REPEATABLE).firstToken().end(3, BROKEN).pass(Duration.ofSeconds(30));
+	void interruptedStreamWithoutATargetOfItsModelVersionFails() {
+		setModelVersions("1", "2", "2");
+		this.run.clear(this.request, Handling.REPEATABLE)
+			.firstToken()
+			.end(3, CONNECTION_LOST)
+			.advance(Duration.ofSeconds(30));
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.Unknown.class);
 	}
 
 	@Test
-	void requestThatHasNotBegunMayGoToAnotherModelVersion() {
-		versions("1", "2", "2");
-		this.run.clear(this.request, Handling.REPEATABLE).end(0, BROKEN).pass(Duration.ofSeconds(1));
+	void requestWithoutTokensMayBeRetriedOnAnotherModelVersion() {
+		setModelVersions("1", "2", "2");
+		this.run.clear(this.request, Handling.REPEATABLE).end(0, CONNECTION_LOST).advance(Duration.ofSeconds(1));
 		assertThat(this.run.starts()).extracting((start) -> start.target().name())
 			.containsExactly(TargetName.of("t1"), TargetName.of("t2"));
 	}
 
-	private void versions(String first, String second, String third) {
+	private void setModelVersions(String first, String second, String third) {
 		this.run.view().targets().clear();
 		this.run.view().targets().add(SampleRequests.target("t1", first));
 		this.run.view().targets().add(SampleRequests.target("t2", second));
@@ -91,8 +94,8 @@
 	}
 
 	@Test
-	void attemptsNeverShareAnIdentifier() {
-		this.run.clear(this.request, Handling.REPEATABLE).end(BROKEN);
+	void attemptIdentifiersAreUnique() {
+		this.run.clear(this.request, Handling.REPEATABLE).end(CONNECTION_LOST);
 		assertThat(this.run.starts()).extracting(RequestEffect.StartAttempt::attempt).doesNotHaveDuplicates();
 	}
 
@@ -100,27 +103,27 @@
 	// delivered twice. The first attempt broke off after it was sent, the second
 	// target refused, and only the last answer was passed on.
 	@Test
-	void refusalAfterBrokenAttemptIsUnknown() {
-		this.run.clear(this.request, Handling.REPEATABLE).end(BROKEN).end(REFUSED);
+	void refusalAfterAnInterruptedAttemptIsUnknown() {
+		this.run.clear(this.request, Handling.REPEATABLE).end(CONNECTION_LOST).end(REFUSED);
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.Unknown.class);
 	}
 
 	// A booking is made twice: the connection broke after the target had got it, and it
 	// was sent to a second target.
 	@Test
-	void brokenOrderIsNotSentAgain() {
-		this.run.clear(this.request, Handling.ONCE_WITH_KEY).end(BROKEN).pass(Duration.ofMinutes(1));
+	void interruptedOrderIsNotRetried() {
+		this.run.clear(this.request, Handling.ONCE_WITH_KEY).end(CONNECTION_LOST).advance(Duration.ofMinutes(1));
 		assertThat(this.run.starts()).hasSize(1);
 	}
 
 	@Test
-	void failedOrderIsNotSentAgain() {
+	void failedOrderIsNotRetried() {
 		this.run.clear(this.request, Handling.ONCE_WITHOUT_KEY).end(new AttemptResult.FailedWhileRunning("error"));
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.Failed.class);
 	}
 
 	@Test
-	void orderThatReachedNoTargetGoesToAnother() {
+	void orderThatReachedNoTargetIsRetried() {
 		this.run.clear(this.request, Handling.ONCE_WITH_KEY).end(NOTHING_SENT);
 		assertThat(this.run.starts()).hasSize(2);
 	}
@@ -129,16 +132,16 @@
 	void refusalByEveryTargetIsNotRun() {
 		this.run.clear(this.request, Handling.ONCE_WITH_KEY)
 			.end(REFUSED)
-			.pass(Duration.ofSeconds(1))
+			.advance(Duration.ofSeconds(1))
 			.end(REFUSED)
-			.pass(Duration.ofSeconds(1));
+			.advance(Duration.ofSeconds(1));
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.NotRun.class);
 	}
 
 	@Test
-	void refusalCarriesTheTargetsTimeToComeBack() {
+	void refusalCarriesTheRetryAfterOfTheTarget() {
 		this.run.view().targets().remove(1);
-		this.run.clear(this.request, Handling.REPEATABLE).end(REFUSED).pass(Duration.ofSeconds(1));
+		this.run.clear(this.request, Handling.REPEATABLE).end(REFUSED).advance(Duration.ofSeconds(1));
 		RequestOutcome.NotRun outcome = (RequestOutcome.NotRun) this.run.outcomes().get(0);
 		assertThat(outcome.refusal().retryAfter()).contains(Duration.ofSeconds(7));
 	}
@@ -148,14 +151,14 @@
 		this.run.view().targets().clear();
 		this.run.clear(this.request, Handling.REPEATABLE);
 		this.run.view().targets().add(SampleRequests.target("t3"));
-		this.run.pass(Duration.ofMillis(300));
+		this.run.advance(Duration.ofMillis(300));
 		assertThat(this.run.starts()).hasSize(1);
 	}
 
 	@Test
 	void requestWithoutTargetIsRefusedAfterABoundedWait() {
 		this.run.view().targets().clear();
-		this.run.clear(this.request, Handling.REPEATABLE).pass(Duration.ofSeconds(3));
+		this.run.clear(this.request, Handling.REPEATABLE).advance(Duration.ofSeconds(3));
 		assertThat(this.run.outcomes()).hasSize(1)
 			.first()
 			.isInstanceOfSatisfying(RequestOutcome.NotRun.class,
@@ -163,7 +166,7 @@
 	}
 
 	@Test
-	void callerThatHasGoneCancelsItsAttempt() {
+	void disconnectedCallerCancelsItsAttempt() {
 		this.run.clear(this.request, Handling.REPEATABLE);
 		AttemptIdentifier attempt = this.run.lastAttempt();
 		this.run.feed(new RequestEvent.CallerGone(this.request.identifier()));
@@ -174,7 +177,7 @@
 	// "unknown" for ever, because the order was cancelled half way and its answer
 	// dropped.
 	@Test
-	void orderWhoseCallerLeftRunsOnAndItsAnswerIsKept() {
+	void orderRunsOnAfterItsCallerDisconnectedAndItsAnswerIsKept() {
 		Optional<RecordedAnswer> answer = Optional.of(new RecordedAnswer(200, "text/plain", "booked"));
 		this.run.clear(this.request, Handling.ONCE_WITH_KEY)
 			.feed(new RequestEvent.CallerGone(this.request.identifier()))
@@ -185,7 +188,7 @@
 	// A caller leaves while its order is being claimed, and its next call with the
 	// same key hears "still running" for ever, because nobody releases the claim.
 	@Test
-	void orderClearedAfterItsCallerLeftIsNotSentAndIsReportedAsNotRun() {
+	void orderClearedAfterItsCallerDisconnectedIsNotSentAndIsReportedAsNotRun() {
 		this.run.feed(new RequestEvent.Arrived(this.request))
 			.feed(new RequestEvent.CallerGone(this.request.identifier()))
 			.feed(new RequestEvent.Cleared(this.request, Handling.ONCE_WITH_KEY));
@@ -196,7 +199,7 @@
 	}
 
 	@Test
-	void refusalByAnotherPartIsTheFinalAnswer() {
+	void refusalByAnotherReducerIsTheFinalAnswer() {
 		RequestOutcome refusal = new RequestOutcome.NotRun(Refusal.of(RefusalReason.OVERLOADED, "full"));
 		this.run.feed(new RequestEvent.Arrived(this.request))
 			.feed(new RequestEvent.Refused(this.request.identifier(), refusal))
@@ -207,7 +210,7 @@
 	// An order that has been sent is told "not run", because another part refused it
 	// late.
 	@Test
-	void refusalByAnotherPartWhileAnAttemptRunsIsUnknown() {
+	void refusalByAnotherReducerWhileAnAttemptRunsIsUnknown() {
 		RequestOutcome refusal = new RequestOutcome.NotRun(Refusal.of(RefusalReason.OVERLOADED, "full"));
 		this.run.clear(this.request, Handling.ONCE_WITH_KEY)
 			.feed(new RequestEvent.Refused(this.request.identifier(), refusal));
@@ -215,23 +218,23 @@
 	}
 
 	@Test
-	void endOfAnAttemptThatWasGivenUpChangesNothing() {
+	void endOfAnAbandonedAttemptIsIgnored() {
 		this.run.clear(this.request, Handling.REPEATABLE);
 		AttemptIdentifier first = this.run.lastAttempt();
-		this.run.end(BROKEN)
+		this.run.end(CONNECTION_LOST)
 			.feed(new RequestEvent.AttemptEnded(first, 5, new AttemptResult.Whole(5, Optional.empty())));
 		assertThat(this.run.outcomes()).isEmpty();
 	}
 
 	@Test
-	void answerThatHasNotBegunByItsDeadlineIsGivenUp() {
-		this.run.clear(this.request, Handling.REPEATABLE).pass(SampleRequests.DEADLINE);
+	void answerWithoutTokensByItsDeadlineIsAbandoned() {
+		this.run.clear(this.request, Handling.REPEATABLE).advance(SampleRequests.DEADLINE);
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.Unknown.class);
 	}
 
 	@Test
-	void answerThatHasBegunOutlivesItsDeadline() {
-		this.run.clear(this.request, Handling.REPEATABLE).firstToken().pass(SampleRequests.DEADLINE.multipliedBy(2));
+	void answerThatHasBegunMayExceedItsDeadline() {
+		this.run.clear(this.request, Handling.REPEATABLE).firstToken().advance(SampleRequests.DEADLINE.multipliedBy(2));
 		assertThat(this.run.outcomes()).isEmpty();
 	}
 
@@ -245,39 +248,39 @@
 	// All targets slow down, every request times out and is sent again, and the
 	// targets get three times the load that slowed them down.
 	@Test
-	void retriesEndWhenTheServicesBudgetIsSpent() {
+	void retriesStopWhenTheRetryBudgetIsExhausted() {
 		for (int number = 0; number < 100; number++) {
 			this.run.clear(SampleRequests.request("n1", number, "c" + number), Handling.REPEATABLE)
 				.end(STALLED)
-				.pass(Duration.ofMillis(200));
+				.advance(Duration.ofMillis(200));
 		}
 		assertThat(this.run.starts()).hasSizeBetween(120, 130);
 	}
 
 	@Test
-	void stoppingNodeFinishesWhatIsInFlight() {
+	void stoppingNodeFinishesRequestsInFlight() {
 		this.run.clear(this.request, Handling.REPEATABLE)
 			.firstToken()
 			.feed(new NodeEvent.StopRequested())
-			.pass(Duration.ofMinutes(1));
+			.advance(Duration.ofMinutes(1));
 		assertThat(this.run.effects()).doesNotContain(new NodeEffect.Exit());
-		this.run.end(new AttemptResult.Whole(5, Optional.empty())).pass(Duration.ofSeconds(1));
+		this.run.end(new AttemptResult.Whole(5, Optional.empty())).advance(Duration.ofSeconds(1));
 		assertThat(this.run.effects()).contains(new NodeEffect.Exit());
 	}
 
 	@Test
-	void stoppingNodeThatIsIdleStaysForTheBalancersGrace() {
-		this.run.feed(new NodeEvent.StopRequested()).pass(Duration.ofSeconds(4));
+	void idleStoppingNodeStaysForTheGracePeriod() {
+		this.run.feed(new NodeEvent.StopRequested()).advance(Duration.ofSeconds(4));
 		assertThat(this.run.effects()).isEmpty();
 	}
 
 	@Test
-	void stoppingNodeTellsWhatItCutOffAtItsBound() {
+	void stoppingNodeLogsAbortedRequestsAtItsTimeLimit() {
 		this.run.clear(this.request, Handling.REPEATABLE)
 			.firstToken()
 			.feed(new NodeEvent.StopRequested())
-			.pass(Duration.ofMinutes(11));
-		assertThat(RequestRun.only(this.run.effects(), NodeEffect.WriteLog.class))
+			.advance(Duration.ofMinutes(11));
+		assertThat(RequestHarness.only(this.run.effects(), NodeEffect.WriteLog.class))
 			.extracting((log) -> log.line().detail())
 			.first()
 			.asString()
--- a/src/test/java/sycamorehill/logic/request/TokenRelayTests.java
+++ b/src/test/java/sycamorehill/logic/request/TokenRelayTests.java
@@ -16,63 +16,65 @@
 
 	private static final AttemptIdentifier SECOND = AttemptIdentifier.of(NODE, 2);
 
-	private final TokenRelay oneDelivered = TokenRelay.create().begin(FIRST).token(FIRST, 0).relay();
+	private final TokenRelay oneDelivered = TokenRelay.create().startAttempt(FIRST).acceptToken(FIRST, 0).relay();
 
 	@Test
-	void tokensGoOutInOrder() {
-		assertThat(this.oneDelivered.token(FIRST, 1).verdict()).isEqualTo(TokenVerdict.DELIVER);
+	void tokensAreDeliveredInOrder() {
+		assertThat(this.oneDelivered.acceptToken(FIRST, 1).status()).isEqualTo(FrameStatus.DELIVER);
 	}
 
 	// A caller reads a word twice: the second target started over instead of resuming.
 	@Test
-	void indexGoesOutOnce() {
-		assertThat(this.oneDelivered.begin(SECOND).token(SECOND, 0).verdict()).isEqualTo(TokenVerdict.REPEATED);
+	void indexIsDeliveredOnce() {
+		assertThat(this.oneDelivered.startAttempt(SECOND).acceptToken(SECOND, 0).status())
+			.isEqualTo(FrameStatus.DUPLICATE);
 	}
 
 	// A caller reads a word of another answer: the abandoned attempt's target woke up and
 	// sent on while the second attempt was under way.
 	@Test
 	void lateTokenOfAnAbandonedAttemptIsDropped() {
-		assertThat(this.oneDelivered.begin(SECOND).token(FIRST, 1).verdict()).isEqualTo(TokenVerdict.FOREIGN);
+		assertThat(this.oneDelivered.startAttempt(SECOND).acceptToken(FIRST, 1).status()).isEqualTo(FrameStatus.STALE);
 	}
 
 	@Test
 	void tokenBetweenAttemptsIsDropped() {
-		assertThat(this.oneDelivered.end(FIRST).token(FIRST, 1).verdict()).isEqualTo(TokenVerdict.FOREIGN);
+		assertThat(this.oneDelivered.endAttempt(FIRST).acceptToken(FIRST, 1).status()).isEqualTo(FrameStatus.STALE);
 	}
 
 	@Test
-	void lateEndOfAnAbandonedAttemptLeavesThePresentOne() {
-		TokenRelay second = this.oneDelivered.begin(SECOND);
-		assertThat(second.end(FIRST)).isEqualTo(second);
+	void lateEndOfAnAbandonedAttemptKeepsTheCurrentOne() {
+		TokenRelay second = this.oneDelivered.startAttempt(SECOND);
+		assertThat(second.endAttempt(FIRST)).isEqualTo(second);
 	}
 
 	@Test
-	void missingIndexBreaksTheAttempt() {
-		assertThat(this.oneDelivered.token(FIRST, 2).verdict()).isEqualTo(TokenVerdict.GAP);
+	void missingIndexIsAGap() {
+		assertThat(this.oneDelivered.acceptToken(FIRST, 2).status()).isEqualTo(FrameStatus.GAP);
 	}
 
 	@Test
-	void endMarkThatFitsMakesTheAnswerWhole() {
-		assertThat(this.oneDelivered.endMark(FIRST, 1).relay().whole()).isTrue();
+	void matchingEndMarkCompletesTheAnswer() {
+		assertThat(this.oneDelivered.acceptEndMark(FIRST, 1).relay().complete()).isTrue();
 	}
 
 	// A caller takes half a delivery note for the whole: the end mark overtook the last
 	// tokens.
 	@Test
-	void endMarkBeforeTheLastTokenIsNotWhole() {
-		assertThat(this.oneDelivered.endMark(FIRST, 2).verdict()).isEqualTo(TokenVerdict.CUT);
+	void endMarkBeforeTheLastTokenDoesNotCompleteTheAnswer() {
+		assertThat(this.oneDelivered.acceptEndMark(FIRST, 2).status()).isEqualTo(FrameStatus.TRUNCATED);
 	}
 
 	@Test
 	void endMarkOfAnotherAttemptIsDropped() {
-		assertThat(this.oneDelivered.begin(SECOND).endMark(FIRST, 1).verdict()).isEqualTo(TokenVerdict.FOREIGN);
+		assertThat(this.oneDelivered.startAttempt(SECOND).acceptEndMark(FIRST, 1).status())
+			.isEqualTo(FrameStatus.STALE);
 	}
 
 	@Test
-	void nothingGoesOutAfterTheEndMark() {
-		TokenRelay whole = this.oneDelivered.endMark(FIRST, 1).relay();
-		assertThat(whole.token(FIRST, 1).verdict()).isEqualTo(TokenVerdict.FOREIGN);
+	void nothingIsDeliveredAfterTheEndMark() {
+		TokenRelay whole = this.oneDelivered.acceptEndMark(FIRST, 1).relay();
+		assertThat(whole.acceptToken(FIRST, 1).status()).isEqualTo(FrameStatus.STALE);
 	}
 
 }
