--- a/src/main/java/sycamorehill/logic/health/Ejection.java
+++ b/src/main/java/sycamorehill/logic/health/Ejection.java
@@ -3,10 +3,10 @@
 import java.time.Instant;
 
 /**
- * A target put aside.
+ * Ejection of a target: it receives no requests for a limited time.
  *
- * @param reason why
- * @param until when it may be tried again
+ * @param reason the reason for the ejection
+ * @param until the monotonic time from which the target may receive requests again
  */
 record Ejection(EjectionReason reason, Instant until) {
 
--- a/src/main/java/sycamorehill/logic/health/EjectionReason.java
+++ b/src/main/java/sycamorehill/logic/health/EjectionReason.java
@@ -1,14 +1,14 @@
 package sycamorehill.logic.health;
 
 /**
- * Why a target gets no work for a while.
+ * Reason for the ejection of a target.
  */
 enum EjectionReason {
 
-	/** Its connections or its requests failed. */
+	/** Connections to the target or requests on it failed. */
 	FAILED,
 
-	/** It was much slower than its siblings. */
+	/** The target was much slower than the other targets of its service. */
 	SLOW
 
 }
--- a/src/main/java/sycamorehill/logic/health/FirstTokenCheck.java
+++ b/src/main/java/sycamorehill/logic/health/FirstTokenCheck.java
@@ -6,10 +6,10 @@
 import sycamorehill.model.identity.AttemptIdentifier;
 
 /**
- * When an attempt that waits for its first token is looked at.
+ * Scheduled check of an attempt that waits for its first token.
  *
- * @param at the time
- * @param attempt the attempt, of this life of the node
+ * @param at the monotonic time of the check
+ * @param attempt the attempt, started by the current incarnation of the node
  */
 record FirstTokenCheck(Instant at, AttemptIdentifier attempt) implements Comparable<FirstTokenCheck> {
 
--- a/src/main/java/sycamorehill/logic/health/FirstTokenTimes.java
+++ b/src/main/java/sycamorehill/logic/health/FirstTokenTimes.java
@@ -3,10 +3,11 @@
 import java.time.Duration;
 
 /**
- * Moving average of a target's times to the first token.
+ * Exponentially weighted moving average of a target's times to first token. The first
+ * samples have equal weight.
  *
- * @param averageMillis the average
- * @param samples how many there were
+ * @param averageMillis the average in milliseconds
+ * @param samples the number of samples in the average
  */
 record FirstTokenTimes(double averageMillis, int samples) {
 
--- a/src/main/java/sycamorehill/logic/health/HealthReducer.java
+++ b/src/main/java/sycamorehill/logic/health/HealthReducer.java
@@ -13,8 +13,9 @@
 import sycamorehill.model.peer.TargetLeaving;
 
 /**
- * Puts targets aside that fail, stall, lag behind their siblings or leave, and lets them
- * return with little work at first.
+ * Ejects targets that fail, stall or are slower than the other targets of their service,
+ * and excludes targets that are leaving. A target that returns after an ejection starts
+ * with a small number of concurrent requests.
  */
 public final class HealthReducer implements Reducer<HealthState> {
 
--- a/src/main/java/sycamorehill/logic/health/HealthState.java
+++ b/src/main/java/sycamorehill/logic/health/HealthState.java
@@ -16,22 +16,22 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * State of the part: which targets are put aside. It is this node's own sight alone: a
- * broken link of one node says nothing about the target to the others.
+ * State of the health reducer: ejected and leaving targets. Ejections are not shared with
+ * other nodes, because a failed connection may be caused by this node's own network link.
  *
- * @param targets what was seen of the targets
- * @param leaving the targets that said that they are leaving
- * @param attempts the attempts under way
- * @param checks when attempts without a first token are looked at
- * @param random the random numbers to come
- * @param forgetAt when unused targets are next forgotten
+ * @param targets the health of each target that this node has used
+ * @param leaving the leaving notices by target
+ * @param attempts the running attempts
+ * @param checks the scheduled checks of attempts without a first token
+ * @param random the sequence of random numbers
+ * @param forgetAt the time of the next removal of unused targets
  */
 public record HealthState(PMap<TargetName, TargetHealth> targets, PMap<TargetName, TargetLeavingNotice> leaving,
 		PMap<AttemptIdentifier, PendingAttempt> attempts, PSortedSet<FirstTokenCheck> checks, RandomSequence random,
 		Instant forgetAt) {
 
 	/**
-	 * The state of a fresh node.
+	 * Returns the initial state of a node.
 	 * @return the state before the first event
 	 */
 	public static HealthState initial() {
@@ -40,21 +40,21 @@
 	}
 
 	/**
-	 * Leaves those out that are leaving, put aside, or returning and busy enough.
+	 * Filters out targets that are leaving, ejected, or returning and at their allowance.
 	 * @param targets all targets of one service
-	 * @param now monotonic time
-	 * @param policy the bounds
-	 * @return those that may be given work, in the same order
+	 * @param now the current monotonic time
+	 * @param policy the health policy
+	 * @return the targets that may receive requests, in the same order
 	 */
 	public List<ServingTarget> usable(List<ServingTarget> targets, Instant now, HealthPolicy policy) {
 		return UsableTargets.of(this, targets, now, policy);
 	}
 
 	/**
-	 * Whether the target itself said that it is leaving.
+	 * Returns whether the target has announced that it is leaving.
 	 * @param target the target
-	 * @param now monotonic time
-	 * @return whether it must get no new work
+	 * @param now the current monotonic time
+	 * @return whether it must not receive new requests
 	 */
 	public boolean leaving(ServingTarget target, Instant now) {
 		TargetLeavingNotice notice = this.leaving.get(target.name());
--- a/src/main/java/sycamorehill/logic/health/HealthStep.java
+++ b/src/main/java/sycamorehill/logic/health/HealthStep.java
@@ -22,8 +22,7 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * Collects the changes and effects of one step of the health part; it lives no longer
- * than the step.
+ * Accumulates the state changes and effects of one step of the health reducer.
  */
 final class HealthStep {
 
@@ -74,7 +73,7 @@
 		this.state = this.state.without(event.attempt());
 		TargetName name = event.target().name();
 		Optional<TargetHealth> tracked = this.state.healthOf(event.target());
-		// The end of an attempt on an earlier generation says nothing about this one.
+		// An attempt on an earlier generation does not count for the current one.
 		if (tracked.isEmpty()) {
 			return;
 		}
@@ -96,9 +95,9 @@
 	}
 
 	/**
-	 * Notes that a target is leaving, as another node heard from it. The mark is kept for
-	 * a target that this node has not used yet, too.
-	 * @param message the other node's word
+	 * Records that a target is leaving, as reported by another node. The notice is also
+	 * kept for a target that this node has not used yet.
+	 * @param message the report of the other node
 	 */
 	void handleTargetLeaving(TargetLeaving message) {
 		TargetLeavingNotice known = this.state.leaving().get(message.target());
@@ -125,15 +124,17 @@
 	}
 
 	private void recordLeaving(TargetName name, long generation) {
-		// A generation of a group never comes back, so its mark does not lapse: the
-		// VM list may show its VM live again. The address of a plain service may.
+		// A generation of a group never returns, so its notice does not expire, even if
+		// the VM list shows its VM as live again. A plain service may return at the same
+		// address, so its notice expires.
 		Instant until = (generation > 0) ? Instant.MAX : this.now.plus(this.policy.leavingMark());
 		this.state = this.state.with(name, new TargetLeavingNotice(generation, until));
 	}
 
 	/**
-	 * Counts attempts that have long waited for their first token as slow: a paused
-	 * target sends none, and would otherwise look as quick as before its pause.
+	 * Adds the time waited so far as a sample for each attempt whose first token is
+	 * overdue. A paused target delivers no first token, so it would otherwise keep the
+	 * average from before its pause.
 	 */
 	void recordOverdueFirstTokens() {
 		while (!this.state.checks().isEmpty() && !this.state.checks().first().at().isAfter(this.now)) {
@@ -163,14 +164,14 @@
 	private TargetHealth ejectIfFailing(TargetName name, TargetHealth health) {
 		boolean failed = health.connectionFailures() >= this.policy.connectionFailures()
 				|| health.runFailures() >= this.policy.runFailures();
-		// A returning target is on trial: its first failure is enough.
+		// A target with an allowance is on trial, so its first failure ejects it.
 		boolean onTrial = health.allowance().isPresent();
 		return (failed || onTrial) ? eject(name, health, EjectionReason.FAILED) : health;
 	}
 
 	private TargetHealth eject(TargetName name, TargetHealth health, EjectionReason reason) {
-		// Attempts that were under way together fail together: that is one failure, and
-		// must not double the time several times over.
+		// Concurrent attempts on a failing target fail together. They count as one
+		// failure, so that they don't double the ejection time several times.
 		if (health.isEjected(this.now)) {
 			return health;
 		}
@@ -194,7 +195,8 @@
 	}
 
 	/**
-	 * Forgets targets that have long not been used, once a minute.
+	 * Removes targets that have not been used for the time set in the policy. Runs once
+	 * per removal interval.
 	 */
 	void removeUnused() {
 		if (this.now.isBefore(this.state.forgetAt())) {
--- a/src/main/java/sycamorehill/logic/health/PendingAttempt.java
+++ b/src/main/java/sycamorehill/logic/health/PendingAttempt.java
@@ -6,12 +6,12 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * An attempt under way.
+ * A running attempt.
  *
- * @param target where it runs
- * @param startedAt when it was sent
- * @param checkAt when it is counted as slow if its first token has not come, empty once
- * it has
+ * @param target the target that the attempt was sent to
+ * @param startedAt the monotonic time at which the attempt was sent
+ * @param checkAt the time from which a missing first token counts as a sample, empty once
+ * the token has arrived
  */
 record PendingAttempt(ServingTarget target, Instant startedAt, Optional<Instant> checkAt) {
 
--- a/src/main/java/sycamorehill/logic/health/StragglerDetection.java
+++ b/src/main/java/sycamorehill/logic/health/StragglerDetection.java
@@ -6,8 +6,8 @@
 import sycamorehill.model.policy.HealthPolicy;
 
 /**
- * Tells a straggler by comparison with the other targets of its service: when all slow
- * down together, none of them is one.
+ * Detects stragglers by comparing a target's time to first token with the median of the
+ * other targets of its service. If all targets slow down together, none is a straggler.
  */
 final class StragglerDetection {
 
--- a/src/main/java/sycamorehill/logic/health/TargetHealth.java
+++ b/src/main/java/sycamorehill/logic/health/TargetHealth.java
@@ -7,18 +7,20 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * What this node has seen of one generation of a target.
+ * Health of one generation of a target, as observed by this node.
  *
- * @param service what it answers
- * @param generation the generation of its group, 0 for a plain service
- * @param inFlight attempts of this node under way
- * @param connectionFailures connections refused, lost or stalled in a row
- * @param runFailures failed requests in a row
- * @param timesAside how often in a row it was put aside
- * @param aside the mark, if it is put aside
- * @param allowance most attempts in flight, empty once it is trusted
- * @param firstTokens its times to the first token
- * @param usedAt when an attempt was last sent to it
+ * @param service the service that the target serves
+ * @param generation the generation of the target's group, 0 for a plain service
+ * @param inFlight the number of running attempts of this node
+ * @param connectionFailures the number of consecutive connections refused, lost or
+ * stalled
+ * @param runFailures the number of consecutive requests that failed while running
+ * @param timesAside the number of consecutive ejections
+ * @param aside the latest ejection, if any
+ * @param allowance the maximum number of concurrent attempts while the target returns
+ * from an ejection or starts a new generation, empty if unlimited
+ * @param firstTokens the average time to first token
+ * @param usedAt the time at which the last attempt was sent
  */
 record TargetHealth(ServiceName service, long generation, int inFlight, int connectionFailures, int runFailures,
 		int timesAside, Optional<Ejection> aside, Optional<Integer> allowance, FirstTokenTimes firstTokens,
@@ -52,10 +54,10 @@
 	}
 
 	/**
-	 * A whole answer: a returning target may take twice as many, up to where it is like
-	 * any other.
-	 * @param fullAllowance where that is
-	 * @return the health after it
+	 * Returns the health after a complete answer. The allowance of a returning target
+	 * doubles until it reaches the full allowance; the target is then unlimited again.
+	 * @param fullAllowance the allowance at which the limit is lifted
+	 * @return the new health
 	 */
 	TargetHealth withSuccess(int fullAllowance) {
 		Optional<Integer> larger = this.allowance.map((maximum) -> maximum * 2)
@@ -75,11 +77,11 @@
 	}
 
 	/**
-	 * Puts the target aside. When the time is over it begins with little, and its speed
-	 * is measured anew.
-	 * @param ejection why and until when
-	 * @param returnAllowance what it begins with
-	 * @return the health after it
+	 * Returns the health after an ejection. When the ejection ends, the target starts
+	 * with a small allowance and its time to first token is measured from scratch.
+	 * @param ejection the ejection
+	 * @param returnAllowance the allowance after the ejection
+	 * @return the new health
 	 */
 	TargetHealth withEjection(Ejection ejection, int returnAllowance) {
 		return new TargetHealth(this.service, this.generation, this.inFlight, 0, 0, this.timesAside + 1,
@@ -87,10 +89,11 @@
 	}
 
 	/**
-	 * A new generation under the same name: nothing of the old one counts, and it begins
-	 * with little, as its caches are empty.
-	 * @param newGeneration the generation
-	 * @param returnAllowance what it begins with
+	 * Returns the health of a new generation under the same name. The history of the old
+	 * generation is discarded. The new one starts with a small allowance, because its
+	 * caches are empty.
+	 * @param newGeneration the new generation
+	 * @param returnAllowance the allowance of the new generation
 	 * @return the health of the new generation
 	 */
 	TargetHealth forNewGeneration(long newGeneration, int returnAllowance) {
--- a/src/main/java/sycamorehill/logic/health/TargetLeavingNotice.java
+++ b/src/main/java/sycamorehill/logic/health/TargetLeavingNotice.java
@@ -3,10 +3,10 @@
 import java.time.Instant;
 
 /**
- * A target's own word that it is leaving.
+ * A target's announcement that it is leaving.
  *
- * @param generation the generation that said so, 0 for a plain service
- * @param until until when the word counts
+ * @param generation the group generation that is leaving, 0 for a plain service
+ * @param until the monotonic time at which the notice expires
  */
 record TargetLeavingNotice(long generation, Instant until) {
 
--- a/src/main/java/sycamorehill/logic/health/UsableTargets.java
+++ b/src/main/java/sycamorehill/logic/health/UsableTargets.java
@@ -12,7 +12,8 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * Leaves targets out of a service's choice, within the bounds on how many.
+ * Selects the targets of a service that may receive requests, and limits the share of
+ * targets that are excluded as ejected.
  */
 final class UsableTargets {
 
@@ -28,8 +29,8 @@
 		List<ServingTarget> ready = notEjected.stream()
 			.filter((target) -> !isAllowanceExhausted(state, target))
 			.toList();
-		// If all of them return at once, as after an outage, the allowances would refuse
-		// work that the targets can take.
+		// If all targets return at once, as after an outage, enforcing the allowances
+		// would refuse requests that the targets can serve.
 		return ready.isEmpty() ? notEjected : ready;
 	}
 
@@ -37,7 +38,8 @@
 			HealthPolicy policy) {
 		List<ServingTarget> ordered = new ArrayList<>(
 				candidates.stream().filter((target) -> isEjected(state, target, now)).toList());
-		// The longest aside are the most certain.
+		// Failed targets first, then those whose ejection ends last: the longest
+		// ejections are the most reliable.
 		ordered.sort(Comparator.comparing((ServingTarget target) -> reason(state, target))
 			.thenComparing((target) -> until(state, target), Comparator.reverseOrder())
 			.thenComparing(ServingTarget::name));
@@ -53,8 +55,9 @@
 	}
 
 	private static int maximumEjected(int targets, double share) {
-		// Without a bound, a broken link of this node or a wrong measure would put all
-		// targets aside, and the node would refuse everything while they are well.
+		// Without a limit, a broken network link of this node or a wrong measurement
+		// would eject all targets, and the node would refuse every request although the
+		// targets are healthy.
 		return Math.min(targets - 1, Math.max(1, (int) (targets * share)));
 	}
 
--- a/src/main/java/sycamorehill/logic/quarantine/Arbiter.java
+++ b/src/main/java/sycamorehill/logic/quarantine/Arbiter.java
@@ -16,8 +16,8 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * What a node does as the arbiter of a service: it gives each suspect a target for
- * itself, at most one at a time, and tells all nodes what is suspected.
+ * Implements the arbiter of a service. The arbiter assigns each suspect an isolation slot
+ * on a target, at most one at a time, and publishes the suspects to all nodes.
  */
 final class Arbiter {
 
@@ -27,14 +27,15 @@
 	}
 
 	/**
-	 * Gives a suspect a target on which no other suspect runs.
+	 * Assigns a suspect a target on which no other suspect runs.
 	 * <p>
-	 * Two suspects on one target would leave open which of them crashed it, so a
-	 * bystander would be quarantined or the guilty one run a third time. One suspect on
-	 * two targets, because its caller sent it twice, would crash both.
-	 * @param step the step
-	 * @param ask the question
-	 * @return the answer
+	 * If two suspects ran on one target, it would be unknown which of them crashed it:
+	 * harmless content might be quarantined, or the crashing content might run a third
+	 * time. If one suspect ran on two targets, because its caller sent it twice, it could
+	 * crash both.
+	 * @param step the current step
+	 * @param ask the request for a target
+	 * @return the answer, without a target if none may be assigned
 	 */
 	static IsolationAnswered handleIsolationAsked(QuarantineStep step, IsolationAsked ask) {
 		recordReportedCrashes(step, ask);
@@ -45,8 +46,8 @@
 	}
 
 	private static void recordReportedCrashes(QuarantineStep step, IsolationAsked ask) {
-		// The question may overtake the report of the death, or reach a new arbiter
-		// that was never told of it.
+		// The ask may arrive before the report of the crash, or reach a new arbiter that
+		// never received the report.
 		for (TargetName target : ask.died()) {
 			boolean known = step.suspect(ask.fingerprint())
 				.filter((suspect) -> suspect.deaths().containsKey(target))
@@ -59,9 +60,9 @@
 	}
 
 	private static boolean hasCrashedRecently(QuarantineStep step, Fingerprint fingerprint) {
-		// Copies of the content that its caller sent at the same moment die at nearly the
-		// same time. Their deaths have to be told before it runs again, or a third target
-		// would die for what is known.
+		// Copies of the content that its caller sent at the same time crash their targets
+		// at nearly the same time. Those crashes must be reported before the content runs
+		// again, or a third target would crash although the evidence exists.
 		Instant recentSince = step.now().minus(step.policy().isolationDelay());
 		return step.suspect(fingerprint)
 			.filter((suspect) -> suspect.deaths().values().stream().anyMatch((at) -> at.isAfter(recentSince)))
@@ -83,7 +84,8 @@
 			.filter((slot) -> slot.fingerprint().equals(ask.fingerprint()) && step.now().isBefore(slot.until()))
 			.findFirst();
 		if (existing.isPresent()) {
-			// The answer may have been lost: the same request gets the same place again.
+			// The answer may have been lost, so the same request receives the same slot
+			// again.
 			return existing.filter((slot) -> slot.request().equals(ask.request())).map(IsolationSlot::target);
 		}
 		List<TargetName> free = step.view()
@@ -114,9 +116,10 @@
 	}
 
 	/**
-	 * Takes in that a target broke off while it ran content on some node.
-	 * @param step the step
-	 * @param message that node's word
+	 * Handles a node's report that a target's connection was lost while the target ran
+	 * content.
+	 * @param step the current step
+	 * @param message the report
 	 */
 	static void handleSuspectReported(QuarantineStep step, SuspectReported message) {
 		SuspectEntry entry = message.suspect();
@@ -132,8 +135,9 @@
 	}
 
 	private static boolean aloneCrashedTwoTargets(QuarantineStep step, Fingerprint fingerprint, Suspect suspect) {
-		// A caller may send the same content to two nodes at once: it crashes two targets
-		// before anything is suspected. Content that alone ran on both is guilty.
+		// A caller may send the same content to two nodes at once, so that it crashes two
+		// targets before it is suspect. The content is quarantined if no other suspect
+		// ran on both targets.
 		if (suspect.deaths().size() < 2 || step.isMassCrash()) {
 			return false;
 		}
@@ -158,10 +162,10 @@
 	}
 
 	/**
-	 * Tells all nodes what has been reported since the last tick. One node gathers it: if
-	 * each told all others, the death of one target would make as many messages as the
-	 * square of the nodes.
-	 * @param step the step
+	 * Publishes to all nodes what has been reported since the last tick. The arbiter
+	 * collects the reports, because a broadcast by every node would send a number of
+	 * messages quadratic in the number of nodes for each crash.
+	 * @param step the current step
 	 */
 	static void publishSuspects(QuarantineStep step) {
 		List<SuspectEntry> suspects = step.state().arbiter().suspects();
--- a/src/main/java/sycamorehill/logic/quarantine/ArbiterSelection.java
+++ b/src/main/java/sycamorehill/logic/quarantine/ArbiterSelection.java
@@ -8,8 +8,8 @@
 import sycamorehill.model.identity.ServiceName;
 
 /**
- * Chooses for each service one live node, its arbiter, that keeps suspects apart. Each
- * data centre that is cut off has its own.
+ * Selects one live node per service as its arbiter, which isolates suspects from each
+ * other. A partitioned data centre selects its own arbiter.
  */
 final class ArbiterSelection {
 
--- a/src/main/java/sycamorehill/logic/quarantine/ArbiterState.java
+++ b/src/main/java/sycamorehill/logic/quarantine/ArbiterState.java
@@ -10,11 +10,11 @@
 import sycamorehill.model.request.Fingerprint;
 
 /**
- * What a node keeps as the arbiter of services.
+ * State of a node as the arbiter of services.
  *
- * @param slots targets kept for one suspect each
- * @param suspects what the other nodes are to be told at the next tick
- * @param cleared what is no longer suspected, as they are to be told
+ * @param slots the isolation slots by target
+ * @param suspects the suspects to publish at the next tick
+ * @param cleared the cleared content to publish at the next tick
  */
 record ArbiterState(PMap<TargetName, IsolationSlot> slots, PVector<SuspectEntry> suspects,
 		PVector<Fingerprint> cleared) {
--- a/src/main/java/sycamorehill/logic/quarantine/ContentExpiry.java
+++ b/src/main/java/sycamorehill/logic/quarantine/ContentExpiry.java
@@ -6,10 +6,10 @@
 import sycamorehill.model.request.Fingerprint;
 
 /**
- * When something about content is forgotten.
+ * Time at which an entry for some content expires.
  *
- * @param at the time
- * @param fingerprint the content
+ * @param at the monotonic time
+ * @param fingerprint the fingerprint of the content
  */
 record ContentExpiry(Instant at, Fingerprint fingerprint) implements Comparable<ContentExpiry> {
 
--- a/src/main/java/sycamorehill/logic/quarantine/CrashDetection.java
+++ b/src/main/java/sycamorehill/logic/quarantine/CrashDetection.java
@@ -21,7 +21,8 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * Judges lost connections: whether the target died, and whether what it ran crashed it.
+ * Decides after a lost connection whether the target crashed, and which content crashed
+ * it.
  */
 final class CrashDetection {
 
@@ -31,11 +32,11 @@
 	}
 
 	/**
-	 * Takes in that a target's connection was lost. What it ran is suspected at once, so
-	 * that it goes on alone, and the other nodes learn of it before its caller can send
-	 * it again.
-	 * @param step the step
-	 * @param content what ran there
+	 * Handles the loss of a target's connection. The content becomes suspect immediately,
+	 * so that it runs in isolation from then on and the other nodes are informed before
+	 * its caller can retry.
+	 * @param step the current step
+	 * @param content the content that ran on the target
 	 */
 	static void handleConnectionLost(QuarantineStep step, RunningContent content) {
 		TargetName name = content.target().name();
@@ -78,15 +79,17 @@
 	}
 
 	/**
-	 * Takes in that an attempt got an answer. If it was under way when another lost its
-	 * connection to the same target, that connection failed, not the target. An attempt
-	 * that began later says nothing: a plain service may have been started again.
-	 * @param step the step
+	 * Handles an answer to an attempt. If the attempt was already running when another
+	 * one lost its connection to the same target, the connection failed, not the target.
+	 * An attempt that started later proves nothing, because a plain service may have
+	 * restarted in between.
+	 * @param step the current step
 	 * @param content the attempt
 	 */
 	static void handleAnswer(QuarantineStep step, RunningContent content) {
 		SuspectedCrash crash = step.state().breaks().get(content.target().name());
-		// What the target sent before it died may arrive after the first lost connection.
+		// Frames that the target sent before it crashed may arrive after the first
+		// connection is lost.
 		boolean mayBeLateFrame = crash != null && step.now().isBefore(crash.since().plus(LATE_FRAME_PERIOD));
 		if (crash != null && !mayBeLateFrame && !crash.settled() && content.startedAt().isBefore(crash.since())) {
 			dismiss(step, crash.target(), crash);
@@ -117,8 +120,9 @@
 	}
 
 	/**
-	 * Settles the deaths of targets that have shown no sign of life for long enough.
-	 * @param step the step
+	 * Confirms or dismisses the suspected crashes whose confirmation period is over. A
+	 * crash is dismissed if all members of the target have been observed serving since.
+	 * @param step the current step
 	 */
 	static void settleSuspectedCrashes(QuarantineStep step) {
 		for (SuspectedCrash crash : List.copyOf(step.state().breaks().values())) {
@@ -145,10 +149,10 @@
 	}
 
 	private static void diagnose(QuarantineStep step, SuspectedCrash crash) {
-		// Finds the content that crashed a dead target, if that is certain enough:
-		// one that ran there alone among suspects and has crashed a target before; or
-		// else the only one there that has, unless many targets died together. @param
-		// step the step @param crash the crash
+		// Finds the content that crashed the target, if the evidence suffices: content
+		// that ran isolated from other suspects and has crashed a target before, or else
+		// the only content there that has crashed one before, unless many targets crashed
+		// together.
 		Optional<Fingerprint> crashingContent = findIsolatedAndRepeated(crash);
 		if (crashingContent.isEmpty() && !step.isMassCrash()) {
 			crashingContent = findOnlyRepeated(crash);
@@ -160,8 +164,8 @@
 			if (reportWithheld) {
 				reportSuspect(step, crash.target().service(), crash.target().name(), entry.getKey());
 			}
-			// A release would overtake the word of the quarantine and let another copy
-			// run.
+			// A release could arrive before the quarantine is published and let another
+			// copy run.
 			if (step.isQuarantined(entry.getKey())) {
 				IsolationClient.dropSlots(step, entry.getKey());
 			}
@@ -191,8 +195,8 @@
 	}
 
 	private static boolean isObservedServing(QuarantineStep step, SuspectedCrash crash) {
-		// One node's broken link looks like the death of every target behind it. The
-		// sights of other observers tell.
+		// A failed network link of this node looks like a crash of every target behind
+		// it. Observations by other nodes show whether the target still serves.
 		return !crash.target().members().isEmpty() && crash.target()
 			.members()
 			.stream()
--- a/src/main/java/sycamorehill/logic/quarantine/ExpiringContentMap.java
+++ b/src/main/java/sycamorehill/logic/quarantine/ExpiringContentMap.java
@@ -11,12 +11,12 @@
 import sycamorehill.model.request.Fingerprint;
 
 /**
- * What is remembered of content, each for its time and no more than a bound: what would
- * be forgotten first makes room.
+ * Map from content to a value that expires. When the map is full, the entry that expires
+ * first is removed.
  *
- * @param <V> what is remembered
- * @param entries by content
- * @param byTime by when it is forgotten
+ * @param <V> the type of the values
+ * @param entries the entries by content
+ * @param byTime the content in order of expiry
  */
 record ExpiringContentMap<V>(PMap<Fingerprint, Entry<V>> entries, PSortedSet<ContentExpiry> byTime) {
 
@@ -57,11 +57,11 @@
 	}
 
 	/**
-	 * What is remembered and until when.
+	 * A value and its expiry.
 	 *
-	 * @param <V> what is remembered
+	 * @param <V> the type of the value
 	 * @param value the value
-	 * @param until when it is forgotten
+	 * @param until the monotonic time at which the entry expires
 	 */
 	record Entry<V>(V value, Instant until) {
 
--- a/src/main/java/sycamorehill/logic/quarantine/IsolationClient.java
+++ b/src/main/java/sycamorehill/logic/quarantine/IsolationClient.java
@@ -16,8 +16,8 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * What a node does with its own suspected requests: it asks the arbiter for a target, and
- * gives it back.
+ * Asks the arbiter for isolation slots for this node's suspect requests, and releases the
+ * slots.
  */
 final class IsolationClient {
 
@@ -48,8 +48,9 @@
 	}
 
 	private static boolean isDiagnosisPending(QuarantineStep step, Fingerprint fingerprint) {
-		// A second target broke off while it ran this: to run it again before it is known
-		// whether that target died could crash a third.
+		// A second target's connection was lost while the target ran this content.
+		// Running the content again before the crash is confirmed or dismissed could
+		// crash a third target.
 		return step.state()
 			.breaks()
 			.values()
@@ -97,12 +98,12 @@
 	}
 
 	/**
-	 * Gives places on a target back after its break has been judged. A place that the
-	 * same content holds on another target, where it may just have broken off too, stays
-	 * taken.
-	 * @param step the step
+	 * Releases the content's slots on a target after the suspected crash of the target
+	 * has been diagnosed. A slot of the same content on another target is kept, because
+	 * that target's connection may have been lost as well.
+	 * @param step the current step
 	 * @param target the target
-	 * @param fingerprint the content
+	 * @param fingerprint the fingerprint of the content
 	 */
 	static void releaseAfterDiagnosis(QuarantineStep step, TargetName target, Fingerprint fingerprint) {
 		List.copyOf(step.state().held().values())
--- a/src/main/java/sycamorehill/logic/quarantine/IsolationSlot.java
+++ b/src/main/java/sycamorehill/logic/quarantine/IsolationSlot.java
@@ -8,13 +8,13 @@
 import sycamorehill.model.request.Fingerprint;
 
 /**
- * A target kept free of other suspects for one suspect.
+ * Reservation of a target for one suspect, so that no other suspect runs there.
  *
  * @param target the target
- * @param service what it answers
- * @param fingerprint the content
- * @param request the request
- * @param until when the place lapses
+ * @param service the service that the target serves
+ * @param fingerprint the fingerprint of the suspect content
+ * @param request the request that runs the content
+ * @param until the monotonic time at which the slot expires
  */
 record IsolationSlot(TargetName target, ServiceName service, Fingerprint fingerprint, RequestIdentifier request,
 		Instant until) {
--- a/src/main/java/sycamorehill/logic/quarantine/PendingIsolationAsk.java
+++ b/src/main/java/sycamorehill/logic/quarantine/PendingIsolationAsk.java
@@ -3,9 +3,9 @@
 import java.time.Instant;
 
 /**
- * A question to the arbiter that has no answer yet.
+ * An unanswered request to the arbiter for an isolation slot.
  *
- * @param askedAt when it was asked
+ * @param askedAt the monotonic time at which it was sent
  */
 record PendingIsolationAsk(Instant askedAt) {
 
--- a/src/main/java/sycamorehill/logic/quarantine/QuarantinePropagation.java
+++ b/src/main/java/sycamorehill/logic/quarantine/QuarantinePropagation.java
@@ -13,7 +13,7 @@
 import sycamorehill.model.request.Fingerprint;
 
 /**
- * Quarantines content and has all nodes know.
+ * Quarantines content and propagates the quarantine to all nodes.
  */
 final class QuarantinePropagation {
 
@@ -23,10 +23,10 @@
 	}
 
 	/**
-	 * Quarantines content that crashed a second target, here and on all live nodes at
-	 * once, and clears what ran beside it.
-	 * @param step the step
-	 * @param fingerprint the content
+	 * Quarantines content that crashed a second target, on this node and on all live
+	 * nodes, and clears the content that ran beside it.
+	 * @param step the current step
+	 * @param fingerprint the fingerprint of the content
 	 */
 	static void quarantineContent(QuarantineStep step, Fingerprint fingerprint) {
 		List<TargetName> targets = step.suspect(fingerprint)
@@ -51,10 +51,10 @@
 	}
 
 	/**
-	 * Tells one other node, drawn at random, what is quarantined. A node that joined has
-	 * missed the messages sent when it was decided, and would let the content crash its
+	 * Sends a digest of the quarantined content to one random peer. A node that joined
+	 * later has missed the quarantine messages and would let the content crash its
 	 * targets.
-	 * @param step the step
+	 * @param step the current step
 	 */
 	static void sendDigest(QuarantineStep step) {
 		if (step.now().isBefore(step.state().digestAt())) {
--- a/src/main/java/sycamorehill/logic/quarantine/QuarantineReducer.java
+++ b/src/main/java/sycamorehill/logic/quarantine/QuarantineReducer.java
@@ -25,9 +25,9 @@
 import sycamorehill.model.request.RequestOutcome;
 
 /**
- * Content that crashes targets: what a dead target ran is suspected and runs alone among
- * suspects, a second death quarantines it on all nodes, and what ran beside it is
- * cleared.
+ * Quarantines content that crashes targets. Content that ran on a crashed target becomes
+ * suspect and from then on runs on a target without other suspects. A second crash
+ * quarantines it on all nodes, and the content that ran beside it is cleared.
  */
 public final class QuarantineReducer implements Reducer<QuarantineState> {
 
@@ -113,8 +113,8 @@
 
 	private static void handleFinished(QuarantineStep step, RequestEvent.Finished event) {
 		IsolationClient.removeRequest(step, event.request().identifier());
-		// As long as its caller goes on sending it, it stays refused: if it lapsed
-		// under the caller's retries, two more targets would die.
+		// Each refused retry extends the quarantine. If it expired while the caller still
+		// sends the content, two more targets would crash.
 		if (isRefusedAsQuarantined(event.outcome()) && step.isQuarantined(event.request().fingerprint())) {
 			step.quarantine(event.request().fingerprint(), step.now().plus(step.policy().quarantine()));
 		}
--- a/src/main/java/sycamorehill/logic/quarantine/QuarantineState.java
+++ b/src/main/java/sycamorehill/logic/quarantine/QuarantineState.java
@@ -12,19 +12,23 @@
 import sycamorehill.model.request.Fingerprint;
 
 /**
- * State of the part: content that crashes targets.
+ * State of the quarantine reducer: suspect and quarantined content, and the crashes
+ * behind it.
  *
- * @param running the attempts of this node under way
- * @param suspects content that targets ran when they died
- * @param quarantine content that is refused, and since when
- * @param breaks targets whose connections were lost lately
- * @param recentDeaths when each target that died lately was heard to
- * @param explained targets whose death was put down to quarantined content lately
- * @param asks questions to arbiters without an answer
- * @param held places that arbiters gave to requests of this node
- * @param arbiter what this node keeps as an arbiter
- * @param random the random numbers to come
- * @param digestAt when another node is next told what is quarantined
+ * @param running the running attempts of this node
+ * @param suspects the content that ran on targets when they crashed
+ * @param quarantine the quarantined content, with the time at which the quarantine began
+ * or was last extended
+ * @param breaks the suspected and the recently confirmed crashes by target
+ * @param recentDeaths the targets that crashed recently, with the time at which this node
+ * learned of the crash
+ * @param explained the targets whose recent crash is attributed to quarantined content,
+ * with the time of that decision
+ * @param asks the unanswered requests to arbiters
+ * @param held the isolation slots assigned to requests of this node
+ * @param arbiter the state of this node as an arbiter
+ * @param random the sequence of random numbers
+ * @param digestAt the time of the next digest of quarantined content to another node
  */
 public record QuarantineState(PMap<AttemptIdentifier, RunningContent> running, ExpiringContentMap<Suspect> suspects,
 		ExpiringContentMap<Instant> quarantine, PMap<TargetName, SuspectedCrash> breaks,
@@ -33,7 +37,7 @@
 		ArbiterState arbiter, RandomSequence random, Instant digestAt) {
 
 	/**
-	 * The state of a fresh node.
+	 * Returns the initial state of a node.
 	 * @return the state before the first event
 	 */
 	public static QuarantineState initial() {
@@ -43,27 +47,28 @@
 	}
 
 	/**
-	 * Whether content is refused.
-	 * @param fingerprint the content
-	 * @param now monotonic time
-	 * @return whether it must not be sent
+	 * Returns whether content is quarantined.
+	 * @param fingerprint the fingerprint of the content
+	 * @param now the current monotonic time
+	 * @return whether the content must not be sent to a target
 	 */
 	public boolean isQuarantined(Fingerprint fingerprint, Instant now) {
 		return this.quarantine.get(fingerprint, now).isPresent();
 	}
 
 	/**
-	 * Whether content may run only where no other suspect runs.
-	 * @param fingerprint the content
-	 * @param now monotonic time
-	 * @return whether it is suspected
+	 * Returns whether content is suspect, so that it may only run on a target without
+	 * other suspects.
+	 * @param fingerprint the fingerprint of the content
+	 * @param now the current monotonic time
+	 * @return whether the content is suspect
 	 */
 	public boolean isSuspect(Fingerprint fingerprint, Instant now) {
 		return this.suspects.get(fingerprint, now).isPresent();
 	}
 
 	/**
-	 * How many contents are suspected.
+	 * Returns the number of suspect contents.
 	 * @return the number
 	 */
 	public int suspectCount() {
@@ -71,7 +76,7 @@
 	}
 
 	/**
-	 * How many contents are refused.
+	 * Returns the number of quarantined contents.
 	 * @return the number
 	 */
 	public int quarantinedCount() {
--- a/src/main/java/sycamorehill/logic/quarantine/QuarantineStep.java
+++ b/src/main/java/sycamorehill/logic/quarantine/QuarantineStep.java
@@ -21,8 +21,7 @@
 import sycamorehill.model.request.Fingerprint;
 
 /**
- * Collects the changes and effects of one step of the quarantine part; it lives no longer
- * than the step.
+ * Accumulates the state changes and effects of one step of the quarantine reducer.
  */
 final class QuarantineStep {
 
@@ -101,8 +100,8 @@
 	}
 
 	/**
-	 * Remembers that a target died while it ran content.
-	 * @param fingerprint the content
+	 * Records that a target crashed while it ran content.
+	 * @param fingerprint the fingerprint of the content
 	 * @param target the target
 	 */
 	void addCrash(Fingerprint fingerprint, TargetName target) {
@@ -124,10 +123,11 @@
 	}
 
 	/**
-	 * Takes a target's death back from content.
-	 * @param fingerprint the content
-	 * @param target the target that lives
-	 * @return whether nothing else is held against the content
+	 * Removes a target's crash from the record of suspect content.
+	 * @param fingerprint the fingerprint of the content
+	 * @param target the target that did not crash, or whose crash is attributed to other
+	 * content
+	 * @return whether no other crash is recorded for the content
 	 */
 	boolean removeCrash(Fingerprint fingerprint, TargetName target) {
 		Optional<Suspect> found = suspect(fingerprint);
@@ -150,9 +150,9 @@
 	}
 
 	/**
-	 * Refuses content from now on, or for longer.
-	 * @param fingerprint the content
-	 * @param until until when at the least
+	 * Quarantines content, or extends its quarantine.
+	 * @param fingerprint the fingerprint of the content
+	 * @param until the earliest monotonic time at which the quarantine may expire
 	 */
 	void quarantine(Fingerprint fingerprint, Instant until) {
 		clearSuspect(fingerprint);
@@ -164,15 +164,16 @@
 	}
 
 	/**
-	 * Clears what targets ran beside content that crashed them: their deaths say nothing
-	 * about it.
-	 * @param targets the targets
+	 * Attributes the crashes of targets to quarantined content, and clears the content
+	 * that ran beside it: these crashes are no evidence against it.
+	 * @param targets the crashed targets
 	 */
 	void attributeCrashes(List<TargetName> targets) {
 		for (TargetName target : targets) {
 			this.state = this.state.withExplained(this.state.explained().plus(target, this.now));
 		}
-		// Suspects are few, and this comes with a quarantine only.
+		// The loop over all suspects is cheap: suspects are few, and it runs only when
+		// content is quarantined.
 		List<Fingerprint> suspects = List.copyOf(this.state.suspects().entries().keySet());
 		for (Fingerprint fingerprint : suspects) {
 			targets.forEach((target) -> removeCrash(fingerprint, target));
@@ -184,17 +185,17 @@
 	}
 
 	/**
-	 * Whether so many targets died lately that it is not the work of one request, but of
-	 * a dark fabric domain or a lost link.
-	 * @return whether it was a mass of deaths
+	 * Returns whether so many targets crashed recently that the cause is not one request
+	 * but the failure of a fabric domain or a network link.
+	 * @return whether it is a mass crash
 	 */
 	boolean isMassCrash() {
 		return this.state.recentDeaths().size() >= policy().massDeaths();
 	}
 
 	/**
-	 * Forgets what is over. The maps by target hold the last seconds only and are mostly
-	 * empty.
+	 * Removes expired entries. The maps by target hold only the last few seconds and are
+	 * usually empty.
 	 */
 	void removeExpired() {
 		this.state = this.state.withSuspects(this.state.suspects().withoutExpired(this.now))
--- a/src/main/java/sycamorehill/logic/quarantine/RunningContent.java
+++ b/src/main/java/sycamorehill/logic/quarantine/RunningContent.java
@@ -7,13 +7,13 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * An attempt under way.
+ * The content of a running attempt.
  *
  * @param request the request
- * @param fingerprint its content
- * @param target where it runs
- * @param startedAt when it was sent
- * @param isolated whether the arbiter gave it the target
+ * @param fingerprint the fingerprint of the content
+ * @param target the target that the attempt was sent to
+ * @param startedAt the monotonic time at which the attempt was sent
+ * @param isolated whether the attempt runs in an isolation slot
  */
 record RunningContent(RequestIdentifier request, Fingerprint fingerprint, ServingTarget target, Instant startedAt,
 		boolean isolated) {
--- a/src/main/java/sycamorehill/logic/quarantine/Suspect.java
+++ b/src/main/java/sycamorehill/logic/quarantine/Suspect.java
@@ -9,9 +9,10 @@
 import sycamorehill.model.identity.TargetName;
 
 /**
- * Content that targets ran when they died.
+ * Crashes of targets that ran the same content.
  *
- * @param deaths when this node heard of the death of each target, own monotonic time
+ * @param deaths the monotonic time of this node at which it learned of the crash, by
+ * target
  */
 record Suspect(PMap<TargetName, Instant> deaths) {
 
@@ -20,12 +21,13 @@
 	}
 
 	/**
-	 * Adds a death, unless it is known already: the same death is told several times, and
-	 * a later time would make it look as if it came after the content's next run.
+	 * Returns the suspect with a crash added, unless the crash is already recorded. The
+	 * same crash is reported several times. Recording a later time would make it appear
+	 * to have happened after the content's next attempt.
 	 * @param target the target
-	 * @param at when this node heard of it
-	 * @param sameCrashPeriod how far apart two words about one death may be
-	 * @return the suspect with it
+	 * @param at the time at which this node learned of the crash
+	 * @param sameCrashPeriod the maximum time between two reports of the same crash
+	 * @return the suspect with the crash
 	 */
 	Suspect withCrash(TargetName target, Instant at, Duration sameCrashPeriod) {
 		Instant recorded = this.deaths.get(target);
--- a/src/main/java/sycamorehill/logic/quarantine/SuspectedCrash.java
+++ b/src/main/java/sycamorehill/logic/quarantine/SuspectedCrash.java
@@ -9,12 +9,13 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * A target whose connections were lost and that may have died.
+ * A target that lost connections and may have crashed.
  *
  * @param target the target
- * @param since when the first connection was lost
- * @param contents what it ran
- * @param settled whether its death is certain enough: what breaks later belongs to it
+ * @param since the monotonic time at which the first connection was lost
+ * @param contents the content that the target ran
+ * @param settled whether the crash is confirmed; connections lost later belong to the
+ * same crash
  */
 record SuspectedCrash(ServingTarget target, Instant since, PMap<Fingerprint, InterruptedContent> contents,
 		boolean settled) {
--- a/src/main/java/sycamorehill/logic/quarantine/package-info.java
+++ b/src/main/java/sycamorehill/logic/quarantine/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Content that crashes targets.
+ * Detection and quarantine of content that crashes targets.
  */
 package sycamorehill.logic.quarantine;
--- a/src/main/java/sycamorehill/logic/request/ActiveRequest.java
+++ b/src/main/java/sycamorehill/logic/request/ActiveRequest.java
@@ -8,18 +8,22 @@
 import sycamorehill.model.request.RequestDescription;
 
 /**
- * A request that has no final answer yet.
+ * A request without a final answer.
  *
  * @param description the request
- * @param handling how often it may be sent, once it has been cleared
- * @param running the attempt under way, if any
- * @param history the attempts that have ended
- * @param begunWith the model version that gave the first token, once the caller has one:
- * the rest of the answer must come from the same
- * @param callerGone whether the caller has gone; an order runs to its end nevertheless
- * @param isolated whether it has waited to run where no other suspect runs
- * @param giveUpAt until when it waits for a target
- * @param wakeAt when it is looked at again, if no event comes before
+ * @param handling whether and how the request may be repeated, known once it is cleared
+ * for sending
+ * @param running the running attempt, if any
+ * @param history the results of the ended attempts
+ * @param begunWith the model version that generated the first token, once the caller has
+ * received one; the rest of the answer must come from the same version
+ * @param callerGone whether the caller has disconnected; an order runs to its end
+ * nevertheless
+ * @param isolated whether the wait for a target without other suspects has started since
+ * the last attempt
+ * @param giveUpAt the monotonic time until which the request waits for a target
+ * @param wakeAt the monotonic time of the next check of the request, unless an event
+ * comes first
  */
 public record ActiveRequest(RequestDescription description, Optional<Handling> handling,
 		Optional<RunningAttempt> running, AttemptHistory history, Optional<String> begunWith, boolean callerGone,
--- a/src/main/java/sycamorehill/logic/request/AttemptHistory.java
+++ b/src/main/java/sycamorehill/logic/request/AttemptHistory.java
@@ -13,15 +13,16 @@
 import sycamorehill.model.request.RequestOutcome;
 
 /**
- * What came of the attempts of one request that have ended.
+ * Results of the ended attempts of one request.
  *
- * @param started attempts begun, a running one among them
- * @param failedTargets targets that failed the request; they are not tried again
- * @param evidence the worst over all attempts
- * @param refusalReason why the worst of them did not serve the request
- * @param detail what it said
- * @param retryAfter the longest time to come back that a target gave
- * @param tokens tokens delivered to the caller over all attempts
+ * @param started the number of attempts started, including a running one
+ * @param failedTargets the targets that failed the request; they are not tried again
+ * @param evidence the worst evidence of all attempts
+ * @param refusalReason the reason why the attempt with the worst evidence did not serve
+ * the request
+ * @param detail the description of that attempt's failure
+ * @param retryAfter the longest Retry-After of all targets
+ * @param tokens the number of tokens delivered to the caller by all attempts
  */
 record AttemptHistory(int started, PSet<TargetName> failedTargets, RunEvidence evidence, RefusalReason refusalReason,
 		String detail, Duration retryAfter, int tokens) {
@@ -37,11 +38,11 @@
 	}
 
 	/**
-	 * Adds an attempt that did not give the whole answer.
-	 * @param target where it ran
-	 * @param delivered tokens delivered so far
-	 * @param result how it ended
-	 * @return the longer history
+	 * Returns the history with an attempt that did not complete the answer.
+	 * @param target the target that the attempt was sent to
+	 * @param delivered the number of tokens delivered so far
+	 * @param result the result of the attempt
+	 * @return the new history
 	 */
 	AttemptHistory withAttemptEnded(TargetName target, int delivered, AttemptResult result) {
 		RunEvidence current = evidenceOf(result);
@@ -52,8 +53,9 @@
 	}
 
 	/**
-	 * Adds an attempt that was given up while it may have been running.
-	 * @return the longer history
+	 * Returns the history with an attempt that was abandoned while it may have been
+	 * running.
+	 * @return the new history
 	 */
 	AttemptHistory withAttemptAbandoned() {
 		return new AttemptHistory(this.started, this.failedTargets, RunEvidence.UNKNOWN, this.refusalReason,
@@ -66,10 +68,11 @@
 	}
 
 	/**
-	 * The final answer when nothing more is tried. The worst of all attempts decides, not
-	 * the last: after an attempt that broke off, a target that refuses does not make the
-	 * request "not run", or the caller would send an order that ran a second time.
-	 * @param minimumRetryAfter when the caller may come back, at the least
+	 * Returns the final outcome when no further attempt is made. The attempt with the
+	 * worst evidence decides, not the last one: if a target refuses after an earlier
+	 * attempt was interrupted, the outcome must not be "not run", or the caller would
+	 * retry an order that may have run.
+	 * @param minimumRetryAfter the minimum Retry-After
 	 * @return the outcome
 	 */
 	RequestOutcome outcome(Duration minimumRetryAfter) {
--- a/src/main/java/sycamorehill/logic/request/FrameDecision.java
+++ b/src/main/java/sycamorehill/logic/request/FrameDecision.java
@@ -1,10 +1,10 @@
 package sycamorehill.logic.request;
 
 /**
- * A verdict on one frame and the relay after it.
+ * Decision on one frame, with the relay for the next frame.
  *
- * @param status what becomes of the frame
- * @param relay the relay for the next frame
+ * @param status the status of the frame
+ * @param relay the relay after the frame
  */
 public record FrameDecision(FrameStatus status, TokenRelay relay) {
 
--- a/src/main/java/sycamorehill/logic/request/FrameStatus.java
+++ b/src/main/java/sycamorehill/logic/request/FrameStatus.java
@@ -1,26 +1,32 @@
 package sycamorehill.logic.request;
 
 /**
- * What becomes of one frame of an answer.
+ * Status of one frame of an answer, which decides whether it is delivered.
  */
 public enum FrameStatus {
 
-	/** The token goes to the caller. */
+	/** The token is the next one and is delivered to the caller. */
 	DELIVER,
 
-	/** It belongs to an attempt that was given up or has ended, or to no attempt. */
+	/**
+	 * The frame does not belong to the current attempt, or the answer is already
+	 * complete. It is dropped.
+	 */
 	STALE,
 
-	/** The caller has this index already. */
+	/** The caller has already received the token with this index. */
 	DUPLICATE,
 
-	/** An index is missing before it: the attempt is broken. */
+	/** A token before this one is missing, so the attempt has failed. */
 	GAP,
 
-	/** The end mark, and every token before it was delivered. */
+	/** The end mark arrived after all tokens were delivered. */
 	COMPLETE,
 
-	/** An end mark that does not fit what was delivered: the attempt is broken. */
+	/**
+	 * The end mark does not match the number of delivered tokens, so the attempt has
+	 * failed.
+	 */
 	TRUNCATED
 
 }
--- a/src/main/java/sycamorehill/logic/request/NodeStop.java
+++ b/src/main/java/sycamorehill/logic/request/NodeStop.java
@@ -10,7 +10,7 @@
 import sycamorehill.model.request.RefusalReason;
 
 /**
- * A planned stop: the process ends when nothing is in flight any more.
+ * Graceful shutdown: the process exits when no request is in flight any more.
  */
 final class NodeStop {
 
@@ -24,10 +24,10 @@
 	}
 
 	/**
-	 * Ends the process once the grace is over and nothing is in flight. An idle node that
-	 * exited at once would cut off the requests that the balancer, which has not yet
-	 * noticed, still sends to it.
-	 * @param step the step
+	 * Exits once the grace period is over and no request is in flight, or once the time
+	 * limit for the shutdown is reached. An idle node must not exit at once: the load
+	 * balancer has not noticed the shutdown yet, and its next requests would be lost.
+	 * @param step the current step
 	 */
 	static void exitIfDrained(RequestStep step) {
 		if (step.state().stop().isEmpty() || step.state().stop().get().exited()) {
--- a/src/main/java/sycamorehill/logic/request/RequestReducer.java
+++ b/src/main/java/sycamorehill/logic/request/RequestReducer.java
@@ -19,8 +19,9 @@
 import sycamorehill.model.request.RequestOutcome;
 
 /**
- * The life of a request: attempts, retries, resumes and its outcome. A request is kept
- * from its arrival to its final answer, of which there is exactly one.
+ * Controls the life cycle of requests: attempts, retries, resumed streams and outcome. A
+ * request is kept from its arrival to its final answer. Each request has exactly one
+ * final answer.
  */
 public final class RequestReducer implements Reducer<RequestState> {
 
@@ -110,9 +111,9 @@
 	}
 
 	private static void handleClearedAfterFinish(RequestStep step, RequestEvent.Cleared event) {
-		// The caller went away while the request was queued or its order was being
-		// claimed, so it has its final answer already. The claim would be held for
-		// ever if nobody told the orders that nothing will run.
+		// The caller disconnected while the request was queued or its order was being
+		// claimed, so the request already has its final answer. Without this event, the
+		// claim of the order would never be released.
 		RequestOutcome notRun = new RequestOutcome.NotRun(
 				Refusal.of(RefusalReason.CALLER_GONE, "the caller went away before it was sent"));
 		step.raise(new RequestEvent.Finished(event.request(), event.handling(), notRun, 0, Optional.empty()));
@@ -133,8 +134,8 @@
 	}
 
 	private static void handleRefused(RequestStep step, ActiveRequest request, RequestOutcome outcome) {
-		// Another part refused the request. If an attempt may have run before, "not run"
-		// would be false, and the attempts decide.
+		// Another reducer refused the request. If an attempt may have run before, "not
+		// run" would be wrong, so the history of the attempts decides.
 		if (request.history().started() > 0 && outcome instanceof RequestOutcome.NotRun notRun) {
 			AttemptHistory history = request.running().isPresent() ? request.history().withAttemptAbandoned()
 					: request.history();
@@ -146,9 +147,9 @@
 	}
 
 	private static void handleCallerGone(RequestStep step, ActiveRequest request) {
-		// Work that may be repeated is cancelled when its caller has gone, as nobody will
-		// read it. An order that was sent runs on: to break it off could leave half of it
-		// done, and its answer is kept for the caller's next call.
+		// An idempotent request is cancelled when its caller disconnects, because nobody
+		// reads the answer. An order that was sent runs on: cancelling it could leave it
+		// half done, and its answer is kept for the caller's retry.
 		if (request.running().isPresent() && !request.isIdempotent()) {
 			step.putRequest(request.withCallerGone());
 			return;
--- a/src/main/java/sycamorehill/logic/request/RequestState.java
+++ b/src/main/java/sycamorehill/logic/request/RequestState.java
@@ -13,15 +13,16 @@
 import sycamorehill.model.identity.ServiceName;
 
 /**
- * State of the part: the life of a request: attempts, retries, resumes and its outcome.
+ * State of the request reducer: active requests, retry budgets and a graceful shutdown.
  *
- * @param active requests without a final answer
- * @param attempts the request of each attempt under way
- * @param wakeups when requests are looked at again
- * @param budgets further attempts left by service
- * @param attemptsDrawn attempts identified in this life of the node
- * @param random the random numbers to come
- * @param stop how far a planned stop has come, if the node was told to stop
+ * @param active the requests without a final answer
+ * @param attempts the request of each running attempt
+ * @param wakeups the scheduled checks of requests
+ * @param budgets the retry budgets by service
+ * @param attemptsDrawn the number of attempt identifiers issued in this incarnation of
+ * the node
+ * @param random the sequence of random numbers
+ * @param stop the progress of a graceful shutdown, if one was requested
  */
 public record RequestState(PMap<RequestIdentifier, ActiveRequest> active,
 		PMap<AttemptIdentifier, RequestIdentifier> attempts, PSortedSet<Wakeup> wakeups,
@@ -29,7 +30,7 @@
 		Optional<StopProgress> stop) {
 
 	/**
-	 * The state of a fresh node.
+	 * Returns the initial state of a node.
 	 * @return the state before the first event
 	 */
 	public static RequestState initial() {
@@ -38,8 +39,8 @@
 	}
 
 	/**
-	 * How many requests have no final answer yet.
-	 * @return the number, queued ones among them
+	 * Returns the number of requests without a final answer.
+	 * @return the number, including queued requests
 	 */
 	public int inFlight() {
 		return this.active.size();
@@ -66,10 +67,10 @@
 	}
 
 	/**
-	 * Puts a request in its present form in place of its earlier one, and keeps the
-	 * indexes by attempt and by time in step with it.
+	 * Returns the state with a request added or replaced, and the indexes by attempt and
+	 * by time updated.
 	 * @param request the request
-	 * @return the state with it
+	 * @return the new state
 	 */
 	RequestState with(ActiveRequest request) {
 		RequestState cleared = without(request.identifier());
--- a/src/main/java/sycamorehill/logic/request/RequestStep.java
+++ b/src/main/java/sycamorehill/logic/request/RequestStep.java
@@ -28,8 +28,7 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * Collects the changes and effects of one step of the request part; it lives no longer
- * than the step.
+ * Accumulates the state changes and effects of one step of the request reducer.
  */
 final class RequestStep {
 
@@ -80,8 +79,8 @@
 	}
 
 	/**
-	 * Sends the request to a target, or has it wait for one.
-	 * @param request the request, without an attempt under way
+	 * Sends a request to a target, or lets it wait for one.
+	 * @param request the request, without a running attempt
 	 */
 	void startOrAwaitTarget(ActiveRequest request) {
 		if (this.view.quarantined(request.description().fingerprint())) {
@@ -109,13 +108,14 @@
 	}
 
 	/**
-	 * The targets that a request must not be sent to. Failure: while a service is rolled
-	 * to another model version, a stream that broke midway would go on with tokens of the
-	 * other model; the caller would see one answer, whole by its end mark, made of two.
-	 * So what has begun goes on only on the version that it began with, or ends in an
-	 * error.
+	 * Returns the targets that a request must not be sent to. A stream that has started
+	 * may only resume on the model version that it started with; otherwise it ends in an
+	 * error. During a rollout of another version, it would otherwise continue with tokens
+	 * of the other model, and the caller would receive a seemingly complete answer made
+	 * of two.
 	 * @param request the request
-	 * @return targets that have failed it, and those with another version
+	 * @return the targets that have failed the request, and those with another model
+	 * version
 	 */
 	Set<TargetName> excludedTargets(ActiveRequest request) {
 		Set<TargetName> excluded = new HashSet<>(request.history().failedTargets());
@@ -168,10 +168,10 @@
 	}
 
 	/**
-	 * Gives the request its final answer. It is forgotten in the same step, so that there
-	 * is no second one.
+	 * Finishes a request with its final answer. The request is removed in the same step,
+	 * so that it has no second answer.
 	 * @param request the request
-	 * @param outcome the answer
+	 * @param outcome the outcome
 	 */
 	void finish(ActiveRequest request, RequestOutcome outcome) {
 		finish(request, outcome, Optional.empty());
@@ -192,9 +192,9 @@
 	}
 
 	/**
-	 * When a caller that is refused may come back: spread out, so that callers refused
-	 * together do not come back together.
-	 * @return the time
+	 * Returns the Retry-After for a refused caller. It is jittered, so that callers
+	 * refused together do not retry together.
+	 * @return the delay
 	 */
 	Duration retryAfter() {
 		return jittered(policy().comeBack().multipliedBy(2));
--- a/src/main/java/sycamorehill/logic/request/RetryBudget.java
+++ b/src/main/java/sycamorehill/logic/request/RetryBudget.java
@@ -3,14 +3,13 @@
 import sycamorehill.model.policy.RetryBudgetPolicy;
 
 /**
- * What is left of a service's further attempts. First attempts earn a fraction of one
- * each.
+ * Retry budget of a service. Each first attempt adds a fraction of one retry to it.
  * <p>
- * Without it, targets that slow down make requests time out, each of them is sent again,
- * and the targets get several times the load that slowed them down. With it, what is sent
- * is at most the offered load and the ratio on top, after one burst.
+ * Without a budget, requests to slow targets time out and are all retried, which
+ * multiplies the load that slowed the targets down. With it, the load after an initial
+ * burst is at most the offered load plus the configured ratio of it.
  *
- * @param left attempts left
+ * @param left the number of retries left, including a fraction
  */
 record RetryBudget(double left) {
 
--- a/src/main/java/sycamorehill/logic/request/RetryRule.java
+++ b/src/main/java/sycamorehill/logic/request/RetryRule.java
@@ -9,7 +9,7 @@
 import sycamorehill.model.request.AttemptResult;
 
 /**
- * Decides whether a request gets a further attempt, and when.
+ * Decides whether and when a request is retried.
  */
 final class RetryRule {
 
@@ -17,10 +17,10 @@
 	}
 
 	/**
-	 * Has the request tried again, or gives it its final answer at once.
-	 * @param step the step
-	 * @param request the request, whose last attempt is in its history
-	 * @param result how that attempt ended
+	 * Schedules a retry of the request, or finishes it immediately.
+	 * @param step the current step
+	 * @param request the request, with its last attempt in the history
+	 * @param result the result of the last attempt
 	 */
 	static void retryOrFinish(RequestStep step, ActiveRequest request, AttemptResult result) {
 		ServiceName service = request.description().service();
@@ -49,11 +49,10 @@
 	}
 
 	private static boolean isRetryAllowed(RequestStep step, ActiveRequest request, AttemptResult result) {
-		// Whether the kind of work and of failure allow a further attempt. Work that
-		// is not idempotent may go to another target only if the one before certainly
-		// did not run it: it was never connected to, or it said itself that it
-		// refused before running. After a broken answer it may have run, so a further
-		// attempt would run the order twice.
+		// A request that is not idempotent may be retried only if the previous target
+		// certainly did not run it: no connection was established, or the target refused
+		// it before running it. After an interrupted answer it may have run, so a retry
+		// could run the order twice.
 		if (request.callerGone() || request.history().started() >= step.policy().mostAttempts()) {
 			return false;
 		}
@@ -63,15 +62,15 @@
 	}
 
 	private static boolean isTargetAvailable(RequestStep step, ActiveRequest request) {
-		// A stream that has begun waits a little for a target; any other request is
-		// better told at once than after a wait for nothing.
+		// A stream that has started waits briefly for a target. Any other request fails
+		// immediately rather than after a futile wait.
 		return request.hasBegun() || step.chooseTarget(request).isPresent();
 	}
 
 	private static Duration backoff(RequestStep step, ActiveRequest request, AttemptResult result) {
-		// Nothing for the first retry after a target that is gone, as waiting would
-		// not help it; else a wait that doubles, with jitter, so that a target that
-		// is overloaded or slow is not asked by all at one moment.
+		// The first retry after the loss of a target has no delay, because waiting would
+		// not help. Other retries use exponential backoff with jitter, so that they don't
+		// reach an overloaded or slow target at the same moment.
 		int ended = request.history().started();
 		if (ended == 1 && isTargetGone(result)) {
 			return Duration.ZERO;
--- a/src/main/java/sycamorehill/logic/request/RunEvidence.java
+++ b/src/main/java/sycamorehill/logic/request/RunEvidence.java
@@ -1,17 +1,17 @@
 package sycamorehill.logic.request;
 
 /**
- * What the attempts so far say about whether the request ran, from the best to the worst.
+ * Evidence of whether a request ran, ordered from best to worst.
  */
 enum RunEvidence {
 
-	/** No target ran it. */
+	/** No target ran the request. */
 	NOT_RUN,
 
-	/** A target ran it and failed. */
+	/** A target ran the request and failed. */
 	FAILED,
 
-	/** A target may have run it, or may be running it still. */
+	/** A target may have run the request, or may still be running it. */
 	UNKNOWN;
 
 	RunEvidence worseOf(RunEvidence other) {
--- a/src/main/java/sycamorehill/logic/request/RunningAttempt.java
+++ b/src/main/java/sycamorehill/logic/request/RunningAttempt.java
@@ -4,10 +4,10 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * The attempt that is under way.
+ * The running attempt of a request.
  *
- * @param identifier the attempt
- * @param target where it runs
+ * @param identifier the identifier of the attempt
+ * @param target the target that the attempt was sent to
  */
 record RunningAttempt(AttemptIdentifier identifier, ServingTarget target) {
 
--- a/src/main/java/sycamorehill/logic/request/ServiceBudgets.java
+++ b/src/main/java/sycamorehill/logic/request/ServiceBudgets.java
@@ -3,12 +3,12 @@
 import sycamorehill.model.policy.RequestPolicy;
 
 /**
- * The two budgets of one service. Streams that have begun have their own, larger one: the
- * loss of one target breaks all its streams at once, and only a part of their work is
- * repeated.
+ * The two retry budgets of one service. Started streams have their own, larger budget:
+ * the loss of one target interrupts all its streams at once, and resuming them repeats
+ * only part of the computation.
  *
- * @param retries for requests that start from the beginning
- * @param resumes for streams that have begun
+ * @param retries the budget for requests that restart from the beginning
+ * @param resumes the budget for streams that have started
  */
 record ServiceBudgets(RetryBudget retries, RetryBudget resumes) {
 
--- a/src/main/java/sycamorehill/logic/request/StopProgress.java
+++ b/src/main/java/sycamorehill/logic/request/StopProgress.java
@@ -3,10 +3,10 @@
 import java.time.Instant;
 
 /**
- * How far a planned stop has come.
+ * Progress of a graceful shutdown.
  *
- * @param since when the node was told to stop
- * @param exited whether the process was told to end
+ * @param since the monotonic time at which the shutdown was requested
+ * @param exited whether the exit of the process was requested
  */
 public record StopProgress(Instant since, boolean exited) {
 
--- a/src/main/java/sycamorehill/logic/request/TokenRelay.java
+++ b/src/main/java/sycamorehill/logic/request/TokenRelay.java
@@ -5,19 +5,19 @@
 import sycamorehill.model.identity.AttemptIdentifier;
 
 /**
- * Decides for one request which tokens of its attempts reach the caller. Only frames of
- * the present attempt count, each index goes out once and in order, and the answer is
- * whole only with an end mark that fits the tokens delivered.
+ * Decides for one request which tokens of its attempts are delivered to the caller. Only
+ * frames of the current attempt are accepted, each index is delivered once and in order,
+ * and the answer is complete only with an end mark that matches the number of delivered
+ * tokens.
  *
- * @param attempt the attempt whose frames count, empty between attempts
- * @param nextIndex the index that the caller needs next, and that a further attempt
- * resumes from
- * @param complete whether the caller has the whole answer
+ * @param attempt the current attempt, empty between attempts
+ * @param nextIndex the index of the next token to deliver, from which a retry resumes
+ * @param complete whether the caller has received the complete answer
  */
 public record TokenRelay(Optional<AttemptIdentifier> attempt, int nextIndex, boolean complete) {
 
 	/**
-	 * The relay of a request that has no attempt yet.
+	 * Creates the relay of a request without attempts.
 	 * @return the relay
 	 */
 	public static TokenRelay create() {
@@ -25,44 +25,44 @@
 	}
 
 	/**
-	 * Begins an attempt; the one before it no longer counts.
-	 * @param started the attempt
-	 * @return the relay with it
+	 * Returns the relay with a new current attempt. Frames of the previous attempt are no
+	 * longer accepted.
+	 * @param started the new attempt
+	 * @return the new relay
 	 */
 	public TokenRelay startAttempt(AttemptIdentifier started) {
 		return new TokenRelay(Optional.of(started), this.nextIndex, this.complete);
 	}
 
 	/**
-	 * Ends an attempt, because it broke, ended or was cancelled: nothing of it counts any
-	 * more.
-	 * @param ended the attempt; another than the present one changes nothing
-	 * @return the relay without it
+	 * Returns the relay without an attempt that completed, failed or was cancelled. Its
+	 * frames are no longer accepted.
+	 * @param ended the attempt; ignored unless it is the current one
+	 * @return the new relay
 	 */
 	public TokenRelay endAttempt(AttemptIdentifier ended) {
 		return isCurrent(ended) ? new TokenRelay(Optional.empty(), this.nextIndex, this.complete) : this;
 	}
 
 	/**
-	 * Takes in a token.
-	 * @param from the attempt that it came with
-	 * @param index its place in the whole answer, from 0
-	 * @return what becomes of it
+	 * Checks a token.
+	 * @param from the attempt that sent the token
+	 * @param index the index of the token in the complete answer, from 0
+	 * @return the decision on the token
 	 */
 	public FrameDecision acceptToken(AttemptIdentifier from, int index) {
-		// A late frame of an abandoned attempt, or of another request over a
-		// connection that is used again, would show the caller a doubled or foreign
-		// token. Attempt identifiers are never drawn twice, so comparing them keeps
-		// both out.
+		// A late frame of an abandoned attempt, or of another request on a reused
+		// connection, would give the caller a duplicate token or one of another answer.
+		// Attempt identifiers are unique, so comparing them rejects both.
 		if (!isCurrent(from) || this.complete) {
 			return new FrameDecision(FrameStatus.STALE, this);
 		}
-		// A target that starts over instead of resuming, or sends a frame twice, would
-		// double tokens. The index tells.
+		// A target may start over instead of resuming, or send a frame twice. Its
+		// duplicate tokens have a lower index.
 		if (index < this.nextIndex) {
 			return new FrameDecision(FrameStatus.DUPLICATE, this);
 		}
-		// A lost or overtaking frame would leave a hole that the caller can not see.
+		// A lost or reordered frame would leave a gap that the caller cannot detect.
 		if (index > this.nextIndex) {
 			return new FrameDecision(FrameStatus.GAP, this);
 		}
@@ -70,16 +70,17 @@
 	}
 
 	/**
-	 * Takes in an end mark.
-	 * @param from the attempt that it came with
-	 * @param tokens how many tokens the whole answer has
-	 * @return whether the answer is whole
+	 * Checks an end mark.
+	 * @param from the attempt that sent the end mark
+	 * @param tokens the number of tokens of the complete answer
+	 * @return the decision on the end mark
 	 */
 	public FrameDecision acceptEndMark(AttemptIdentifier from, int tokens) {
 		if (!isCurrent(from) || this.complete) {
 			return new FrameDecision(FrameStatus.STALE, this);
 		}
-		// An end that overtakes the last tokens would make a cut answer look whole.
+		// An end mark that arrives before the last tokens would make a truncated answer
+		// look complete.
 		if (tokens != this.nextIndex) {
 			return new FrameDecision(FrameStatus.TRUNCATED, this);
 		}
--- a/src/main/java/sycamorehill/logic/request/Wakeup.java
+++ b/src/main/java/sycamorehill/logic/request/Wakeup.java
@@ -6,9 +6,9 @@
 import sycamorehill.model.identity.RequestIdentifier;
 
 /**
- * When a request is looked at again.
+ * Scheduled check of a request.
  *
- * @param at the time
+ * @param at the monotonic time of the check
  * @param request the request
  */
 public record Wakeup(Instant at, RequestIdentifier request) implements Comparable<Wakeup> {
--- a/src/main/java/sycamorehill/logic/request/package-info.java
+++ b/src/main/java/sycamorehill/logic/request/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The life of a request: attempts, retries, resumes and its outcome.
+ * Request life cycle: attempts, retries, resumed streams and the final outcome.
  */
 package sycamorehill.logic.request;
--- a/src/test/java/sycamorehill/logic/health/HealthHarness.java
+++ b/src/test/java/sycamorehill/logic/health/HealthHarness.java
@@ -19,7 +19,7 @@
 import sycamorehill.support.SampleRequests;
 
 /**
- * Feeds attempts to the health part alone.
+ * Runs the health reducer on its own with simulated attempts and time.
  */
 final class HealthHarness {
 
--- a/src/test/java/sycamorehill/logic/health/HealthReducerTests.java
+++ b/src/test/java/sycamorehill/logic/health/HealthReducerTests.java
@@ -66,8 +66,8 @@
 		assertThat(this.run.usable(this.targets)).doesNotContain(this.first);
 	}
 
-	// A target comes back after a pause, gets all the waiting work at once, and falls
-	// over again: callers see one failure after another.
+	// A target that receives all waiting requests as soon as it returns is overloaded and
+	// fails again.
 	@Test
 	void returningTargetStartsWithOneRequest() {
 		fail(this.first);
@@ -82,8 +82,8 @@
 		assertThat(this.run.usable(this.targets)).contains(this.first);
 	}
 
-	// All targets of a service come back together after an outage. Each has its one
-	// request, and callers hear "no target" although all are idle but for it.
+	// After an outage all targets return together, each with an allowance of one request.
+	// Enforcing the allowances would refuse callers although the targets have capacity.
 	@Test
 	void allowanceIsIgnoredWhenAllTargetsAreAtTheirAllowance() {
 		fail(this.first);
@@ -91,8 +91,9 @@
 		assertThat(this.run.usable(List.of(this.first))).containsExactly(this.first);
 	}
 
-	// This node's link to the other data centres breaks. Every target behind it
-	// fails, all are put aside, and callers hear "no target" although some are well.
+	// When this node's link to the other data centres fails, every target behind it
+	// fails. If all were ejected, callers would be refused although some targets are
+	// healthy.
 	@Test
 	void failuresEjectAtMostTwoThirdsOfTheTargets() {
 		this.targets.forEach(this::fail);
@@ -126,8 +127,8 @@
 		assertThat(this.run.usable(nine)).hasSize(6);
 	}
 
-	// A target pauses with requests on it. No answer is slow, because none comes, and it
-	// goes on getting its share of all work until each request has run out of patience.
+	// A paused target completes no answer, so there is no slow sample. Unless overdue
+	// first tokens count, it keeps receiving its share of requests until they time out.
 	@Test
 	void pausedTargetIsEjectedBeforeItsRequestsTimeOut() {
 		measureAll(0);
@@ -157,8 +158,9 @@
 		assertThat(this.run.usable(this.targets)).doesNotContain(this.first);
 	}
 
-	// A group is rebuilt after its leaving member was replaced. It stays empty,
-	// because the word about its earlier generation is taken for the new one.
+	// A group is formed again after a leaving member was replaced. If the leaving notice
+	// of the earlier generation applied to the new one, the group would receive no
+	// requests.
 	@Test
 	void leavingNoticeOfAnEarlierGenerationDoesNotAffectALaterOne() {
 		GroupName name = GroupName.of(GroupSetName.of("s"), 0);
--- a/src/test/java/sycamorehill/logic/quarantine/QuarantineReducerTests.java
+++ b/src/test/java/sycamorehill/logic/quarantine/QuarantineReducerTests.java
@@ -67,8 +67,8 @@
 		assertThat(this.state.isSuspect(CRASHING, this.now)).isFalse();
 	}
 
-	// The callers whose requests ran beside the guilty one go on waiting for a place
-	// to run alone, although it is known by now what crashed the target.
+	// Requests that ran beside the crashing content would keep waiting for an isolation
+	// slot although the cause of the crash is known.
 	@Test
 	void harmlessContentIsClearedWhenTheCrashingContentIsFound() {
 		AttemptIdentifier crashing = start(CRASHING, FIRST);
@@ -82,9 +82,9 @@
 		assertThat(this.state.isSuspect(HARMLESS, this.now)).isFalse();
 	}
 
-	// The word about a death comes back from the arbiter after the content has been sent
-	// again. If its time counted, the next death would look like the first, and a third
-	// target would die.
+	// The arbiter's report of a crash arrives after the content has been sent again. If
+	// it replaced the time of the crash, the next crash would be taken for the first one,
+	// and a third target would crash.
 	@Test
 	void repeatedReportOfACrashKeepsItsFirstTime() {
 		this.view.live(new LiveNode(FixedView.of("n2").self(), false, Instant.EPOCH));
@@ -98,8 +98,8 @@
 		assertThat(this.state.isQuarantined(CRASHING, this.now)).isTrue();
 	}
 
-	// A fabric domain goes dark. A common prompt ran on several of its targets, and all
-	// callers that send it are refused for a day.
+	// When a fabric domain fails, a common prompt may have run on several of its targets.
+	// Quarantining it would refuse all its callers for a day.
 	@Test
 	void contentIsNotQuarantinedForAMassCrash() {
 		report("t1", "a");
@@ -117,8 +117,8 @@
 		assertThat(this.state.isQuarantined(CRASHING, this.now)).isTrue();
 	}
 
-	// A plain service crashes and is up again within a second. Its next answer looks
-	// like a sign that it never died, and the content crashes it again and again.
+	// A plain service crashes and restarts within a second. If its next answer were taken
+	// as a sign that it never crashed, the content would crash it repeatedly.
 	@Test
 	void answerOfARestartedTargetDoesNotClearTheContent() {
 		loseConnection(start(CRASHING, FIRST), CRASHING, FIRST);
@@ -139,8 +139,8 @@
 		assertThat(this.state.isSuspect(CRASHING, this.now)).isFalse();
 	}
 
-	// This node's link to a group breaks, and what ran there is held to have killed it,
-	// while other nodes see the group serve.
+	// This node's network link to a group fails while other nodes observe that the group
+	// serves. The content that ran there must not be blamed for a crash.
 	@Test
 	void freshObservationOfTheTargetClearsTheContent() {
 		VmName member = VmName.of("v1");
@@ -154,8 +154,8 @@
 		assertThat(this.state.isSuspect(CRASHING, this.now)).isFalse();
 	}
 
-	// A caller sends its content every hour. The quarantine lapses after a day, and
-	// two more targets die.
+	// A caller keeps sending its content. If the quarantine expired after a day
+	// nevertheless, two more targets would crash.
 	@Test
 	void quarantineIsExtendedWhileTheContentIsSent() {
 		receive(new ContentQuarantined(new QuarantineEntry(CRASHING, Duration.ofHours(24)), List.of()));
--- a/src/test/java/sycamorehill/logic/request/RequestHarness.java
+++ b/src/test/java/sycamorehill/logic/request/RequestHarness.java
@@ -22,7 +22,7 @@
 import sycamorehill.support.FixedView;
 
 /**
- * Feeds events to the request part alone and keeps what came out.
+ * Runs the request reducer on its own and records its effects and events.
  */
 final class RequestHarness {
 
--- a/src/test/java/sycamorehill/logic/request/RequestReducerTests.java
+++ b/src/test/java/sycamorehill/logic/request/RequestReducerTests.java
@@ -57,9 +57,9 @@
 			.containsExactly(TargetName.of("t1"), TargetName.of("t2"));
 	}
 
-	// A caller reads one answer whose first half is of one model version and whose
-	// second half is of another. A service is rolled to a new version, a stream
-	// breaks midway, and the nearest target has the new version already.
+	// During a rollout, a stream is interrupted and the nearest target already has the
+	// new model version. Resuming there would give the caller an answer mixed from two
+	// versions.
 	@Test
 	void interruptedStreamResumesOnlyOnItsModelVersion() {
 		setModelVersions("1", "2", "1");
@@ -99,17 +99,17 @@
 		assertThat(this.run.starts()).extracting(RequestEffect.StartAttempt::attempt).doesNotHaveDuplicates();
 	}
 
-	// A caller is told that its order was not run, sends it again, and it is
-	// delivered twice. The first attempt broke off after it was sent, the second
-	// target refused, and only the last answer was passed on.
+	// The first attempt is interrupted after the order was sent, and the second target
+	// refuses. Answering "not run" would let the caller repeat an order that may have
+	// run.
 	@Test
 	void refusalAfterAnInterruptedAttemptIsUnknown() {
 		this.run.clear(this.request, Handling.REPEATABLE).end(CONNECTION_LOST).end(REFUSED);
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.Unknown.class);
 	}
 
-	// A booking is made twice: the connection broke after the target had got it, and it
-	// was sent to a second target.
+	// If the connection is lost after the target received the order, sending it to a
+	// second target could run it twice.
 	@Test
 	void interruptedOrderIsNotRetried() {
 		this.run.clear(this.request, Handling.ONCE_WITH_KEY).end(CONNECTION_LOST).advance(Duration.ofMinutes(1));
@@ -173,9 +173,8 @@
 		assertThat(this.run.effects()).contains(new RequestEffect.CancelAttempt(attempt));
 	}
 
-	// A caller hangs up while its order runs and asks again with the same key. It hears
-	// "unknown" for ever, because the order was cancelled half way and its answer
-	// dropped.
+	// A caller disconnects while its order runs and retries with the same key. Cancelling
+	// the order and dropping its answer would leave the outcome unknown for ever.
 	@Test
 	void orderRunsOnAfterItsCallerDisconnectedAndItsAnswerIsKept() {
 		Optional<RecordedAnswer> answer = Optional.of(new RecordedAnswer(200, "text/plain", "booked"));
@@ -185,8 +184,8 @@
 		assertThat(this.run.finished()).extracting(RequestEvent.Finished::answer).containsExactly(answer);
 	}
 
-	// A caller leaves while its order is being claimed, and its next call with the
-	// same key hears "still running" for ever, because nobody releases the claim.
+	// A caller disconnects while its order is being claimed. If the claim were not
+	// released, retries with the same key would be answered "still running" for ever.
 	@Test
 	void orderClearedAfterItsCallerDisconnectedIsNotSentAndIsReportedAsNotRun() {
 		this.run.feed(new RequestEvent.Arrived(this.request))
@@ -207,8 +206,8 @@
 		assertThat(this.run.outcomes()).containsExactly(refusal);
 	}
 
-	// An order that has been sent is told "not run", because another part refused it
-	// late.
+	// A late refusal by another reducer must not report an order that was already sent as
+	// "not run".
 	@Test
 	void refusalByAnotherReducerWhileAnAttemptRunsIsUnknown() {
 		RequestOutcome refusal = new RequestOutcome.NotRun(Refusal.of(RefusalReason.OVERLOADED, "full"));
@@ -245,8 +244,8 @@
 		assertThat(this.run.starts()).isEmpty();
 	}
 
-	// All targets slow down, every request times out and is sent again, and the
-	// targets get three times the load that slowed them down.
+	// All targets slow down and every request times out. Unlimited retries would triple
+	// the load that slowed the targets down.
 	@Test
 	void retriesStopWhenTheRetryBudgetIsExhausted() {
 		for (int number = 0; number < 100; number++) {
--- a/src/test/java/sycamorehill/logic/request/TokenRelayTests.java
+++ b/src/test/java/sycamorehill/logic/request/TokenRelayTests.java
@@ -23,15 +23,16 @@
 		assertThat(this.oneDelivered.acceptToken(FIRST, 1).status()).isEqualTo(FrameStatus.DELIVER);
 	}
 
-	// A caller reads a word twice: the second target started over instead of resuming.
+	// A second target that starts over instead of resuming must not give the caller
+	// duplicate tokens.
 	@Test
 	void indexIsDeliveredOnce() {
 		assertThat(this.oneDelivered.startAttempt(SECOND).acceptToken(SECOND, 0).status())
 			.isEqualTo(FrameStatus.DUPLICATE);
 	}
 
-	// A caller reads a word of another answer: the abandoned attempt's target woke up and
-	// sent on while the second attempt was under way.
+	// The target of an abandoned attempt may continue to send while the second attempt
+	// runs.
 	@Test
 	void lateTokenOfAnAbandonedAttemptIsDropped() {
 		assertThat(this.oneDelivered.startAttempt(SECOND).acceptToken(FIRST, 1).status()).isEqualTo(FrameStatus.STALE);
@@ -58,8 +59,8 @@
 		assertThat(this.oneDelivered.acceptEndMark(FIRST, 1).relay().complete()).isTrue();
 	}
 
-	// A caller takes half a delivery note for the whole: the end mark overtook the last
-	// tokens.
+	// An end mark that arrives before the last tokens must not make a truncated answer
+	// look complete.
 	@Test
 	void endMarkBeforeTheLastTokenDoesNotCompleteTheAnswer() {
 		assertThat(this.oneDelivered.acceptEndMark(FIRST, 2).status()).isEqualTo(FrameStatus.TRUNCATED);
