--- a/src/main/java/sycamorehill/gateway/ChatExchange.java
+++ b/src/main/java/sycamorehill/gateway/ChatExchange.java
@@ -60,7 +60,7 @@
 		long generation = effect.target().group().map(GroupIdentity::generation).orElse(0L);
 		this.relay = this.relay.startAttempt(effect.attempt());
 		CompletionCall completion = new CompletionCall(effect.attempt(), generation, this.call.prompt(),
-				request.maximumTokens(), this.relay.nextIndex(), request.priority(), effect.patience());
+				request.maximumTokens(), this.relay.nextIndex(), request.priority(), effect.readTimeout());
 		this.handle = this.engines.complete(effect.target().address(), completion, listener(effect.attempt()));
 	}
 
@@ -105,13 +105,13 @@
 		}
 		if (decision.status() == FrameStatus.GAP) {
 			this.handle.cancel();
-			over(attempt, new AttemptResult.Broken(false, "a token is missing before index " + index));
+			over(attempt, new AttemptResult.Interrupted(false, "a token is missing before index " + index));
 		}
 		return false;
 	}
 
 	private synchronized void end(AttemptIdentifier attempt, AttemptResult result) {
-		if (!(result instanceof AttemptResult.Whole whole)) {
+		if (!(result instanceof AttemptResult.Completed whole)) {
 			over(attempt, result);
 			return;
 		}
@@ -121,7 +121,7 @@
 			ended(attempt, result);
 		}
 		else if (decision.status() == FrameStatus.TRUNCATED) {
-			over(attempt, new AttemptResult.Broken(false, "the end mark does not fit the tokens that came"));
+			over(attempt, new AttemptResult.Interrupted(false, "the end mark does not fit the tokens that came"));
 		}
 	}
 
--- a/src/main/java/sycamorehill/logic/health/HealthStep.java
+++ b/src/main/java/sycamorehill/logic/health/HealthStep.java
@@ -67,7 +67,7 @@
 	}
 
 	void handleAttemptClosed(RequestEvent.AttemptClosed event) {
-		if (event.result() instanceof AttemptResult.Whole) {
+		if (event.result() instanceof AttemptResult.Completed) {
 			handleFirstToken(event.attempt());
 		}
 		this.state = this.state.without(event.attempt());
@@ -84,10 +84,10 @@
 	}
 
 	private TargetHealth healthAfter(TargetName name, TargetHealth health, AttemptResult result) {
-		if (result instanceof AttemptResult.Whole) {
+		if (result instanceof AttemptResult.Completed) {
 			return health.withSuccess(this.policy.fullAllowance());
 		}
-		if (result instanceof AttemptResult.NothingSent || result instanceof AttemptResult.Broken) {
+		if (result instanceof AttemptResult.NotSent || result instanceof AttemptResult.Interrupted) {
 			return ejectIfFailing(name, health.withConnectionFailure());
 		}
 		return (result instanceof AttemptResult.FailedWhileRunning) ? ejectIfFailing(name, health.withRunFailure())
--- a/src/main/java/sycamorehill/logic/order/ClaimRules.java
+++ b/src/main/java/sycamorehill/logic/order/ClaimRules.java
@@ -7,8 +7,8 @@
 import sycamorehill.model.identity.NodeIncarnation;
 import sycamorehill.model.membership.LiveNode;
 import sycamorehill.model.order.OrderClaim;
+import sycamorehill.model.order.OrderClaimDecision;
 import sycamorehill.model.order.OrderStatus;
-import sycamorehill.model.order.OrderVerdict;
 import sycamorehill.model.peer.OrderClaimReply;
 import sycamorehill.model.peer.OrderSettlementReply;
 import sycamorehill.model.peer.PeerMessage;
@@ -17,9 +17,9 @@
 import sycamorehill.model.request.RecordedAnswer;
 
 /**
- * What an operation does to the claim of its key. A claim only goes from claimed to
- * recorded, released or unknown; a new claim replaces only a released one. So a key that
- * may have run is never granted again.
+ * Decides how an operation changes the claim of its key. A claim changes only from
+ * claimed to recorded, released or unknown, and only a released claim is replaced by a
+ * new one. A key whose order may have run is therefore never granted again.
  */
 final class ClaimRules {
 
@@ -37,54 +37,57 @@
 	}
 
 	/**
-	 * Decides.
-	 * @param existing the claim as it stands, or null
+	 * Decides the result of an operation.
+	 * @param existing the current claim of the key, or null if there is none
 	 * @param operation the operation
-	 * @return what to write and what to answer
+	 * @return the claim to write and the messages to send
 	 */
 	Decision decide(OrderClaim existing, ShardOperation operation) {
 		if (operation instanceof ShardOperation.Claim claim) {
-			return claim(existing, claim);
+			return decideClaim(existing, claim);
 		}
-		return settle(existing, (ShardOperation.Settle) operation);
+		return decideSettlement(existing, (ShardOperation.Settle) operation);
 	}
 
-	private Decision claim(OrderClaim existing, ShardOperation.Claim operation) {
+	private Decision decideClaim(OrderClaim existing, ShardOperation.Claim operation) {
 		boolean own = existing != null && existing.mark().equals(operation.mark());
 		if (existing == null || existing.status() == OrderStatus.RELEASED) {
-			// The mark was released because its caller heard "not run": to grant it now
-			// would leave a claim that nobody runs and nobody settles.
-			return own ? verdict(operation, OrderVerdict.NOT_TAKEN, Optional.empty()) : grant(operation);
+			// A mark is released after its caller was answered "not run". Granting
+			// it now would create a claim that no node runs or settles.
+			return own ? replyOnly(operation, OrderClaimDecision.NOT_TAKEN, Optional.empty()) : grant(operation);
 		}
 		if (!existing.fingerprint().equals(operation.fingerprint())) {
-			return verdict(operation, OrderVerdict.KEY_REUSED, Optional.empty());
+			return replyOnly(operation, OrderClaimDecision.KEY_REUSED, Optional.empty());
 		}
 		return switch (existing.status()) {
-			case RECORDED -> verdict(operation, OrderVerdict.RECORDED, existing.answer());
-			case UNKNOWN -> verdict(operation, OrderVerdict.UNKNOWN, Optional.empty());
-			default -> own ? verdict(operation, OrderVerdict.GRANTED, Optional.empty()) : held(existing, operation);
+			case RECORDED -> replyOnly(operation, OrderClaimDecision.RECORDED, existing.answer());
+			case UNKNOWN -> replyOnly(operation, OrderClaimDecision.UNKNOWN, Optional.empty());
+			default -> own ? replyOnly(operation, OrderClaimDecision.GRANTED, Optional.empty())
+					: decideHeld(existing, operation);
 		};
 	}
 
 	private Decision grant(ShardOperation.Claim operation) {
 		OrderClaim claim = new OrderClaim(operation.key(), operation.fingerprint(), operation.requester().incarnation(),
 				operation.mark(), OrderStatus.CLAIMED, Optional.empty(), this.wallClock);
-		return Decision.of(Optional.of(claim), reply(operation, OrderVerdict.GRANTED, Optional.empty()));
+		return Decision.of(Optional.of(claim), claimReply(operation, OrderClaimDecision.GRANTED, Optional.empty()));
 	}
 
-	// The holder may have sent the order just before it died, so it is never given to
-	// another: that would run it twice. A live holder is reminded of its claim: if the
-	// grant was lost after its caller had heard "not run", it does not know of the claim,
-	// and every later call would hear "still running" for ever; now it releases it.
-	private Decision held(OrderClaim existing, ShardOperation.Claim operation) {
-		Optional<NodeIdentity> holder = alive(existing.holder());
-		OrderVerdict verdict = holder.isPresent() ? OrderVerdict.RUNNING : OrderVerdict.UNKNOWN;
+	// The holder may have sent the order just before it crashed. The claim is
+	// therefore never granted to another call, or the order could run twice. A live
+	// holder is sent its grant again: if the first grant was lost after the caller
+	// was answered "not run", the holder does not know of the claim, and every later
+	// call would be answered "still running" forever. The repeated grant makes such
+	// a holder release the claim.
+	private Decision decideHeld(OrderClaim existing, ShardOperation.Claim operation) {
+		Optional<NodeIdentity> holder = liveNode(existing.holder());
+		OrderClaimDecision verdict = holder.isPresent() ? OrderClaimDecision.RUNNING : OrderClaimDecision.UNKNOWN;
 		Optional<ShardBatch.Reply> reminder = holder.map((node) -> new ShardBatch.Reply(node,
-				new OrderClaimReply(existing.key(), existing.mark(), OrderVerdict.GRANTED, Optional.empty())));
-		return new Decision(Optional.empty(), reply(operation, verdict, Optional.empty()), reminder);
+				new OrderClaimReply(existing.key(), existing.mark(), OrderClaimDecision.GRANTED, Optional.empty())));
+		return new Decision(Optional.empty(), claimReply(operation, verdict, Optional.empty()), reminder);
 	}
 
-	private Optional<NodeIdentity> alive(NodeIncarnation holder) {
+	private Optional<NodeIdentity> liveNode(NodeIncarnation holder) {
 		if (holder.equals(this.view.self().incarnation())) {
 			return Optional.of(this.view.self());
 		}
@@ -93,13 +96,13 @@
 			.filter((node) -> node.incarnation().equals(holder));
 	}
 
-	private Decision settle(OrderClaim existing, ShardOperation.Settle operation) {
+	private Decision decideSettlement(OrderClaim existing, ShardOperation.Settle operation) {
 		PeerMessage done = new OrderSettlementReply(operation.key(), operation.mark());
 		if (existing != null && existing.mark().equals(operation.mark())) {
-			// Only the incarnation that holds the claim knows what came of it. A
-			// grant that reaches the node after a restart looks to the new
-			// incarnation like one that was given up, and its release would let the
-			// order run twice.
+			// Only the incarnation that holds the claim knows the outcome. After a
+			// restart, the new incarnation takes a late grant for the grant of an
+			// abandoned request and releases it. Accepting that release would let
+			// the order run twice.
 			boolean holder = existing.holder().equals(operation.requester().incarnation());
 			return (holder && existing.status() == OrderStatus.CLAIMED)
 					? Decision.of(Optional.of(settled(existing, operation)), done)
@@ -108,8 +111,8 @@
 		boolean free = existing == null || existing.status() == OrderStatus.RELEASED;
 		if (free && operation.status() == OrderStatus.RELEASED) {
 			// A write of the claim whose answer was lost may still take effect.
-			// Writing the release decides it: one of the two writes fails on the
-			// page's version.
+			// Writing the release resolves the race: one of the two writes fails
+			// because of the page version.
 			return Decision.of(Optional.of(released(operation)), done);
 		}
 		return Decision.of(Optional.empty(), done);
@@ -125,21 +128,24 @@
 				operation.mark(), OrderStatus.RELEASED, Optional.empty(), this.wallClock);
 	}
 
-	private static Decision verdict(ShardOperation operation, OrderVerdict verdict, Optional<RecordedAnswer> answer) {
-		return Decision.of(Optional.empty(), reply(operation, verdict, answer));
+	private static Decision replyOnly(ShardOperation operation, OrderClaimDecision verdict,
+			Optional<RecordedAnswer> answer) {
+		return Decision.of(Optional.empty(), claimReply(operation, verdict, answer));
 	}
 
-	static PeerMessage reply(ShardOperation operation, OrderVerdict verdict, Optional<RecordedAnswer> answer) {
+	static PeerMessage claimReply(ShardOperation operation, OrderClaimDecision verdict,
+			Optional<RecordedAnswer> answer) {
 		OrderKey key = operation.key();
 		return new OrderClaimReply(key, operation.mark(), verdict, answer);
 	}
 
 	/**
-	 * What an operation comes to.
+	 * Holds the result of an operation.
 	 *
 	 * @param change the claim to write, empty if nothing changes
-	 * @param reply what the requester hears, after the write if there is one
-	 * @param reminder what the holder of the key's claim hears, if another call met it
+	 * @param reply the reply to the requester, sent after the write if there is one
+	 * @param reminder the grant to send again to the claim's holder, if another call
+	 * found the key claimed
 	 */
 	record Decision(Optional<OrderClaim> change, PeerMessage reply, Optional<ShardBatch.Reply> reminder) {
 
--- a/src/main/java/sycamorehill/logic/order/Shard.java
+++ b/src/main/java/sycamorehill/logic/order/Shard.java
@@ -15,23 +15,24 @@
 import sycamorehill.model.request.OrderKey;
 
 /**
- * What one node knows of one shard, and the operations that wait for its next write.
+ * Holds what this node knows of a shard and the operations that wait for its next write.
  *
- * @param number the shard
- * @param claims every claim that is kept, by key
- * @param sealed the pages before the last one
+ * @param number the number of the shard
+ * @param claims the known claims, by key
+ * @param sealed the sealed pages, by page number
  * @param head the last page, if there is one
  * @param stale whether the pages must be read before the next write
- * @param confirmedAt own monotonic time of the last look at the platform
- * @param waitingClaims claims that wait for a write
- * @param waitingSettlements settlements that wait for a write
- * @param call the platform call under way, at most one
- * @param paceAt when the next write would be due at an even pace
- * @param backoffUntil no call before this time
- * @param failures failed calls since the last good one
- * @param wakeAt when there is something to do next
+ * @param confirmedAt when the last call that confirmed this view was sent to the
+ * platform, on this node's monotonic clock
+ * @param waitingClaims the claims that wait for a write
+ * @param waitingSettlements the settlements that wait for a write
+ * @param call the pending platform call, at most one
+ * @param paceAt when the next write is due if writes are evenly spaced
+ * @param backoffUntil the time before which no platform call is sent
+ * @param failures the number of failed calls since the last successful one
+ * @param wakeAt when the shard is processed next
  */
-record Shard(int number, PMap<OrderKey, Kept> claims, TreePMap<Long, SealedPage> sealed, Optional<Head> head,
+record Shard(int number, PMap<OrderKey, StoredClaim> claims, TreePMap<Long, SealedPage> sealed, Optional<HeadPage> head,
 		boolean stale, Instant confirmedAt, PVector<ShardOperation.Claim> waitingClaims,
 		PVector<ShardOperation.Settle> waitingSettlements, Optional<ShardCall> call, Instant paceAt,
 		Instant backoffUntil, int failures, Optional<Instant> wakeAt) {
@@ -41,21 +42,21 @@
 				TreePVector.empty(), TreePVector.empty(), Optional.empty(), now, now, 0, Optional.empty());
 	}
 
-	boolean idle() {
+	boolean isIdle() {
 		return this.waitingClaims.isEmpty() && this.waitingSettlements.isEmpty();
 	}
 
-	int waiting() {
+	int waitingCount() {
 		return this.waitingClaims.size() + this.waitingSettlements.size();
 	}
 
-	long headPage() {
+	long headPageNumber() {
 		return this.head.map((last) -> last.value().page()).orElse(0L);
 	}
 
 	OrderClaim claim(OrderKey key) {
-		Kept kept = this.claims.get(key);
-		return (kept != null) ? kept.claim() : null;
+		StoredClaim stored = this.claims.get(key);
+		return (stored != null) ? stored.claim() : null;
 	}
 
 	Shard withWaiting(PVector<ShardOperation.Claim> claims, PVector<ShardOperation.Settle> settlements) {
@@ -63,67 +64,67 @@
 				settlements, this.call, this.paceAt, this.backoffUntil, this.failures, this.wakeAt);
 	}
 
-	Shard withCall(Optional<ShardCall> changed) {
+	Shard withCall(Optional<ShardCall> value) {
 		return new Shard(this.number, this.claims, this.sealed, this.head, this.stale, this.confirmedAt,
-				this.waitingClaims, this.waitingSettlements, changed, this.paceAt, this.backoffUntil, this.failures,
+				this.waitingClaims, this.waitingSettlements, value, this.paceAt, this.backoffUntil, this.failures,
 				this.wakeAt);
 	}
 
-	Shard withStale() {
+	Shard asStale() {
 		return new Shard(this.number, this.claims, this.sealed, this.head, true, this.confirmedAt, this.waitingClaims,
 				this.waitingSettlements, this.call, this.paceAt, this.backoffUntil, this.failures, this.wakeAt);
 	}
 
-	Shard confirmed(Instant at) {
+	Shard withConfirmedAt(Instant at) {
 		return new Shard(this.number, this.claims, this.sealed, this.head, false, at, this.waitingClaims,
 				this.waitingSettlements, this.call, this.paceAt, this.backoffUntil, 0, this.wakeAt);
 	}
 
-	Shard withPace(Instant changed) {
+	Shard withPace(Instant value) {
 		return new Shard(this.number, this.claims, this.sealed, this.head, this.stale, this.confirmedAt,
-				this.waitingClaims, this.waitingSettlements, this.call, changed, this.backoffUntil, this.failures,
+				this.waitingClaims, this.waitingSettlements, this.call, value, this.backoffUntil, this.failures,
 				this.wakeAt);
 	}
 
-	Shard failed(Instant until) {
+	Shard withFailure(Instant until) {
 		return new Shard(this.number, this.claims, this.sealed, this.head, this.stale, this.confirmedAt,
 				this.waitingClaims, this.waitingSettlements, this.call, this.paceAt, until, this.failures + 1,
 				this.wakeAt);
 	}
 
-	Shard withWakeAt(Optional<Instant> changed) {
+	Shard withWakeAt(Optional<Instant> value) {
 		return new Shard(this.number, this.claims, this.sealed, this.head, this.stale, this.confirmedAt,
 				this.waitingClaims, this.waitingSettlements, this.call, this.paceAt, this.backoffUntil, this.failures,
-				changed);
+				value);
 	}
 
 	/**
-	 * Takes a page in that was read or written.
+	 * Adds a page that was read or written.
 	 * @param page the page
-	 * @param version its version
-	 * @param changes its claims that may be new here
-	 * @param now own monotonic time
-	 * @return the shard with the page as its last
+	 * @param version the version of the page in the platform
+	 * @param changes the claims of the page that may be new to this node
+	 * @param now the current time on this node's monotonic clock
+	 * @return the shard with the page as its head page
 	 */
 	Shard withPage(OrderShard page, long version, Map<OrderKey, OrderClaim> changes, Instant now) {
-		PMap<OrderKey, Kept> known = this.claims;
+		PMap<OrderKey, StoredClaim> known = this.claims;
 		for (Map.Entry<OrderKey, OrderClaim> change : changes.entrySet()) {
-			known = known.plus(change.getKey(), new Kept(change.getValue(), page.page()));
+			known = known.plus(change.getKey(), new StoredClaim(change.getValue(), page.page()));
 		}
 		TreePMap<Long, SealedPage> pages = this.sealed;
 		if (page.sealed() && !pages.containsKey(page.page())) {
 			pages = pages.plus(page.page(), new SealedPage(version, now, page.claims()));
 		}
-		return new Shard(this.number, known, pages, Optional.of(new Head(version, page)), this.stale, this.confirmedAt,
-				this.waitingClaims, this.waitingSettlements, this.call, this.paceAt, this.backoffUntil, this.failures,
-				this.wakeAt);
+		return new Shard(this.number, known, pages, Optional.of(new HeadPage(version, page)), this.stale,
+				this.confirmedAt, this.waitingClaims, this.waitingSettlements, this.call, this.paceAt,
+				this.backoffUntil, this.failures, this.wakeAt);
 	}
 
 	Shard withoutPage(long page) {
-		PMap<OrderKey, Kept> known = this.claims;
+		PMap<OrderKey, StoredClaim> known = this.claims;
 		for (OrderKey key : this.sealed.get(page).claims().keySet()) {
-			Kept kept = known.get(key);
-			if (kept != null && kept.page() == page) {
+			StoredClaim stored = known.get(key);
+			if (stored != null && stored.page() == page) {
 				known = known.minus(key);
 			}
 		}
@@ -133,30 +134,30 @@
 	}
 
 	/**
-	 * A claim and the last page that holds it.
+	 * Holds a claim and the last page that contains it.
 	 *
 	 * @param claim the claim
-	 * @param page the page
+	 * @param page the number of the page
 	 */
-	record Kept(OrderClaim claim, long page) {
+	record StoredClaim(OrderClaim claim, long page) {
 	}
 
 	/**
-	 * The last page.
+	 * Holds the last page of a shard.
 	 *
-	 * @param version its version in the platform
+	 * @param version the version of the page in the platform
 	 * @param value the page
 	 */
-	record Head(long version, OrderShard value) {
+	record HeadPage(long version, OrderShard value) {
 	}
 
 	/**
-	 * A page that never changes again.
+	 * Describes a sealed page, which never changes again.
 	 *
-	 * @param version its version in the platform
-	 * @param seenAt own monotonic time at which it was first seen sealed: all its claims
-	 * are older
-	 * @param claims its claims
+	 * @param version the version of the page in the platform
+	 * @param seenAt when this node first saw the page sealed, on its monotonic clock; all
+	 * claims of the page are older
+	 * @param claims the claims of the page
 	 */
 	record SealedPage(long version, Instant seenAt, PMap<OrderKey, OrderClaim> claims) {
 	}
--- a/src/main/java/sycamorehill/logic/quarantine/Arbiter.java
+++ b/src/main/java/sycamorehill/logic/quarantine/Arbiter.java
@@ -70,7 +70,7 @@
 	}
 
 	private static void reserveSlot(QuarantineStep step, IsolationAsked ask, TargetName target) {
-		Instant until = step.now().plus(step.policy().slotTime());
+		Instant until = step.now().plus(step.policy().maximumIsolationTime());
 		IsolationSlot slot = new IsolationSlot(target, ask.service(), ask.fingerprint(), ask.request(), until);
 		step.replaceState(step.state().withArbiter(step.state().arbiter().withSlot(slot)));
 	}
--- a/src/main/java/sycamorehill/logic/quarantine/IsolationClient.java
+++ b/src/main/java/sycamorehill/logic/quarantine/IsolationClient.java
@@ -77,7 +77,7 @@
 			releaseSlot(step, message.service(), name, message.fingerprint());
 			return;
 		}
-		Instant until = step.now().plus(step.policy().slotTime());
+		Instant until = step.now().plus(step.policy().maximumIsolationTime());
 		IsolationSlot slot = new IsolationSlot(name, message.service(), message.fingerprint(), message.request(),
 				until);
 		step.replaceState(step.state().withHeld(step.state().held().plus(message.request(), slot)));
--- a/src/main/java/sycamorehill/logic/quarantine/QuarantineReducer.java
+++ b/src/main/java/sycamorehill/logic/quarantine/QuarantineReducer.java
@@ -98,14 +98,14 @@
 			return;
 		}
 		step.replaceState(step.state().withRunning(step.state().running().minus(attempt)));
-		if (event.result() instanceof AttemptResult.Whole) {
+		if (event.result() instanceof AttemptResult.Completed) {
 			CrashDetection.handleAnswer(step, content);
 			if (step.suspect(content.fingerprint()).isPresent()) {
 				step.clearSuspect(content.fingerprint());
 				CrashDetection.reportCleared(step, content.target().service(), content.fingerprint());
 			}
 		}
-		else if (event.result() instanceof AttemptResult.Broken broken && broken.connectionLost()) {
+		else if (event.result() instanceof AttemptResult.Interrupted broken && broken.connectionLost()) {
 			CrashDetection.handleConnectionLost(step, content);
 		}
 		IsolationClient.removeRequest(step, content.request());
--- a/src/main/java/sycamorehill/logic/request/ActiveRequest.java
+++ b/src/main/java/sycamorehill/logic/request/ActiveRequest.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 import sycamorehill.model.identity.RequestIdentifier;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RequestDescription;
 
 /**
@@ -25,7 +25,7 @@
  * @param wakeAt the monotonic time of the next check of the request, unless an event
  * comes first
  */
-public record ActiveRequest(RequestDescription description, Optional<Handling> handling,
+public record ActiveRequest(RequestDescription description, Optional<Idempotency> handling,
 		Optional<RunningAttempt> running, AttemptHistory history, Optional<String> begunWith, boolean callerGone,
 		boolean isolated, Instant giveUpAt, Optional<Instant> wakeAt) {
 
@@ -47,10 +47,10 @@
 	}
 
 	boolean isIdempotent() {
-		return this.handling.equals(Optional.of(Handling.REPEATABLE));
+		return this.handling.equals(Optional.of(Idempotency.REPEATABLE));
 	}
 
-	ActiveRequest withClearance(Handling idempotency, Instant until) {
+	ActiveRequest withClearance(Idempotency idempotency, Instant until) {
 		return new ActiveRequest(this.description, Optional.of(idempotency), this.running, this.history, this.begunWith,
 				this.callerGone, this.isolated, until, this.wakeAt);
 	}
--- a/src/main/java/sycamorehill/model/effect/OperatorEffect.java
+++ b/src/main/java/sycamorehill/model/effect/OperatorEffect.java
@@ -2,7 +2,7 @@
 
 import sycamorehill.model.identity.OperatorCallIdentifier;
 import sycamorehill.model.ticket.FilingOutcome;
-import sycamorehill.model.ticket.TicketForce;
+import sycamorehill.model.ticket.TicketRollout;
 
 /**
  * Answers to operators.
@@ -22,9 +22,9 @@
 	 * Answers where a ticket is in force.
 	 *
 	 * @param call the waiting operator
-	 * @param force where it is in force
+	 * @param rollout where it is in force
 	 */
-	record AnswerForce(OperatorCallIdentifier call, TicketForce force) implements OperatorEffect {
+	record AnswerForce(OperatorCallIdentifier call, TicketRollout rollout) implements OperatorEffect {
 	}
 
 }
--- a/src/test/java/sycamorehill/history/HistoryNode.java
+++ b/src/test/java/sycamorehill/history/HistoryNode.java
@@ -115,7 +115,7 @@
 		this.targets.put(attempt, target);
 		int resumeFrom = caller.relay.nextIndex();
 		this.world.later(() -> target.take(this, caller, attempt, resumeFrom));
-		this.world.at(start.patience(), () -> checkStall(attempt, start.patience()));
+		this.world.at(start.readTimeout(), () -> checkStall(attempt, start.readTimeout()));
 	}
 
 	private void checkStall(AttemptIdentifier attempt, Duration patience) {
@@ -125,7 +125,7 @@
 		}
 		Duration silent = Duration.between(caller.lastByteAt, this.world.now());
 		if (silent.compareTo(patience) >= 0) {
-			ended(attempt, new AttemptResult.Broken(false, "nothing came"));
+			ended(attempt, new AttemptResult.Interrupted(false, "nothing came"));
 		}
 		else {
 			this.world.at(patience.minus(silent), () -> checkStall(attempt, patience));
@@ -152,7 +152,7 @@
 			}
 		}
 		else if (decision.status() == FrameStatus.GAP) {
-			ended(attempt, new AttemptResult.Broken(false, "a token is missing"));
+			ended(attempt, new AttemptResult.Interrupted(false, "a token is missing"));
 		}
 	}
 
@@ -167,10 +167,10 @@
 		}
 		FrameStatus verdict = caller.relay.acceptEndMark(attempt, tokens).status();
 		if (verdict == FrameStatus.COMPLETE) {
-			ended(attempt, new AttemptResult.Whole(tokens, Optional.empty()));
+			ended(attempt, new AttemptResult.Completed(tokens, Optional.empty()));
 		}
 		else if (verdict == FrameStatus.TRUNCATED) {
-			ended(attempt, new AttemptResult.Broken(false, "the end came too early"));
+			ended(attempt, new AttemptResult.Interrupted(false, "the end came too early"));
 		}
 	}
 
--- a/src/test/java/sycamorehill/logic/health/HealthHarness.java
+++ b/src/test/java/sycamorehill/logic/health/HealthHarness.java
@@ -23,7 +23,7 @@
  */
 final class HealthHarness {
 
-	private static final AttemptResult COMPLETED = new AttemptResult.Whole(1, Optional.empty());
+	private static final AttemptResult COMPLETED = new AttemptResult.Completed(1, Optional.empty());
 
 	private static final RequestDescription REQUEST = SampleRequests.request("n1", 1, "a");
 
--- a/src/test/java/sycamorehill/logic/order/OrderNode.java
+++ b/src/test/java/sycamorehill/logic/order/OrderNode.java
@@ -23,7 +23,7 @@
 import sycamorehill.model.policy.Policy;
 
 /**
- * One node of a history: a state, a clock of its own and what waits while it is paused.
+ * Simulates one node: its state, its clock and the tasks that wait while it is paused.
  */
 final class OrderNode {
 
@@ -41,7 +41,7 @@
 
 	private OrderState state = OrderState.initial();
 
-	private LiveNodes liveNodes = LiveNodes.none();
+	private LiveNodes liveNodes = LiveNodes.empty();
 
 	private boolean paused;
 
@@ -80,9 +80,9 @@
 		this.paused = false;
 	}
 
-	void see(List<NodeIdentity> alive) {
+	void updateLiveNodes(List<NodeIdentity> live) {
 		TreePMap<NodeName, LiveNode> nodes = TreePMap.empty();
-		for (NodeIdentity node : alive) {
+		for (NodeIdentity node : live) {
 			nodes = nodes.plus(node.incarnation().node(), new LiveNode(node, false, Instant.EPOCH));
 		}
 		this.liveNodes = new LiveNodes(nodes);
@@ -95,8 +95,8 @@
 		return step.effects();
 	}
 
-	NodeIdentity keeperOf(int shard) {
-		return ShardPlacement.keeper(shard, new OrderTrialView(this.identity, this.policy, this.liveNodes));
+	NodeIdentity ownerOf(int shard) {
+		return ShardPlacement.owner(shard, new OrderTrialView(this.identity, this.policy, this.liveNodes));
 	}
 
 	void pause() {
@@ -108,19 +108,20 @@
 	}
 
 	/**
-	 * Runs something in this process, or later if it is paused, or never if it has died.
-	 * @param incarnation the process that it belongs to
-	 * @param work what runs
+	 * Runs a task in a process of this node. The task waits while the node is paused and
+	 * is dropped if the process has ended.
+	 * @param incarnation the incarnation of the process
+	 * @param task the task
 	 */
-	void run(NodeIncarnation incarnation, Runnable work) {
+	void run(NodeIncarnation incarnation, Runnable task) {
 		if (!incarnation.equals(incarnation())) {
 			return;
 		}
 		if (this.paused) {
-			this.waiting.add(work);
+			this.waiting.add(task);
 			return;
 		}
-		work.run();
+		task.run();
 	}
 
 	void runWaiting() {
--- a/src/test/java/sycamorehill/logic/request/RequestReducerTests.java
+++ b/src/test/java/sycamorehill/logic/request/RequestReducerTests.java
@@ -13,7 +13,7 @@
 import sycamorehill.model.identity.AttemptIdentifier;
 import sycamorehill.model.identity.TargetName;
 import sycamorehill.model.request.AttemptResult;
-import sycamorehill.model.request.Handling;
+import sycamorehill.model.request.Idempotency;
 import sycamorehill.model.request.RecordedAnswer;
 import sycamorehill.model.request.Refusal;
 import sycamorehill.model.request.RefusalReason;
@@ -25,14 +25,14 @@
 
 class RequestReducerTests {
 
-	private static final AttemptResult CONNECTION_LOST = new AttemptResult.Broken(true, "reset");
+	private static final AttemptResult CONNECTION_LOST = new AttemptResult.Interrupted(true, "reset");
 
-	private static final AttemptResult STALLED = new AttemptResult.Broken(false, "nothing came");
+	private static final AttemptResult STALLED = new AttemptResult.Interrupted(false, "nothing came");
 
 	private static final AttemptResult REFUSED = new AttemptResult.RefusedBeforeRunning(false, Duration.ofSeconds(7),
 			"full");
 
-	private static final AttemptResult NOTHING_SENT = new AttemptResult.NothingSent("connection refused");
+	private static final AttemptResult NOTHING_SENT = new AttemptResult.NotSent("connection refused");
 
 	private final RequestDescription request = SampleRequests.request("n1", 1, "a");
 
@@ -46,13 +46,13 @@
 
 	@Test
 	void completeAnswerCompletesTheRequest() {
-		this.run.clear(this.request, Handling.REPEATABLE).end(new AttemptResult.Whole(5, Optional.empty()));
+		this.run.clear(this.request, Idempotency.REPEATABLE).end(new AttemptResult.Completed(5, Optional.empty()));
 		assertThat(this.run.outcomes()).containsExactly(new RequestOutcome.Completed());
 	}
 
 	@Test
 	void interruptedStreamResumesOnAnotherTarget() {
-		this.run.clear(this.request, Handling.REPEATABLE).firstToken().end(3, CONNECTION_LOST);
+		this.run.clear(this.request, Idempotency.REPEATABLE).firstToken().end(3, CONNECTION_LOST);
 		assertThat(this.run.starts()).extracting((start) -> start.target().name())
 			.containsExactly(TargetName.of("t1"), TargetName.of("t2"));
 	}
@@ -63,7 +63,7 @@
 	@Test
 	void interruptedStreamResumesOnlyOnItsModelVersion() {
 		setModelVersions("1", "2", "1");
-		this.run.clear(this.request, Handling.REPEATABLE).firstToken().end(3, CONNECTION_LOST);
+		this.run.clear(this.request, Idempotency.REPEATABLE).firstToken().end(3, CONNECTION_LOST);
 		assertThat(this.run.starts()).extracting((start) -> start.target().name())
 			.containsExactly(TargetName.of("t1"), TargetName.of("t3"));
 	}
@@ -71,7 +71,7 @@
 	@Test
 	void interruptedStreamWithoutATargetOfItsModelVersionFails() {
 		setModelVersions("1", "2", "2");
-		this.run.clear(this.request, Handling.REPEATABLE)
+		this.run.clear(this.request, Idempotency.REPEATABLE)
 			.firstToken()
 			.end(3, CONNECTION_LOST)
 			.advance(Duration.ofSeconds(30));
@@ -81,7 +81,7 @@
 	@Test
 	void requestWithoutTokensMayBeRetriedOnAnotherModelVersion() {
 		setModelVersions("1", "2", "2");
-		this.run.clear(this.request, Handling.REPEATABLE).end(0, CONNECTION_LOST).advance(Duration.ofSeconds(1));
+		this.run.clear(this.request, Idempotency.REPEATABLE).end(0, CONNECTION_LOST).advance(Duration.ofSeconds(1));
 		assertThat(this.run.starts()).extracting((start) -> start.target().name())
 			.containsExactly(TargetName.of("t1"), TargetName.of("t2"));
 	}
@@ -95,7 +95,7 @@
 
 	@Test
 	void attemptIdentifiersAreUnique() {
-		this.run.clear(this.request, Handling.REPEATABLE).end(CONNECTION_LOST);
+		this.run.clear(this.request, Idempotency.REPEATABLE).end(CONNECTION_LOST);
 		assertThat(this.run.starts()).extracting(RequestEffect.StartAttempt::attempt).doesNotHaveDuplicates();
 	}
 
@@ -104,7 +104,7 @@
 	// run.
 	@Test
 	void refusalAfterAnInterruptedAttemptIsUnknown() {
-		this.run.clear(this.request, Handling.REPEATABLE).end(CONNECTION_LOST).end(REFUSED);
+		this.run.clear(this.request, Idempotency.REPEATABLE).end(CONNECTION_LOST).end(REFUSED);
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.Unknown.class);
 	}
 
@@ -112,25 +112,25 @@
 	// second target could run it twice.
 	@Test
 	void interruptedOrderIsNotRetried() {
-		this.run.clear(this.request, Handling.ONCE_WITH_KEY).end(CONNECTION_LOST).advance(Duration.ofMinutes(1));
+		this.run.clear(this.request, Idempotency.ONCE_WITH_KEY).end(CONNECTION_LOST).advance(Duration.ofMinutes(1));
 		assertThat(this.run.starts()).hasSize(1);
 	}
 
 	@Test
 	void failedOrderIsNotRetried() {
-		this.run.clear(this.request, Handling.ONCE_WITHOUT_KEY).end(new AttemptResult.FailedWhileRunning("error"));
+		this.run.clear(this.request, Idempotency.ONCE_WITHOUT_KEY).end(new AttemptResult.FailedWhileRunning("error"));
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.Failed.class);
 	}
 
 	@Test
 	void orderThatReachedNoTargetIsRetried() {
-		this.run.clear(this.request, Handling.ONCE_WITH_KEY).end(NOTHING_SENT);
+		this.run.clear(this.request, Idempotency.ONCE_WITH_KEY).end(NOTHING_SENT);
 		assertThat(this.run.starts()).hasSize(2);
 	}
 
 	@Test
 	void refusalByEveryTargetIsNotRun() {
-		this.run.clear(this.request, Handling.ONCE_WITH_KEY)
+		this.run.clear(this.request, Idempotency.ONCE_WITH_KEY)
 			.end(REFUSED)
 			.advance(Duration.ofSeconds(1))
 			.end(REFUSED)
@@ -141,7 +141,7 @@
 	@Test
 	void refusalCarriesTheRetryAfterOfTheTarget() {
 		this.run.view().targets().remove(1);
-		this.run.clear(this.request, Handling.REPEATABLE).end(REFUSED).advance(Duration.ofSeconds(1));
+		this.run.clear(this.request, Idempotency.REPEATABLE).end(REFUSED).advance(Duration.ofSeconds(1));
 		RequestOutcome.NotRun outcome = (RequestOutcome.NotRun) this.run.outcomes().get(0);
 		assertThat(outcome.refusal().retryAfter()).contains(Duration.ofSeconds(7));
 	}
@@ -149,7 +149,7 @@
 	@Test
 	void requestWaitsForATargetToAppear() {
 		this.run.view().targets().clear();
-		this.run.clear(this.request, Handling.REPEATABLE);
+		this.run.clear(this.request, Idempotency.REPEATABLE);
 		this.run.view().targets().add(SampleRequests.target("t3"));
 		this.run.advance(Duration.ofMillis(300));
 		assertThat(this.run.starts()).hasSize(1);
@@ -158,7 +158,7 @@
 	@Test
 	void requestWithoutTargetIsRefusedAfterABoundedWait() {
 		this.run.view().targets().clear();
-		this.run.clear(this.request, Handling.REPEATABLE).advance(Duration.ofSeconds(3));
+		this.run.clear(this.request, Idempotency.REPEATABLE).advance(Duration.ofSeconds(3));
 		assertThat(this.run.outcomes()).hasSize(1)
 			.first()
 			.isInstanceOfSatisfying(RequestOutcome.NotRun.class,
@@ -167,7 +167,7 @@
 
 	@Test
 	void disconnectedCallerCancelsItsAttempt() {
-		this.run.clear(this.request, Handling.REPEATABLE);
+		this.run.clear(this.request, Idempotency.REPEATABLE);
 		AttemptIdentifier attempt = this.run.lastAttempt();
 		this.run.feed(new RequestEvent.CallerGone(this.request.identifier()));
 		assertThat(this.run.effects()).contains(new RequestEffect.CancelAttempt(attempt));
@@ -178,9 +178,9 @@
 	@Test
 	void orderRunsOnAfterItsCallerDisconnectedAndItsAnswerIsKept() {
 		Optional<RecordedAnswer> answer = Optional.of(new RecordedAnswer(200, "text/plain", "booked"));
-		this.run.clear(this.request, Handling.ONCE_WITH_KEY)
+		this.run.clear(this.request, Idempotency.ONCE_WITH_KEY)
 			.feed(new RequestEvent.CallerGone(this.request.identifier()))
-			.end(new AttemptResult.Whole(0, answer));
+			.end(new AttemptResult.Completed(0, answer));
 		assertThat(this.run.finished()).extracting(RequestEvent.Finished::answer).containsExactly(answer);
 	}
 
@@ -190,11 +190,11 @@
 	void orderClearedAfterItsCallerDisconnectedIsNotSentAndIsReportedAsNotRun() {
 		this.run.feed(new RequestEvent.Arrived(this.request))
 			.feed(new RequestEvent.CallerGone(this.request.identifier()))
-			.feed(new RequestEvent.Cleared(this.request, Handling.ONCE_WITH_KEY));
+			.feed(new RequestEvent.Cleared(this.request, Idempotency.ONCE_WITH_KEY));
 		assertThat(this.run.starts()).isEmpty();
 		assertThat(this.run.finished()).last()
 			.satisfies((finished) -> assertThat(finished.outcome()).isInstanceOf(RequestOutcome.NotRun.class))
-			.satisfies((finished) -> assertThat(finished.handling()).isEqualTo(Handling.ONCE_WITH_KEY));
+			.satisfies((finished) -> assertThat(finished.handling()).isEqualTo(Idempotency.ONCE_WITH_KEY));
 	}
 
 	@Test
@@ -211,36 +211,38 @@
 	@Test
 	void refusalByAnotherReducerWhileAnAttemptRunsIsUnknown() {
 		RequestOutcome refusal = new RequestOutcome.NotRun(Refusal.of(RefusalReason.OVERLOADED, "full"));
-		this.run.clear(this.request, Handling.ONCE_WITH_KEY)
+		this.run.clear(this.request, Idempotency.ONCE_WITH_KEY)
 			.feed(new RequestEvent.Refused(this.request.identifier(), refusal));
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.Unknown.class);
 	}
 
 	@Test
 	void endOfAnAbandonedAttemptIsIgnored() {
-		this.run.clear(this.request, Handling.REPEATABLE);
+		this.run.clear(this.request, Idempotency.REPEATABLE);
 		AttemptIdentifier first = this.run.lastAttempt();
 		this.run.end(CONNECTION_LOST)
-			.feed(new RequestEvent.AttemptEnded(first, 5, new AttemptResult.Whole(5, Optional.empty())));
+			.feed(new RequestEvent.AttemptEnded(first, 5, new AttemptResult.Completed(5, Optional.empty())));
 		assertThat(this.run.outcomes()).isEmpty();
 	}
 
 	@Test
 	void answerWithoutTokensByItsDeadlineIsAbandoned() {
-		this.run.clear(this.request, Handling.REPEATABLE).advance(SampleRequests.DEADLINE);
+		this.run.clear(this.request, Idempotency.REPEATABLE).advance(SampleRequests.DEADLINE);
 		assertThat(this.run.outcomes()).hasSize(1).first().isInstanceOf(RequestOutcome.Unknown.class);
 	}
 
 	@Test
 	void answerThatHasBegunMayExceedItsDeadline() {
-		this.run.clear(this.request, Handling.REPEATABLE).firstToken().advance(SampleRequests.DEADLINE.multipliedBy(2));
+		this.run.clear(this.request, Idempotency.REPEATABLE)
+			.firstToken()
+			.advance(SampleRequests.DEADLINE.multipliedBy(2));
 		assertThat(this.run.outcomes()).isEmpty();
 	}
 
 	@Test
 	void quarantinedRequestIsNotSent() {
 		this.run.view().quarantine().add(this.request.fingerprint());
-		this.run.clear(this.request, Handling.REPEATABLE);
+		this.run.clear(this.request, Idempotency.REPEATABLE);
 		assertThat(this.run.starts()).isEmpty();
 	}
 
@@ -249,7 +251,7 @@
 	@Test
 	void retriesStopWhenTheRetryBudgetIsExhausted() {
 		for (int number = 0; number < 100; number++) {
-			this.run.clear(SampleRequests.request("n1", number, "c" + number), Handling.REPEATABLE)
+			this.run.clear(SampleRequests.request("n1", number, "c" + number), Idempotency.REPEATABLE)
 				.end(STALLED)
 				.advance(Duration.ofMillis(200));
 		}
@@ -258,12 +260,12 @@
 
 	@Test
 	void stoppingNodeFinishesRequestsInFlight() {
-		this.run.clear(this.request, Handling.REPEATABLE)
+		this.run.clear(this.request, Idempotency.REPEATABLE)
 			.firstToken()
 			.feed(new NodeEvent.StopRequested())
 			.advance(Duration.ofMinutes(1));
 		assertThat(this.run.effects()).doesNotContain(new NodeEffect.Exit());
-		this.run.end(new AttemptResult.Whole(5, Optional.empty())).advance(Duration.ofSeconds(1));
+		this.run.end(new AttemptResult.Completed(5, Optional.empty())).advance(Duration.ofSeconds(1));
 		assertThat(this.run.effects()).contains(new NodeEffect.Exit());
 	}
 
@@ -275,7 +277,7 @@
 
 	@Test
 	void stoppingNodeLogsAbortedRequestsAtItsTimeLimit() {
-		this.run.clear(this.request, Handling.REPEATABLE)
+		this.run.clear(this.request, Idempotency.REPEATABLE)
 			.firstToken()
 			.feed(new NodeEvent.StopRequested())
 			.advance(Duration.ofMinutes(11));
--- a/src/test/java/sycamorehill/logic/routing/TargetChooserTests.java
+++ b/src/test/java/sycamorehill/logic/routing/TargetChooserTests.java
@@ -15,8 +15,8 @@
 import sycamorehill.model.event.RequestEvent;
 import sycamorehill.model.group.EngineState;
 import sycamorehill.model.group.GroupIdentity;
+import sycamorehill.model.group.VmObservation;
 import sycamorehill.model.group.VmReport;
-import sycamorehill.model.group.VmSight;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.identity.AttemptIdentifier;
 import sycamorehill.model.identity.DataCentreName;
@@ -61,8 +61,9 @@
 	}
 
 	/**
-	 * A report says that a target is idle, and this node sends it one request after the
-	 * other until the next report: they all wait there, beside idle targets.
+	 * Guards against sending one request after another to a target whose last report
+	 * shows it idle. The requests would all wait there until the next report, beside idle
+	 * targets.
 	 */
 	@Test
 	void ownRequestsSinceTheReportCount() {
@@ -110,8 +111,9 @@
 	}
 
 	/**
-	 * A target answers eight times slower than its siblings with the same load. Without
-	 * its own ratio it draws as many requests as they do.
+	 * Guards against a slow target that receives as many requests as the others. It
+	 * answers eight times slower than they do under the same load, which only its own
+	 * ratio shows.
 	 */
 	@Test
 	void aTargetSlowerThanPredictedIsAvoided() {
@@ -138,8 +140,8 @@
 	}
 
 	/**
-	 * All callers share one long prefix. If it drew every request, one target would take
-	 * the whole load.
+	 * Guards against one target taking the whole load when all callers share a long
+	 * prefix.
 	 */
 	@Test
 	void aCachedPrefixDoesNotAttractRequestsToAnOverloadedTarget() {
@@ -198,7 +200,7 @@
 		this.state = this.reducer
 			.reduce(this.state, this.now,
 					new RequestEvent.AttemptClosed(request(number), attempt(number), target,
-							new AttemptResult.Whole(1, Optional.empty())),
+							new AttemptResult.Completed(1, Optional.empty())),
 					this.view)
 			.state();
 	}
@@ -212,8 +214,8 @@
 		GroupIdentity group = GroupIdentity.of(GroupName.of(GroupSetName.of("set"), number), 1);
 		VmReport report = new VmReport(vm, "life", EngineState.READY, Optional.of(group), false, running, queued, 0, 0,
 				1);
-		this.view.sight(new VmSight(report, this.now.plus(Duration.ofMillis(1))));
-		return new ServingTarget(group.name().target(), RequestFixtures.CHAT, DataCentreName.of(dataCentre),
+		this.view.sight(new VmObservation(report, this.now.plus(Duration.ofMillis(1))));
+		return new ServingTarget(group.name().targetName(), RequestFixtures.CHAT, DataCentreName.of(dataCentre),
 				Address.of("127.0.0.1", 1), Optional.of(group), List.of(vm));
 	}
 
