--- a/src/main/java/sycamorehill/logic/request/ActiveRequest.java
+++ b/src/main/java/sycamorehill/logic/request/ActiveRequest.java
@@ -8,25 +8,29 @@
 import sycamorehill.model.request.RequestDescription;
 
 /**
- * A request that has no final answer yet.
+ * A request without a final answer.
  *
  * @param description the request
- * @param handling how often it may be sent, once it has been cleared
- * @param running the attempt under way, if any
- * @param history the attempts that have ended
- * @param begunWith the model version that gave the first token, once the caller has one:
- * the rest of the answer must come from the same
- * @param callerGone whether the caller has gone; an order runs to its end nevertheless
- * @param isolated whether it has waited to run where no other suspect runs
- * @param giveUpAt until when it waits for a target
- * @param wakeAt when it is looked at again, if no event comes before
+ * @param handling whether and how the request may be repeated, known once it is cleared
+ * for sending
+ * @param running the running attempt, if any
+ * @param history the results of the ended attempts
+ * @param begunWith the model version that generated the first token, once the caller has
+ * received one; the rest of the answer must come from the same version
+ * @param callerGone whether the caller has disconnected; an order runs to its end
+ * nevertheless
+ * @param isolated whether the wait for a target without other suspects has started since
+ * the last attempt
+ * @param giveUpAt the monotonic time until which the request waits for a target
+ * @param wakeAt the monotonic time of the next check of the request, unless an event
+ * comes first
  */
 public record ActiveRequest(RequestDescription description, Optional<Idempotency> handling,
 		Optional<RunningAttempt> running, AttemptHistory history, Optional<String> begunWith, boolean callerGone,
 		boolean isolated, Instant giveUpAt, Optional<Instant> wakeAt) {
 
-	static ActiveRequest arrived(RequestDescription description) {
-		return new ActiveRequest(description, Optional.empty(), Optional.empty(), AttemptHistory.none(),
+	static ActiveRequest create(RequestDescription description) {
+		return new ActiveRequest(description, Optional.empty(), Optional.empty(), AttemptHistory.empty(),
 				Optional.empty(), false, false, description.deadline(), Optional.empty());
 	}
 
@@ -34,36 +38,37 @@
 		return this.description.identifier();
 	}
 
-	boolean begun() {
+	boolean hasBegun() {
 		return this.begunWith.isPresent();
 	}
 
-	private Optional<String> version() {
-		return begun() ? this.begunWith : this.running.map((attempt) -> attempt.target().modelVersion());
+	private Optional<String> modelVersion() {
+		return hasBegun() ? this.begunWith : this.running.map((attempt) -> attempt.target().modelVersion());
 	}
 
-	boolean repeatable() {
+	boolean isIdempotent() {
 		return this.handling.equals(Optional.of(Idempotency.REPEATABLE));
 	}
 
-	ActiveRequest cleared(Idempotency how, Instant until) {
-		return new ActiveRequest(this.description, Optional.of(how), this.running, this.history, this.begunWith,
+	ActiveRequest withClearance(Idempotency idempotency, Instant until) {
+		return new ActiveRequest(this.description, Optional.of(idempotency), this.running, this.history, this.begunWith,
 				this.callerGone, this.isolated, until, this.wakeAt);
 	}
 
-	ActiveRequest started(RunningAttempt attempt) {
-		return new ActiveRequest(this.description, this.handling, Optional.of(attempt), this.history.begun(),
-				this.begunWith, this.callerGone, this.isolated, this.giveUpAt, this.wakeAt);
+	ActiveRequest withAttemptStarted(RunningAttempt attempt) {
+		return new ActiveRequest(this.description, this.handling, Optional.of(attempt),
+				this.history.withAttemptStarted(), this.begunWith, this.callerGone, this.isolated, this.giveUpAt,
+				this.wakeAt);
 	}
 
-	ActiveRequest ended(AttemptHistory longer) {
-		return new ActiveRequest(this.description, this.handling, Optional.empty(), longer,
-				(longer.tokens() > 0) ? version() : this.begunWith, this.callerGone, this.isolated, this.giveUpAt,
-				this.wakeAt);
+	ActiveRequest withAttemptEnded(AttemptHistory newHistory) {
+		return new ActiveRequest(this.description, this.handling, Optional.empty(), newHistory,
+				(newHistory.tokens() > 0) ? modelVersion() : this.begunWith, this.callerGone, this.isolated,
+				this.giveUpAt, this.wakeAt);
 	}
 
 	ActiveRequest withBegun() {
-		return new ActiveRequest(this.description, this.handling, this.running, this.history, version(),
+		return new ActiveRequest(this.description, this.handling, this.running, this.history, modelVersion(),
 				this.callerGone, this.isolated, this.giveUpAt, this.wakeAt);
 	}
 
