--- a/src/main/java/sycamorehill/entry/EnginePort.java
+++ b/src/main/java/sycamorehill/entry/EnginePort.java
@@ -2,8 +2,8 @@
 
 import java.util.concurrent.CompletableFuture;
 
-import sycamorehill.model.serving.EngineCommand;
 import sycamorehill.model.serving.EngineCommandAnswer;
+import sycamorehill.model.serving.EngineCommandRequest;
 import sycamorehill.model.serving.EngineReport;
 import sycamorehill.model.serving.TargetAddress;
 
@@ -19,7 +19,7 @@
 	 * @param ordersAccepted the count of orders under which it is good
 	 * @return what became of it; never fails
 	 */
-	CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommand order, long ordersAccepted);
+	CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommandRequest order, long ordersAccepted);
 
 	/**
 	 * Asks for an engine's state.
--- a/src/main/java/sycamorehill/logic/layout/EngineCommandSender.java
+++ b/src/main/java/sycamorehill/logic/layout/EngineCommandSender.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 
 import sycamorehill.logic.Effects;
-import sycamorehill.model.serving.EngineCommand;
+import sycamorehill.model.serving.EngineCommandRequest;
 import sycamorehill.model.serving.EntryEffect;
 import sycamorehill.model.serving.TargetAddress;
 import sycamorehill.model.serving.TargetEntry;
@@ -38,7 +38,7 @@
 	 * @param effects receives the resulting effects
 	 * @return whether the command was sent
 	 */
-	boolean send(TargetEntry engine, EngineCommand command, Instant now, Effects effects) {
+	boolean send(TargetEntry engine, EngineCommandRequest command, Instant now, Effects effects) {
 		if (!isFree(engine, now)) {
 			return false;
 		}
@@ -60,7 +60,7 @@
 	 * @param now the current time
 	 * @param effects receives the resulting effects
 	 */
-	void sendWithoutCount(TargetEntry engine, EngineCommand command, Instant now, Effects effects) {
+	void sendWithoutCount(TargetEntry engine, EngineCommandRequest command, Instant now, Effects effects) {
 		this.tracker.recordCall(engine.name(), now);
 		effects.add(new EntryEffect.SendCommand(address(engine), command, EntryEffect.SendCommand.ANY_COUNT));
 	}
--- a/src/main/java/sycamorehill/logic/layout/FormingGroup.java
+++ b/src/main/java/sycamorehill/logic/layout/FormingGroup.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 import sycamorehill.model.identity.TargetName;
-import sycamorehill.model.serving.EngineCommand;
+import sycamorehill.model.serving.EngineCommandRequest;
 import sycamorehill.model.serving.ModelParameters;
 import sycamorehill.model.serving.TargetEntry;
 
@@ -35,8 +35,8 @@
 		return new FormingGroup(name, epoch, model, members);
 	}
 
-	EngineCommand.Join joinCommand() {
-		return new EngineCommand.Join(this.name, this.epoch, this.model.name(),
+	EngineCommandRequest.Join joinCommand() {
+		return new EngineCommandRequest.Join(this.name, this.epoch, this.model.name(),
 				this.members.stream().map(TargetEntry::name).toList());
 	}
 
--- a/src/main/java/sycamorehill/logic/layout/GroupBuilder.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupBuilder.java
@@ -13,8 +13,8 @@
 import sycamorehill.logic.directory.TargetDirectory;
 import sycamorehill.model.identity.TargetName;
 import sycamorehill.model.log.LogEvent;
-import sycamorehill.model.serving.EngineCommand;
 import sycamorehill.model.serving.EngineCommandAnswer;
+import sycamorehill.model.serving.EngineCommandRequest;
 import sycamorehill.model.serving.MemberState;
 import sycamorehill.model.serving.TargetEntry;
 
@@ -157,7 +157,7 @@
 			this.formingGroups.remove(group.key());
 			Instant answeredAt = this.openedAt.get(group.key());
 			if (answeredAt == null || now.isAfter(answeredAt.plus(OPEN_RETRY_DELAY))) {
-				this.commandSender.send(group.head(), new EngineCommand.Open(group.name(), group.epoch()), now,
+				this.commandSender.send(group.head(), new EngineCommandRequest.Open(group.name(), group.epoch()), now,
 						effects);
 			}
 		}
@@ -169,7 +169,7 @@
 	 * @param join the command
 	 * @param answer the answer
 	 */
-	void handleJoinAnswer(TargetName engine, EngineCommand.Join join, EngineCommandAnswer answer) {
+	void handleJoinAnswer(TargetName engine, EngineCommandRequest.Join join, EngineCommandAnswer answer) {
 		FormingGroup group = this.formingGroups.get(new GroupKey(join.group(), join.epoch()));
 		if (group == null) {
 			return;
@@ -183,7 +183,7 @@
 		}
 	}
 
-	void handleOpenAnswer(EngineCommand.Open open, EngineCommandAnswer answer, Instant now) {
+	void handleOpenAnswer(EngineCommandRequest.Open open, EngineCommandAnswer answer, Instant now) {
 		if (answer.isSuccessful()) {
 			this.openedAt.put(new GroupKey(open.group(), open.epoch()), now);
 		}
--- a/src/main/java/sycamorehill/logic/layout/GroupController.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupController.java
@@ -13,8 +13,8 @@
 import sycamorehill.model.identity.TargetName;
 import sycamorehill.model.log.LogEvent;
 import sycamorehill.model.serving.Configuration;
-import sycamorehill.model.serving.EngineCommand;
 import sycamorehill.model.serving.EngineCommandAnswer;
+import sycamorehill.model.serving.EngineCommandRequest;
 import sycamorehill.model.serving.EngineReport;
 import sycamorehill.model.serving.EntryEffect;
 import sycamorehill.model.serving.EntrySettings;
@@ -152,8 +152,8 @@
 	 * @param now the current time
 	 * @param effects receives the resulting effects
 	 */
-	public void handleCommandAnswer(TargetName engine, EngineCommand command, EngineCommandAnswer answer, Instant now,
-			Effects effects) {
+	public void handleCommandAnswer(TargetName engine, EngineCommandRequest command, EngineCommandAnswer answer,
+			Instant now, Effects effects) {
 		effects.log(LogEvent.ENGINE_ORDER, "engine=" + engine + " order=" + command + " answer=" + answer);
 		switch (answer) {
 			case BEGUN -> this.commandTracker.recordAccepted(engine);
--- a/src/main/java/sycamorehill/logic/layout/GroupDisbander.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupDisbander.java
@@ -14,8 +14,8 @@
 import sycamorehill.logic.directory.TargetDirectory;
 import sycamorehill.model.identity.TargetName;
 import sycamorehill.model.log.LogEvent;
-import sycamorehill.model.serving.EngineCommand;
 import sycamorehill.model.serving.EngineCommandAnswer;
+import sycamorehill.model.serving.EngineCommandRequest;
 import sycamorehill.model.serving.MemberState;
 import sycamorehill.model.serving.TargetEntry;
 
@@ -165,8 +165,8 @@
 	private void endHead(GroupView group, Disbanding state, boolean complete, Instant now, Effects effects) {
 		if (state.head != null) {
 			boolean closeFirst = complete && now.isBefore(state.since.plus(MAXIMUM_CLOSING_TIME)) && isServing(group);
-			sendToHead(state, closeFirst ? new EngineCommand.Close(group.name(), group.epoch())
-					: new EngineCommand.Leave(group.name(), group.epoch()), now, effects);
+			sendToHead(state, closeFirst ? new EngineCommandRequest.Close(group.name(), group.epoch())
+					: new EngineCommandRequest.Leave(group.name(), group.epoch()), now, effects);
 		}
 	}
 
@@ -192,8 +192,8 @@
 			if (!isHead && reachability.isReachable(member) && this.commandSender.isFree(member, now)
 					&& state.askedToLeave.add(member.name())) {
 				state.detachRequestedAt = now;
-				this.commandSender.sendWithoutCount(member, new EngineCommand.Leave(group.name(), group.epoch()), now,
-						effects);
+				this.commandSender.sendWithoutCount(member, new EngineCommandRequest.Leave(group.name(), group.epoch()),
+						now, effects);
 				return;
 			}
 		}
@@ -209,7 +209,7 @@
 				&& (present.get().isOtherIncarnation(state.head) || !group.reportedBy(present.get()));
 	}
 
-	private void sendToHead(Disbanding state, EngineCommand command, Instant now, Effects effects) {
+	private void sendToHead(Disbanding state, EngineCommandRequest command, Instant now, Effects effects) {
 		boolean repeated = command.getClass().equals(state.lastCommand);
 		if ((repeated && now.isBefore(state.lastCommandAt.plus(COMMAND_RETRY_DELAY)))
 				|| !this.commandSender.isFree(state.head, now)) {
@@ -230,8 +230,8 @@
 	 * @param now the current time
 	 * @return the group, if it no longer serves from now on
 	 */
-	Optional<GroupEnd> handleLeaveAnswer(TargetName engine, EngineCommand.Leave command, EngineCommandAnswer answer,
-			Instant now) {
+	Optional<GroupEnd> handleLeaveAnswer(TargetName engine, EngineCommandRequest.Leave command,
+			EngineCommandAnswer answer, Instant now) {
 		boolean confirmed = switch (answer) {
 			case BEGUN, HOLDS_ALREADY, CONFLICT, OTHER_TARGET -> true;
 			case OUTDATED, NOTHING_LISTENS, NOT_KNOWN, UNSUPPORTED -> false;
@@ -303,7 +303,7 @@
 
 		private Instant detachedAt;
 
-		private Class<? extends EngineCommand> lastCommand;
+		private Class<? extends EngineCommandRequest> lastCommand;
 
 		private Instant lastCommandAt = Instant.MIN;
 
--- a/src/main/java/sycamorehill/logic/layout/ServiceGroups.java
+++ b/src/main/java/sycamorehill/logic/layout/ServiceGroups.java
@@ -14,8 +14,8 @@
 import sycamorehill.logic.directory.TargetDirectory;
 import sycamorehill.model.identity.ServiceName;
 import sycamorehill.model.identity.TargetName;
-import sycamorehill.model.serving.EngineCommand;
 import sycamorehill.model.serving.EngineCommandAnswer;
+import sycamorehill.model.serving.EngineCommandRequest;
 import sycamorehill.model.serving.EngineParameters;
 import sycamorehill.model.serving.EntrySettings;
 import sycamorehill.model.serving.Membership;
@@ -76,18 +76,18 @@
 		this.freeEngines.clear();
 	}
 
-	Optional<GroupDisbander.GroupEnd> handleCommandAnswer(TargetName engine, EngineCommand command,
+	Optional<GroupDisbander.GroupEnd> handleCommandAnswer(TargetName engine, EngineCommandRequest command,
 			EngineCommandAnswer answer, Instant now) {
-		if (command instanceof EngineCommand.Join join) {
+		if (command instanceof EngineCommandRequest.Join join) {
 			this.builder.handleJoinAnswer(engine, join, answer);
 		}
-		else if (command instanceof EngineCommand.Stage && !answer.isSuccessful()) {
+		else if (command instanceof EngineCommandRequest.Stage && !answer.isSuccessful()) {
 			this.loads.recordRefused(engine);
 		}
-		else if (command instanceof EngineCommand.Open open) {
+		else if (command instanceof EngineCommandRequest.Open open) {
 			this.builder.handleOpenAnswer(open, answer, now);
 		}
-		else if (command instanceof EngineCommand.Leave leave) {
+		else if (command instanceof EngineCommandRequest.Leave leave) {
 			return this.disbander.handleLeaveAnswer(engine, leave, answer, now);
 		}
 		return Optional.empty();
@@ -227,7 +227,7 @@
 	private void execute(LayoutPlan.Steps steps, EngineParameters parameters, Instant now, Effects effects) {
 		steps.formations().forEach((formation) -> this.builder.startForming(formation, now, effects));
 		for (LayoutPlan.Load load : steps.loads()) {
-			EngineCommand command = new EngineCommand.Stage(load.model().name());
+			EngineCommandRequest command = new EngineCommandRequest.Stage(load.model().name());
 			if (this.loads.mayStart(load.blocksGroup(), parameters, now)
 					&& this.shared.commandSender().send(load.engine(), command, now, effects)) {
 				this.loads.recordStarted(load.engine(), load.model(), now);
--- a/src/main/java/sycamorehill/model/serving/EngineCommand.java
+++ b/src/main/java/sycamorehill/model/serving/EngineCommandRequest.java
@@ -7,7 +7,7 @@
 /**
  * Command to an engine.
  */
-public sealed interface EngineCommand {
+public sealed interface EngineCommandRequest {
 
 	/**
 	 * Makes the engine a member of a group and loads the model.
@@ -17,7 +17,7 @@
 	 * @param model the group's model
 	 * @param members all members, the head first
 	 */
-	record Join(String group, long epoch, String model, List<TargetName> members) implements EngineCommand {
+	record Join(String group, long epoch, String model, List<TargetName> members) implements EngineCommandRequest {
 	}
 
 	/**
@@ -26,7 +26,7 @@
 	 * @param group the group's name
 	 * @param epoch the group's epoch
 	 */
-	record Open(String group, long epoch) implements EngineCommand {
+	record Open(String group, long epoch) implements EngineCommandRequest {
 	}
 
 	/**
@@ -35,7 +35,7 @@
 	 * @param group the group's name
 	 * @param epoch the group's epoch
 	 */
-	record Close(String group, long epoch) implements EngineCommand {
+	record Close(String group, long epoch) implements EngineCommandRequest {
 	}
 
 	/**
@@ -44,7 +44,7 @@
 	 * @param group the group's name
 	 * @param epoch the group's epoch
 	 */
-	record Leave(String group, long epoch) implements EngineCommand {
+	record Leave(String group, long epoch) implements EngineCommandRequest {
 	}
 
 	/**
@@ -53,7 +53,7 @@
 	 *
 	 * @param model the model
 	 */
-	record Stage(String model) implements EngineCommand {
+	record Stage(String model) implements EngineCommandRequest {
 	}
 
 }
--- a/src/main/java/sycamorehill/model/serving/EntryEffect.java
+++ b/src/main/java/sycamorehill/model/serving/EntryEffect.java
@@ -94,7 +94,8 @@
 	 * @param acceptedCommands expected count of accepted commands; the engine refuses the
 	 * command if its own count differs
 	 */
-	record SendCommand(TargetAddress target, EngineCommand command, long acceptedCommands) implements EntryEffect {
+	record SendCommand(TargetAddress target, EngineCommandRequest command,
+			long acceptedCommands) implements EntryEffect {
 
 		/** Value of {@code acceptedCommands} that matches any count. */
 		public static final long ANY_COUNT = -1;
--- a/src/main/java/sycamorehill/model/serving/EntryEvent.java
+++ b/src/main/java/sycamorehill/model/serving/EntryEvent.java
@@ -120,7 +120,8 @@
 	 * @param order the command
 	 * @param answer the result
 	 */
-	record OrderAnswered(TargetName target, EngineCommand order, EngineCommandAnswer answer) implements EntryEvent {
+	record OrderAnswered(TargetName target, EngineCommandRequest order,
+			EngineCommandAnswer answer) implements EntryEvent {
 	}
 
 	/**
--- a/src/main/java/sycamorehill/platform/PlatformEngines.java
+++ b/src/main/java/sycamorehill/platform/PlatformEngines.java
@@ -15,8 +15,8 @@
 import sycamorehill.entry.CallClient;
 import sycamorehill.entry.CallFailedException;
 import sycamorehill.entry.EnginePort;
-import sycamorehill.model.serving.EngineCommand;
 import sycamorehill.model.serving.EngineCommandAnswer;
+import sycamorehill.model.serving.EngineCommandRequest;
 import sycamorehill.model.serving.EngineReport;
 import sycamorehill.model.serving.EntryEffect;
 import sycamorehill.model.serving.TargetAddress;
@@ -54,7 +54,7 @@
 	}
 
 	@Override
-	public CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommand order,
+	public CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommandRequest order,
 			long ordersAccepted) {
 		ObjectNode body = body(order);
 		if (ordersAccepted != EntryEffect.SendCommand.ANY_COUNT) {
@@ -70,23 +70,23 @@
 		return new CallClient.Header(PlatformHeaders.EXPECT_INSTANCE, engine.name().value());
 	}
 
-	private ObjectNode body(EngineCommand order) {
+	private ObjectNode body(EngineCommandRequest order) {
 		ObjectNode body = this.json.createObjectNode();
-		if (order instanceof EngineCommand.Join join) {
+		if (order instanceof EngineCommandRequest.Join join) {
 			group(body, "join", join.group(), join.epoch()).put("model", join.model());
 			ArrayNode members = body.putArray("members");
 			join.members().forEach((member) -> members.add(member.value()));
 		}
-		else if (order instanceof EngineCommand.Open open) {
+		else if (order instanceof EngineCommandRequest.Open open) {
 			group(body, "open", open.group(), open.epoch());
 		}
-		else if (order instanceof EngineCommand.Close close) {
+		else if (order instanceof EngineCommandRequest.Close close) {
 			group(body, "close", close.group(), close.epoch()).put("close_mode", "queue");
 		}
-		else if (order instanceof EngineCommand.Leave leave) {
+		else if (order instanceof EngineCommandRequest.Leave leave) {
 			group(body, "leave", leave.group(), leave.epoch());
 		}
-		else if (order instanceof EngineCommand.Stage stage) {
+		else if (order instanceof EngineCommandRequest.Stage stage) {
 			body.put("operation", "stage").put("model", stage.model());
 		}
 		return body;
--- a/src/test/java/sycamorehill/entry/EntryNodeTests.java
+++ b/src/test/java/sycamorehill/entry/EntryNodeTests.java
@@ -21,8 +21,8 @@
 import sycamorehill.local.FreePorts;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.identity.DataCentreName;
-import sycamorehill.model.serving.EngineCommand;
 import sycamorehill.model.serving.EngineCommandAnswer;
+import sycamorehill.model.serving.EngineCommandRequest;
 import sycamorehill.model.serving.EngineReport;
 import sycamorehill.model.serving.EntrySettings;
 import sycamorehill.model.serving.Lease;
@@ -351,7 +351,8 @@
 	private static final class NoEngines implements EnginePort {
 
 		@Override
-		public CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommand order, long count) {
+		public CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommandRequest order,
+				long count) {
 			return CompletableFuture.completedFuture(EngineCommandAnswer.NOT_KNOWN);
 		}
 
--- a/src/test/java/sycamorehill/logic/layout/FakeEngine.java
+++ b/src/test/java/sycamorehill/logic/layout/FakeEngine.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 import sycamorehill.model.identity.TargetName;
-import sycamorehill.model.serving.EngineCommand;
 import sycamorehill.model.serving.EngineCommandAnswer;
+import sycamorehill.model.serving.EngineCommandRequest;
 import sycamorehill.model.serving.EngineReport;
 import sycamorehill.model.serving.EntryEffect;
 import sycamorehill.model.serving.MemberState;
@@ -40,7 +40,7 @@
 
 	private Optional<Membership> membership = Optional.empty();
 
-	private Optional<EngineCommand.Join> join = Optional.empty();
+	private Optional<EngineCommandRequest.Join> join = Optional.empty();
 
 	private Instant readyAt = Instant.MAX;
 
@@ -73,7 +73,7 @@
 		return this.membership;
 	}
 
-	Optional<EngineCommand.Join> join() {
+	Optional<EngineCommandRequest.Join> join() {
 		return this.join;
 	}
 
@@ -148,7 +148,7 @@
 			.map((membership) -> new Membership(membership.group(), membership.epoch(), membership.rank(), state));
 	}
 
-	EngineCommandAnswer execute(EngineCommand command, long expectedCount, Instant now) {
+	EngineCommandAnswer execute(EngineCommandRequest command, long expectedCount, Instant now) {
 		if (expectedCount != EntryEffect.SendCommand.ANY_COUNT && expectedCount != this.acceptedCommands) {
 			return EngineCommandAnswer.CONFLICT;
 		}
@@ -159,17 +159,17 @@
 		return answer;
 	}
 
-	private EngineCommandAnswer start(EngineCommand command, Instant now) {
-		if (command instanceof EngineCommand.Join joinCommand) {
+	private EngineCommandAnswer start(EngineCommandRequest command, Instant now) {
+		if (command instanceof EngineCommandRequest.Join joinCommand) {
 			return startJoin(joinCommand, now);
 		}
-		if (command instanceof EngineCommand.Open open) {
+		if (command instanceof EngineCommandRequest.Open open) {
 			return switchState(open.group(), open.epoch(), MemberState.READY, MemberState.OPEN);
 		}
-		if (command instanceof EngineCommand.Close close) {
+		if (command instanceof EngineCommandRequest.Close close) {
 			return switchState(close.group(), close.epoch(), MemberState.OPEN, MemberState.READY);
 		}
-		if (command instanceof EngineCommand.Leave leave) {
+		if (command instanceof EngineCommandRequest.Leave leave) {
 			if (!inGroup(leave.group(), leave.epoch())) {
 				return EngineCommandAnswer.CONFLICT;
 			}
@@ -178,7 +178,7 @@
 			this.acceptedCommands++;
 			return EngineCommandAnswer.HOLDS_ALREADY;
 		}
-		return startStaging(((EngineCommand.Stage) command).model(), now);
+		return startStaging(((EngineCommandRequest.Stage) command).model(), now);
 	}
 
 	private EngineCommandAnswer startStaging(String name, Instant now) {
@@ -194,7 +194,7 @@
 		return EngineCommandAnswer.BEGUN;
 	}
 
-	private EngineCommandAnswer startJoin(EngineCommand.Join joinCommand, Instant now) {
+	private EngineCommandAnswer startJoin(EngineCommandRequest.Join joinCommand, Instant now) {
 		if (this.membership.filter((membership) -> joinCommand.epoch() < membership.epoch()).isPresent()) {
 			return EngineCommandAnswer.OUTDATED;
 		}
@@ -241,7 +241,7 @@
 	}
 
 	List<TargetName> members() {
-		return this.join.map(EngineCommand.Join::members).orElse(List.of());
+		return this.join.map(EngineCommandRequest.Join::members).orElse(List.of());
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/layout/FakeFleet.java
+++ b/src/test/java/sycamorehill/logic/layout/FakeFleet.java
@@ -13,8 +13,8 @@
 import sycamorehill.logic.Effects;
 import sycamorehill.logic.directory.TargetDirectory;
 import sycamorehill.model.identity.TargetName;
-import sycamorehill.model.serving.EngineCommand;
 import sycamorehill.model.serving.EngineCommandAnswer;
+import sycamorehill.model.serving.EngineCommandRequest;
 import sycamorehill.model.serving.EntryEffect;
 import sycamorehill.model.serving.Lease;
 import sycamorehill.model.serving.LeaseAnswer;
@@ -168,20 +168,21 @@
 		return this.controllers.stream().allMatch((controller) -> controller.partitionedFromStore);
 	}
 
-	private EngineCommandAnswer execute(FakeEngine engine, EngineCommand command, long expectedCount) {
+	private EngineCommandAnswer execute(FakeEngine engine, EngineCommandRequest command, long expectedCount) {
 		Optional<FakeEngine> previousHead = headOf(engine);
-		Optional<EngineCommand.Join> previousJoin = engine.join();
+		Optional<EngineCommandRequest.Join> previousJoin = engine.join();
 		EngineCommandAnswer answer = engine.execute(command, expectedCount, this.now);
 		if (answer == EngineCommandAnswer.CONFLICT) {
 			this.conflicts++;
 		}
-		if (answer == EngineCommandAnswer.BEGUN && command instanceof EngineCommand.Join) {
+		if (answer == EngineCommandAnswer.BEGUN && command instanceof EngineCommandRequest.Join) {
 			previousHead.filter((head) -> servesGroup(head, previousJoin)).ifPresent((head) -> {
 				throw new AssertionError(this.now + ": " + engine.name() + " was taken from "
 						+ previousJoin.get().group() + " while its head " + head.name() + " serves, by " + command);
 			});
 		}
-		if (answer == EngineCommandAnswer.BEGUN && command instanceof EngineCommand.Open && !allMembersReady(engine)) {
+		if (answer == EngineCommandAnswer.BEGUN && command instanceof EngineCommandRequest.Open
+				&& !allMembersReady(engine)) {
 			throw new AssertionError(
 					this.now + ": " + engine.name() + " was opened without all members, by " + command);
 		}
@@ -198,7 +199,7 @@
 
 	// A head serves its group until it leaves, crashes, or has stalled for the stall
 	// time.
-	private boolean servesGroup(FakeEngine head, Optional<EngineCommand.Join> join) {
+	private boolean servesGroup(FakeEngine head, Optional<EngineCommandRequest.Join> join) {
 		return head.isOpen() && join.isPresent()
 				&& head.membership().filter((membership) -> membership.group().equals(join.get().group())).isPresent();
 	}
@@ -230,7 +231,8 @@
 	 * @param expectedCount the command count that it names
 	 * @param executeAt when it is carried out
 	 */
-	private record DelayedCommand(TargetName engine, EngineCommand command, long expectedCount, Instant executeAt) {
+	private record DelayedCommand(TargetName engine, EngineCommandRequest command, long expectedCount,
+			Instant executeAt) {
 	}
 
 	/**
