--- a/src/main/java/sycamorehill/model/policy/RepairRules.java
+++ b/src/main/java/sycamorehill/model/policy/RepairRules.java
@@ -13,8 +13,8 @@
  * @param standbyInEachDomain whether that many standbys are claimed in each domain that
  * has a group
  * @param mergesBroken whether a broken group gives its members to another broken group
- * @param readsSigns whether a member counts as dead without waiting if its address
- * refuses connections or its replica reports a failure
+ * @param readsSigns whether a silent member counts as dead at once if its address refuses
+ * connections or its replica reports a failure
  */
 public record RepairRules(Duration deadAfter, int standbys, boolean standbyInEachDomain, boolean mergesBroken,
 		boolean readsSigns) {
