--- a/src/main/java/sycamorehill/logic/quarantine/CrashDetection.java
+++ b/src/main/java/sycamorehill/logic/quarantine/CrashDetection.java
@@ -202,12 +202,13 @@
 			.stream()
 			.allMatch((member) -> step.view()
 				.sight(member)
-				.filter((sight) -> sight.seenAt().isAfter(crash.since()) && isServing(sight, crash.target()))
+				.filter((observation) -> observation.seenAt().isAfter(crash.since())
+						&& isServing(observation, crash.target()))
 				.isPresent());
 	}
 
-	private static boolean isServing(VmObservation sight, ServingTarget target) {
-		VmReport report = sight.report();
+	private static boolean isServing(VmObservation observation, ServingTarget target) {
+		VmReport report = observation.report();
 		return report.state() == EngineState.READY && report.group().equals(target.group());
 	}
 
--- a/src/main/java/sycamorehill/logic/quarantine/QuarantineReducer.java
+++ b/src/main/java/sycamorehill/logic/quarantine/QuarantineReducer.java
@@ -105,7 +105,7 @@
 				CrashDetection.reportCleared(step, content.target().service(), content.fingerprint());
 			}
 		}
-		else if (event.result() instanceof AttemptResult.Interrupted broken && broken.connectionLost()) {
+		else if (event.result() instanceof AttemptResult.Interrupted interrupted && interrupted.connectionLost()) {
 			CrashDetection.handleConnectionLost(step, content);
 		}
 		IsolationClient.removeRequest(step, content.request());
--- a/src/main/java/sycamorehill/logic/request/ActiveRequest.java
+++ b/src/main/java/sycamorehill/logic/request/ActiveRequest.java
@@ -38,12 +38,12 @@
 		return this.description.identifier();
 	}
 
-	boolean hasBegun() {
+	boolean hasDeliveredTokens() {
 		return this.begunWith.isPresent();
 	}
 
 	private Optional<String> modelVersion() {
-		return hasBegun() ? this.begunWith : this.running.map((attempt) -> attempt.target().modelVersion());
+		return hasDeliveredTokens() ? this.begunWith : this.running.map((attempt) -> attempt.target().modelVersion());
 	}
 
 	boolean isIdempotent() {
@@ -67,7 +67,7 @@
 				this.giveUpAt, this.wakeAt);
 	}
 
-	ActiveRequest withBegun() {
+	ActiveRequest withFirstToken() {
 		return new ActiveRequest(this.description, this.handling, this.running, this.history, modelVersion(),
 				this.callerGone, this.isolated, this.giveUpAt, this.wakeAt);
 	}
--- a/src/main/java/sycamorehill/logic/request/AttemptHistory.java
+++ b/src/main/java/sycamorehill/logic/request/AttemptHistory.java
@@ -46,10 +46,10 @@
 	 */
 	AttemptHistory withAttemptEnded(TargetName target, int delivered, AttemptResult result) {
 		RunEvidence current = evidenceOf(result);
-		boolean decides = current.compareTo(this.evidence) >= 0;
+		boolean isWorst = current.compareTo(this.evidence) >= 0;
 		return new AttemptHistory(this.started, this.failedTargets.plus(target), this.evidence.worseOf(current),
-				decides ? reasonOf(result) : this.refusalReason, decides ? detailOf(result) : this.detail,
-				longer(this.retryAfter, retryAfterOf(result)), Math.max(this.tokens, delivered));
+				isWorst ? reasonOf(result) : this.refusalReason, isWorst ? detailOf(result) : this.detail,
+				maximum(this.retryAfter, retryAfterOf(result)), Math.max(this.tokens, delivered));
 	}
 
 	/**
@@ -80,7 +80,7 @@
 	}
 
 	RequestOutcome outcome(RefusalReason reason, String text, Duration minimumRetryAfter) {
-		Refusal refusal = Refusal.of(reason, text, longer(this.retryAfter, minimumRetryAfter));
+		Refusal refusal = Refusal.of(reason, text, maximum(this.retryAfter, minimumRetryAfter));
 		return switch (this.evidence) {
 			case NOT_RUN -> new RequestOutcome.NotRun(refusal);
 			case FAILED -> new RequestOutcome.Failed(refusal);
@@ -113,14 +113,14 @@
 		if (result instanceof AttemptResult.RefusedBeforeRunning refused) {
 			return "the target refused before running it: " + refused.detail();
 		}
-		if (result instanceof AttemptResult.NotSent nothingSent) {
-			return "no target could be reached: " + nothingSent.detail();
+		if (result instanceof AttemptResult.NotSent notSent) {
+			return "no target could be reached: " + notSent.detail();
 		}
 		if (result instanceof AttemptResult.FailedWhileRunning failed) {
 			return "the target failed while running it: " + failed.detail();
 		}
-		if (result instanceof AttemptResult.Interrupted broken) {
-			return "the target was lost while running it: " + broken.detail();
+		if (result instanceof AttemptResult.Interrupted interrupted) {
+			return "the target was lost while running it: " + interrupted.detail();
 		}
 		return "the request was cancelled";
 	}
@@ -133,7 +133,7 @@
 			.orElse(Duration.ZERO);
 	}
 
-	private static Duration longer(Duration one, Duration other) {
+	private static Duration maximum(Duration one, Duration other) {
 		return (one.compareTo(other) >= 0) ? one : other;
 	}
 
--- a/src/main/java/sycamorehill/logic/request/RequestReducer.java
+++ b/src/main/java/sycamorehill/logic/request/RequestReducer.java
@@ -63,41 +63,42 @@
 			handleCleared(step, cleared);
 		}
 		else if (event instanceof RequestEvent.AttemptDue due) {
-			find(step, due.request()).filter((request) -> request.running().isEmpty())
+			findRequest(step, due.request()).filter((request) -> request.running().isEmpty())
 				.ifPresent(step::startOrAwaitTarget);
 		}
 		else if (event instanceof RequestEvent.IsolationGranted granted) {
-			find(step, granted.request()).filter((request) -> request.running().isEmpty())
+			findRequest(step, granted.request()).filter((request) -> request.running().isEmpty())
 				.ifPresent((request) -> step.startAttempt(request, granted.target()));
 		}
 		else if (event instanceof RequestEvent.FirstToken first) {
-			find(step, step.state().attempts().get(first.attempt()))
-				.ifPresent((request) -> step.putRequest(request.withBegun().withWakeAt(Optional.empty())));
+			findRequest(step, step.state().attempts().get(first.attempt()))
+				.ifPresent((request) -> step.putRequest(request.withFirstToken().withWakeAt(Optional.empty())));
 		}
 		else if (event instanceof RequestEvent.AttemptEnded ended) {
-			find(step, step.state().attempts().get(ended.attempt()))
+			findRequest(step, step.state().attempts().get(ended.attempt()))
 				.ifPresent((request) -> handleAttemptEnded(step, request, ended));
 		}
 		else if (event instanceof RequestEvent.Refused refused) {
-			find(step, refused.request()).ifPresent((request) -> handleRefused(step, request, refused.outcome()));
+			findRequest(step, refused.request())
+				.ifPresent((request) -> handleRefused(step, request, refused.outcome()));
 		}
-		else if (event instanceof RequestEvent.CallerGone gone) {
-			find(step, gone.request()).ifPresent((request) -> handleCallerGone(step, request));
+		else if (event instanceof RequestEvent.CallerGone disconnected) {
+			findRequest(step, disconnected.request()).ifPresent((request) -> handleCallerGone(step, request));
 		}
 	}
 
 	private static void handleArrived(RequestStep step, RequestEvent.Arrived event) {
-		if (find(step, event.request().identifier()).isEmpty()) {
+		if (findRequest(step, event.request().identifier()).isEmpty()) {
 			step.putRequest(ActiveRequest.create(event.request()));
 		}
 	}
 
-	private static Optional<ActiveRequest> find(RequestStep step, RequestIdentifier identifier) {
+	private static Optional<ActiveRequest> findRequest(RequestStep step, RequestIdentifier identifier) {
 		return Optional.ofNullable(identifier).map(step.state().active()::get);
 	}
 
 	private static void handleCleared(RequestStep step, RequestEvent.Cleared event) {
-		Optional<ActiveRequest> found = find(step, event.request().identifier());
+		Optional<ActiveRequest> found = findRequest(step, event.request().identifier());
 		if (found.isEmpty()) {
 			handleClearedAfterFinish(step, event);
 			return;
@@ -123,9 +124,9 @@
 		RunningAttempt running = request.running().orElseThrow();
 		step.raise(new RequestEvent.AttemptClosed(request.description(), running.identifier(), running.target(),
 				event.result()));
-		if (event.result() instanceof AttemptResult.Completed whole) {
+		if (event.result() instanceof AttemptResult.Completed completed) {
 			step.finish(request.withAttemptEnded(request.history().withAttemptCompleted(event.deliveredTokens())),
-					new RequestOutcome.Completed(), whole.recorded());
+					new RequestOutcome.Completed(), completed.recorded());
 			return;
 		}
 		AttemptHistory history = request.history()
--- a/src/main/java/sycamorehill/logic/request/RequestStep.java
+++ b/src/main/java/sycamorehill/logic/request/RequestStep.java
@@ -119,7 +119,7 @@
 	 */
 	Set<TargetName> excludedTargets(ActiveRequest request) {
 		Set<TargetName> excluded = new HashSet<>(request.history().failedTargets());
-		if (request.hasBegun()) {
+		if (request.hasDeliveredTokens()) {
 			this.view.servingTargets(request.description().service())
 				.stream()
 				.filter((target) -> !target.modelVersion().equals(request.begunWith().get()))
@@ -133,7 +133,8 @@
 		if (!request.isolated()) {
 			Instant until = this.now.plus(this.view.policy().quarantine().isolationWait());
 			Instant deadline = request.description().deadline();
-			waiting = request.withIsolation((request.hasBegun() || until.isBefore(deadline)) ? until : deadline);
+			waiting = request
+				.withIsolation((request.hasDeliveredTokens() || until.isBefore(deadline)) ? until : deadline);
 		}
 		if (scheduleRecheck(waiting)) {
 			raise(new RequestEvent.IsolationWanted(request.description(), excludedTargets(request)));
@@ -149,7 +150,7 @@
 	void startAttempt(ActiveRequest request, ServingTarget target) {
 		AttemptIdentifier identifier = AttemptIdentifier.of(this.view.self().incarnation(), this.state.attemptsDrawn());
 		this.state = this.state.withAttemptDrawn();
-		Optional<Instant> wakeAt = (request.isIdempotent() && !request.hasBegun())
+		Optional<Instant> wakeAt = (request.isIdempotent() && !request.hasDeliveredTokens())
 				? Optional.of(request.description().deadline()) : Optional.empty();
 		putRequest(request.withAttemptStarted(new RunningAttempt(identifier, target)).withWakeAt(wakeAt));
 		Idempotency handling = request.handling().orElseThrow();
--- a/src/main/java/sycamorehill/logic/request/RetryRule.java
+++ b/src/main/java/sycamorehill/logic/request/RetryRule.java
@@ -25,19 +25,19 @@
 	static void retryOrFinish(RequestStep step, ActiveRequest request, AttemptResult result) {
 		ServiceName service = request.description().service();
 		ServiceBudgets budgets = step.budgets(service);
-		if (!isRetryAllowed(step, request, result) || !budgets.allowsRetry(request.hasBegun())
+		if (!isRetryAllowed(step, request, result) || !budgets.allowsRetry(request.hasDeliveredTokens())
 				|| !isTargetAvailable(step, request)) {
 			step.finish(request, request.history().outcome(step.retryAfter()));
 			return;
 		}
 		Duration backoff = backoff(step, request, result);
 		Instant tryAt = step.now().plus(backoff);
-		if (!request.hasBegun() && !tryAt.isBefore(request.description().deadline())) {
+		if (!request.hasDeliveredTokens() && !tryAt.isBefore(request.description().deadline())) {
 			step.finish(request, request.history().outcome(step.retryAfter()));
 			return;
 		}
-		step.setBudgets(service, budgets.afterRetry(request.hasBegun()));
-		Instant giveUpAt = request.hasBegun() ? tryAt.plus(step.policy().resumeWait()) : tryAt;
+		step.setBudgets(service, budgets.afterRetry(request.hasDeliveredTokens()));
+		Instant giveUpAt = request.hasDeliveredTokens() ? tryAt.plus(step.policy().resumeWait()) : tryAt;
 		ActiveRequest waiting = request.withGiveUpAt(giveUpAt);
 		if (backoff.isZero()) {
 			step.putRequest(waiting.withWakeAt(Optional.empty()));
@@ -64,7 +64,7 @@
 	private static boolean isTargetAvailable(RequestStep step, ActiveRequest request) {
 		// A stream that has started waits briefly for a target. Any other request fails
 		// immediately rather than after a futile wait.
-		return request.hasBegun() || step.chooseTarget(request).isPresent();
+		return request.hasDeliveredTokens() || step.chooseTarget(request).isPresent();
 	}
 
 	private static Duration backoff(RequestStep step, ActiveRequest request, AttemptResult result) {
@@ -82,8 +82,8 @@
 		if (result instanceof AttemptResult.RefusedBeforeRunning refused) {
 			return refused.leaving();
 		}
-		if (result instanceof AttemptResult.Interrupted broken) {
-			return broken.connectionLost();
+		if (result instanceof AttemptResult.Interrupted interrupted) {
+			return interrupted.connectionLost();
 		}
 		return result instanceof AttemptResult.NotSent;
 	}
--- a/src/main/java/sycamorehill/logic/request/ServiceBudgets.java
+++ b/src/main/java/sycamorehill/logic/request/ServiceBudgets.java
@@ -21,12 +21,12 @@
 				this.resumes.afterFirstAttempt(policy.resumes()));
 	}
 
-	boolean allowsRetry(boolean begun) {
-		return (begun ? this.resumes : this.retries).allowsRetry();
+	boolean allowsRetry(boolean streamStarted) {
+		return (streamStarted ? this.resumes : this.retries).allowsRetry();
 	}
 
-	ServiceBudgets afterRetry(boolean begun) {
-		return begun ? new ServiceBudgets(this.retries, this.resumes.afterRetry())
+	ServiceBudgets afterRetry(boolean streamStarted) {
+		return streamStarted ? new ServiceBudgets(this.retries, this.resumes.afterRetry())
 				: new ServiceBudgets(this.retries.afterRetry(), this.resumes);
 	}
 
--- a/src/test/java/sycamorehill/logic/request/RequestHarness.java
+++ b/src/test/java/sycamorehill/logic/request/RequestHarness.java
@@ -101,21 +101,21 @@
 	}
 
 	List<RequestEffect.StartAttempt> starts() {
-		return only(this.effects, RequestEffect.StartAttempt.class);
+		return elementsOf(this.effects, RequestEffect.StartAttempt.class);
 	}
 
 	List<RequestOutcome> outcomes() {
-		return only(this.effects, RequestEffect.FinishRequest.class).stream()
+		return elementsOf(this.effects, RequestEffect.FinishRequest.class).stream()
 			.map(RequestEffect.FinishRequest::outcome)
 			.toList();
 	}
 
 	List<RequestEvent.Finished> finished() {
-		return only(this.raised, RequestEvent.Finished.class);
+		return elementsOf(this.raised, RequestEvent.Finished.class);
 	}
 
-	static <T> List<T> only(List<?> things, Class<T> type) {
-		return things.stream().filter(type::isInstance).map(type::cast).toList();
+	static <T> List<T> elementsOf(List<?> elements, Class<T> type) {
+		return elements.stream().filter(type::isInstance).map(type::cast).toList();
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/request/RequestReducerTests.java
+++ b/src/test/java/sycamorehill/logic/request/RequestReducerTests.java
@@ -32,7 +32,7 @@
 	private static final AttemptResult REFUSED = new AttemptResult.RefusedBeforeRunning(false, Duration.ofSeconds(7),
 			"full");
 
-	private static final AttemptResult NOTHING_SENT = new AttemptResult.NotSent("connection refused");
+	private static final AttemptResult NOT_SENT = new AttemptResult.NotSent("connection refused");
 
 	private final RequestDescription request = SampleRequests.request("n1", 1, "a");
 
@@ -124,7 +124,7 @@
 
 	@Test
 	void orderThatReachedNoTargetIsRetried() {
-		this.run.clear(this.request, Idempotency.ONCE_WITH_KEY).end(NOTHING_SENT);
+		this.run.clear(this.request, Idempotency.ONCE_WITH_KEY).end(NOT_SENT);
 		assertThat(this.run.starts()).hasSize(2);
 	}
 
@@ -232,7 +232,7 @@
 	}
 
 	@Test
-	void answerThatHasBegunMayExceedItsDeadline() {
+	void startedAnswerMayExceedItsDeadline() {
 		this.run.clear(this.request, Idempotency.REPEATABLE)
 			.firstToken()
 			.advance(SampleRequests.DEADLINE.multipliedBy(2));
@@ -281,7 +281,7 @@
 			.firstToken()
 			.feed(new NodeEvent.StopRequested())
 			.advance(Duration.ofMinutes(11));
-		assertThat(RequestHarness.only(this.run.effects(), NodeEffect.WriteLog.class))
+		assertThat(RequestHarness.elementsOf(this.run.effects(), NodeEffect.WriteLog.class))
 			.extracting((log) -> log.line().detail())
 			.first()
 			.asString()
--- a/src/test/java/sycamorehill/logic/request/TokenRelayTests.java
+++ b/src/test/java/sycamorehill/logic/request/TokenRelayTests.java
@@ -74,8 +74,8 @@
 
 	@Test
 	void nothingIsDeliveredAfterTheEndMark() {
-		TokenRelay whole = this.oneDelivered.acceptEndMark(FIRST, 1).relay();
-		assertThat(whole.acceptToken(FIRST, 1).status()).isEqualTo(FrameStatus.STALE);
+		TokenRelay completed = this.oneDelivered.acceptEndMark(FIRST, 1).relay();
+		assertThat(completed.acceptToken(FIRST, 1).status()).isEqualTo(FrameStatus.STALE);
 	}
 
 }
