--- a/src/main/java/sycamorehill/logic/quarantine/Arbiter.java
+++ b/src/main/java/sycamorehill/logic/quarantine/Arbiter.java
@@ -46,8 +46,8 @@
 	}
 
 	private static void recordReportedCrashes(QuarantineStep step, IsolationAsked ask) {
-		// The ask may arrive before the report of the crash, or reach a new arbiter that
-		// never received the report.
+		// The request for a slot may arrive before the report of the crash, or reach a
+		// new arbiter that never received the report.
 		for (TargetName target : ask.died()) {
 			boolean known = step.suspect(ask.fingerprint())
 				.filter((suspect) -> suspect.deaths().containsKey(target))
