--- a/src/main/java/sycamorehill/logic/health/UsableTargets.java
+++ b/src/main/java/sycamorehill/logic/health/UsableTargets.java
@@ -26,12 +26,12 @@
 		List<ServingTarget> notEjected = candidates.stream()
 			.filter((target) -> !ejected.contains(target.name()))
 			.toList();
-		List<ServingTarget> ready = notEjected.stream()
+		List<ServingTarget> withinAllowance = notEjected.stream()
 			.filter((target) -> !isAllowanceExhausted(state, target))
 			.toList();
 		// If all targets return at once, as after an outage, enforcing the allowances
 		// would refuse requests that the targets can serve.
-		return ready.isEmpty() ? notEjected : ready;
+		return withinAllowance.isEmpty() ? notEjected : withinAllowance;
 	}
 
 	private static Set<TargetName> ejectedTargets(HealthState state, List<ServingTarget> candidates, Instant now,
--- a/src/test/java/sycamorehill/logic/health/HealthReducerTests.java
+++ b/src/test/java/sycamorehill/logic/health/HealthReducerTests.java
@@ -189,17 +189,17 @@
 		this.run.end(target, REFUSED_CONNECTION).end(target, REFUSED_CONNECTION);
 	}
 
-	private void measureAll(int slowOnes) {
-		measure(this.targets, slowOnes);
+	private void measureAll(int slowTargets) {
+		measure(this.targets, slowTargets);
 	}
 
-	private void measure(List<ServingTarget> all, int slowOnes) {
+	private void measure(List<ServingTarget> all, int slowTargets) {
 		for (int round = 0; round < 8; round++) {
 			List<AttemptIdentifier> attempts = all.stream().map(this.run::start).toList();
 			this.run.advance(QUICK);
-			answer(all, attempts, slowOnes, all.size());
+			answer(all, attempts, slowTargets, all.size());
 			this.run.advance(SLOW.minus(QUICK));
-			answer(all, attempts, 0, slowOnes);
+			answer(all, attempts, 0, slowTargets);
 		}
 	}
 
