--- a/src/main/java/sycamorehill/logic/quarantine/CrashDetection.java
+++ b/src/main/java/sycamorehill/logic/quarantine/CrashDetection.java
@@ -196,18 +196,20 @@
 
 	private static boolean isObservedServing(QuarantineStep step, SuspectedCrash crash) {
 		// A failed network link of this node looks like a crash of every target behind
-		// it. Observations by other nodes show whether the target still serves.
+		// it. The observations of its members by other nodes show whether the target
+		// still serves.
 		return !crash.target().members().isEmpty() && crash.target()
 			.members()
 			.stream()
 			.allMatch((member) -> step.view()
 				.sight(member)
-				.filter((sight) -> sight.seenAt().isAfter(crash.since()) && isServing(sight, crash.target()))
+				.filter((observation) -> observation.seenAt().isAfter(crash.since())
+						&& isServing(observation, crash.target()))
 				.isPresent());
 	}
 
-	private static boolean isServing(VmObservation sight, ServingTarget target) {
-		VmReport report = sight.report();
+	private static boolean isServing(VmObservation observation, ServingTarget target) {
+		VmReport report = observation.report();
 		return report.state() == EngineState.READY && report.group().equals(target.group());
 	}
 
