--- a/src/main/java/sycamorehill/experiment/ControlCostExperiment.java
+++ b/src/main/java/sycamorehill/experiment/ControlCostExperiment.java
@@ -86,7 +86,7 @@
 		fleet.counters().reset();
 		for (int ticket = 0; ticket < TICKETS; ticket++) {
 			FleetNode filer = fleet.nodes().get(fleet.random().nextInt(size));
-			fleet.file(filer, FleetTickets.change(filer.value().truth().get(), ticket));
+			fleet.file(filer, FleetTickets.change(filer.value().desiredState().get(), ticket));
 			fleet.runFor(BETWEEN_TICKETS);
 		}
 		print(fleet, "500 tickets a day", BETWEEN_TICKETS.multipliedBy(TICKETS), heapBefore);
--- a/src/main/java/sycamorehill/experiment/ControlNode.java
+++ b/src/main/java/sycamorehill/experiment/ControlNode.java
@@ -90,7 +90,7 @@
 	}
 
 	@Override
-	public Optional<DesiredState> truth() {
+	public Optional<DesiredState> desiredState() {
 		return this.ticket.log().truth();
 	}
 
@@ -100,7 +100,7 @@
 	}
 
 	@Override
-	public boolean delegate() {
+	public boolean isDelegate() {
 		return this.membership.delegate();
 	}
 
@@ -120,12 +120,12 @@
 	}
 
 	@Override
-	public boolean quarantined(Fingerprint fingerprint) {
+	public boolean isQuarantined(Fingerprint fingerprint) {
 		return false;
 	}
 
 	@Override
-	public Optional<VmObservation> sight(VmName vm) {
+	public Optional<VmObservation> observation(VmName vm) {
 		return Optional.empty();
 	}
 
--- a/src/main/java/sycamorehill/experiment/ModelNode.java
+++ b/src/main/java/sycamorehill/experiment/ModelNode.java
@@ -156,7 +156,7 @@
 	}
 
 	@Override
-	public Optional<DesiredState> truth() {
+	public Optional<DesiredState> desiredState() {
 		return Optional.of(this.setup.truth());
 	}
 
@@ -176,12 +176,12 @@
 	}
 
 	@Override
-	public boolean quarantined(Fingerprint fingerprint) {
+	public boolean isQuarantined(Fingerprint fingerprint) {
 		return false;
 	}
 
 	@Override
-	public Optional<VmObservation> sight(VmName vm) {
+	public Optional<VmObservation> observation(VmName vm) {
 		return this.setup.engines().get(vm).sight();
 	}
 
--- a/src/main/java/sycamorehill/experiment/OrderTrialView.java
+++ b/src/main/java/sycamorehill/experiment/OrderTrialView.java
@@ -26,7 +26,7 @@
 public record OrderTrialView(NodeIdentity self, Policy policy, LiveNodes liveNodes) implements NodeView {
 
 	@Override
-	public Optional<DesiredState> truth() {
+	public Optional<DesiredState> desiredState() {
 		return Optional.empty();
 	}
 
@@ -41,12 +41,12 @@
 	}
 
 	@Override
-	public boolean quarantined(Fingerprint fingerprint) {
+	public boolean isQuarantined(Fingerprint fingerprint) {
 		return false;
 	}
 
 	@Override
-	public Optional<VmObservation> sight(VmName vm) {
+	public Optional<VmObservation> observation(VmName vm) {
 		return Optional.empty();
 	}
 
--- a/src/main/java/sycamorehill/experiment/RequestPathNode.java
+++ b/src/main/java/sycamorehill/experiment/RequestPathNode.java
@@ -154,7 +154,7 @@
 	}
 
 	@Override
-	public Optional<DesiredState> truth() {
+	public Optional<DesiredState> desiredState() {
 		return Optional.empty();
 	}
 
@@ -176,17 +176,17 @@
 	}
 
 	@Override
-	public boolean quarantined(Fingerprint fingerprint) {
+	public boolean isQuarantined(Fingerprint fingerprint) {
 		return this.quarantine.quarantined(fingerprint, this.now);
 	}
 
 	@Override
-	public boolean suspected(Fingerprint fingerprint) {
+	public boolean isSuspect(Fingerprint fingerprint) {
 		return this.quarantine.suspected(fingerprint, this.now);
 	}
 
 	@Override
-	public Optional<VmObservation> sight(VmName vm) {
+	public Optional<VmObservation> observation(VmName vm) {
 		return Optional.empty();
 	}
 
--- a/src/main/java/sycamorehill/experiment/SpreadExperiment.java
+++ b/src/main/java/sycamorehill/experiment/SpreadExperiment.java
@@ -90,7 +90,8 @@
 			fleet.dieOnLearning(victim, number);
 		}
 		Instant began = fleet.now();
-		OperatorCallIdentifier call = fleet.file(filer, FleetTickets.change(filer.value().truth().get(), ticket));
+		OperatorCallIdentifier call = fleet.file(filer,
+				FleetTickets.change(filer.value().desiredState().get(), ticket));
 		while (fleet.outcome(call) == null) {
 			fleet.runFor(Duration.ofMillis(1));
 		}
@@ -119,7 +120,7 @@
 	private FleetNode delegate(ControlFleet fleet, FleetNode filer) {
 		List<FleetNode> delegates = new ArrayList<>();
 		for (FleetNode node : fleet.nodes()) {
-			if (node != filer && node.value().delegate()) {
+			if (node != filer && node.value().isDelegate()) {
 				delegates.add(node);
 			}
 		}
--- a/src/main/java/sycamorehill/experiment/group/TrialNode.java
+++ b/src/main/java/sycamorehill/experiment/group/TrialNode.java
@@ -231,7 +231,7 @@
 	}
 
 	@Override
-	public Optional<DesiredState> truth() {
+	public Optional<DesiredState> desiredState() {
 		return Optional.of(this.truth);
 	}
 
@@ -251,12 +251,12 @@
 	}
 
 	@Override
-	public boolean quarantined(Fingerprint fingerprint) {
+	public boolean isQuarantined(Fingerprint fingerprint) {
 		return false;
 	}
 
 	@Override
-	public Optional<VmObservation> sight(VmName vm) {
+	public Optional<VmObservation> observation(VmName vm) {
 		return fleet().observation(vm);
 	}
 
--- a/src/main/java/sycamorehill/logic/Effects.java
+++ b/src/main/java/sycamorehill/logic/Effects.java
@@ -21,7 +21,7 @@
 	 * Begins a step.
 	 * @return an empty collection
 	 */
-	public static Effects begin() {
+	public static Effects create() {
 		return new Effects();
 	}
 
--- a/src/main/java/sycamorehill/logic/NodeView.java
+++ b/src/main/java/sycamorehill/logic/NodeView.java
@@ -38,7 +38,7 @@
 	 * The state in force, once the node has one.
 	 * @return the truth; empty until it has been read from the platform or a peer
 	 */
-	Optional<DesiredState> truth();
+	Optional<DesiredState> desiredState();
 
 	/**
 	 * An accepted ticket.
@@ -60,7 +60,7 @@
 	 * data centres.
 	 * @return whether it is one of the delegates
 	 */
-	default boolean delegate() {
+	default boolean isDelegate() {
 		return false;
 	}
 
@@ -84,7 +84,7 @@
 	 * @param fingerprint the content
 	 * @return whether it must not be sent
 	 */
-	boolean quarantined(Fingerprint fingerprint);
+	boolean isQuarantined(Fingerprint fingerprint);
 
 	/**
 	 * Whether content is suspected of crashing targets, so that it may run only where no
@@ -92,7 +92,7 @@
 	 * @param fingerprint the content
 	 * @return whether it has to be isolated
 	 */
-	default boolean suspected(Fingerprint fingerprint) {
+	default boolean isSuspect(Fingerprint fingerprint) {
 		return false;
 	}
 
@@ -101,7 +101,7 @@
 	 * @param vm the VM
 	 * @return the sight, if there ever was one
 	 */
-	Optional<VmObservation> sight(VmName vm);
+	Optional<VmObservation> observation(VmName vm);
 
 	/**
 	 * The allocation of this node's data centre as last seen.
--- a/src/main/java/sycamorehill/logic/RandomSequence.java
+++ b/src/main/java/sycamorehill/logic/RandomSequence.java
@@ -9,13 +9,13 @@
  */
 public record RandomSequence(long position) {
 
-	private static final long STEP = 0x9E3779B97F4A7C15L;
+	private static final long INCREMENT = 0x9E3779B97F4A7C15L;
 
 	private static final long FIRST_FACTOR = 0xBF58476D1CE4E5B9L;
 
 	private static final long SECOND_FACTOR = 0x94D049BB133111EBL;
 
-	private static final double FRACTION = 0x1.0p-53;
+	private static final double FRACTION_UNIT = 0x1.0p-53;
 
 	/**
 	 * Creates the sequence of a seed.
@@ -31,7 +31,7 @@
 	 * @return the rest of the sequence
 	 */
 	public RandomSequence next() {
-		return new RandomSequence(this.position + STEP);
+		return new RandomSequence(this.position + INCREMENT);
 	}
 
 	/**
@@ -39,20 +39,20 @@
 	 * @return from 0 to below 1
 	 */
 	public double fraction() {
-		long mixed = this.position + STEP;
+		long mixed = this.position + INCREMENT;
 		mixed = (mixed ^ (mixed >>> 30)) * FIRST_FACTOR;
 		mixed = (mixed ^ (mixed >>> 27)) * SECOND_FACTOR;
 		mixed = mixed ^ (mixed >>> 31);
-		return (mixed >>> 11) * FRACTION;
+		return (mixed >>> 11) * FRACTION_UNIT;
 	}
 
 	/**
 	 * A random duration between half of one and the whole.
-	 * @param longest the longest
+	 * @param maximum the upper bound
 	 * @return the duration
 	 */
-	public Duration jittered(Duration longest) {
-		return Duration.ofNanos((long) (longest.toNanos() * (0.5 + 0.5 * fraction())));
+	public Duration jittered(Duration maximum) {
+		return Duration.ofNanos((long) (maximum.toNanos() * (0.5 + 0.5 * fraction())));
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/admission/LimitState.java
+++ b/src/main/java/sycamorehill/logic/admission/LimitState.java
@@ -50,7 +50,7 @@
 	 * @return the updated state
 	 */
 	LimitState withCurrentDivisor(NodeView view) {
-		Optional<DesiredState> truth = view.truth();
+		Optional<DesiredState> truth = view.desiredState();
 		if (truth.isEmpty() || truth.get().number() == this.divisorOf) {
 			return this;
 		}
@@ -105,7 +105,7 @@
 	 * @return the limits, all zero if no ticket names the workspace
 	 */
 	static ShareAmounts limits(WorkspaceName workspace, NodeView view) {
-		return view.truth()
+		return view.desiredState()
 			.map((truth) -> truth.items().get(ItemKey.of(ItemKind.WORKSPACE, workspace.value())))
 			.map((found) -> (WorkspaceItem) found.item())
 			.map((item) -> new ShareAmounts(item.requestsPerSecond(), item.tokensPerSecond(), item.inFlight()))
--- a/src/main/java/sycamorehill/logic/admission/RequestCheck.java
+++ b/src/main/java/sycamorehill/logic/admission/RequestCheck.java
@@ -30,7 +30,7 @@
 	 * @return the result
 	 */
 	static RequestCheck of(RequestDescription request, NodeView view) {
-		Optional<DesiredState> truth = view.truth();
+		Optional<DesiredState> truth = view.desiredState();
 		if (truth.isEmpty()) {
 			return refused(Refusal.of(RefusalReason.NODE_NOT_READY, "the node does not know the state in force yet",
 					NOT_READY_RETRY_AFTER));
@@ -43,7 +43,7 @@
 		if (service.isEmpty()) {
 			return refused(Refusal.of(RefusalReason.UNKNOWN_SERVICE, "no service " + request.service()));
 		}
-		if (view.quarantined(request.fingerprint())) {
+		if (view.isQuarantined(request.fingerprint())) {
 			return refused(Refusal.of(RefusalReason.QUARANTINED, "targets that ran this content crashed"));
 		}
 		return new RequestCheck(Optional.empty(), workspace, handling(request, service.get()));
--- a/src/main/java/sycamorehill/logic/entry/EntryReducer.java
+++ b/src/main/java/sycamorehill/logic/entry/EntryReducer.java
@@ -120,7 +120,7 @@
 	 * @return the effects to carry out, in order
 	 */
 	public List<EntryEffect> accept(EntryEvent event, Instant now) {
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		if (!handleRequestEvent(event, now, effects) && !handleGroupEvent(event, now, effects)) {
 			handleNodeEvent(event, now, effects);
 		}
@@ -132,7 +132,7 @@
 		if (unresolved.stream().noneMatch(EntryEffect.Broadcast.class::isInstance)) {
 			return unresolved;
 		}
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		for (EntryEffect effect : unresolved) {
 			if (effect instanceof EntryEffect.Broadcast broadcast) {
 				this.peers.sendToAll(broadcast.message(), effects);
--- a/src/main/java/sycamorehill/logic/group/AllocationController.java
+++ b/src/main/java/sycamorehill/logic/group/AllocationController.java
@@ -46,8 +46,8 @@
 		boolean offline = !step.state().lease().isHeld(step.now()) && OfflineController.mayRepair(step);
 		updateObservations(step, offline);
 		decide(step);
-		if (offline && step.view().truth().isPresent()) {
-			OfflineController.repairGroups(step, context(step, step.view().truth().get()));
+		if (offline && step.view().desiredState().isPresent()) {
+			OfflineController.repairGroups(step, context(step, step.view().desiredState().get()));
 		}
 	}
 
@@ -114,7 +114,7 @@
 	 */
 	static void decide(GroupStep step) {
 		GroupState state = step.state();
-		Optional<DesiredState> truth = step.view().truth();
+		Optional<DesiredState> truth = step.view().desiredState();
 		boolean ready = state.lease().isHeld(step.now()) && state.allocation().known().isPresent()
 				&& state.allocation().attempt().isEmpty() && step.view().fleet().listedAt().isPresent();
 		if (!ready || truth.isEmpty()) {
--- a/src/main/java/sycamorehill/logic/membership/Introduction.java
+++ b/src/main/java/sycamorehill/logic/membership/Introduction.java
@@ -48,10 +48,10 @@
 					: Duration.ZERO;
 			IntroductionState introduction = turn.state().introduction();
 			set(turn, postponed(turn, purpose, introduction)
-				.withBudget(introduction.budget().failed(turn.now(), retryAfter)));
+				.withBudget(introduction.budget().recordFailure(turn.now(), retryAfter)));
 			return;
 		}
-		set(turn, turn.state().introduction().withBudget(turn.state().introduction().budget().succeeded()));
+		set(turn, turn.state().introduction().withBudget(turn.state().introduction().budget().recordSuccess()));
 		switch (purpose) {
 			case LIST_ANNOUNCEMENTS -> introduced(turn, (PlatformAnswer.Listed) answer);
 			case READ_ANNOUNCEMENT -> compare(turn, answer);
@@ -92,7 +92,7 @@
 			Duration range = Duration.ofSeconds(1)
 				.multipliedBy(answer.objects().size())
 				.dividedBy(turn.policy().announcementsPerSecond());
-			from = turn.now().plus(Jitter.within(range, introduction.budget().randomState()));
+			from = turn.now().plus(Jitter.randomDuration(range, introduction.budget().randomState()));
 		}
 		set(turn, introduction.introduced(turn.now(), from));
 	}
--- a/src/main/java/sycamorehill/logic/membership/MembershipTurn.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipTurn.java
@@ -132,7 +132,7 @@
 	}
 
 	long ticketNumber() {
-		return this.view.truth().map(DesiredState::number).orElse(-1L);
+		return this.view.desiredState().map(DesiredState::number).orElse(-1L);
 	}
 
 	void add(Effect effect) {
@@ -144,7 +144,7 @@
 		long number = introduction.nextCall();
 		this.state = this.state
 			.withIntroduction(introduction.withCalls(introduction.calls().plus(number, purpose), number + 1)
-				.withBudget(introduction.budget().called(this.now)));
+				.withBudget(introduction.budget().recordCall(this.now)));
 		this.effects.add(new PlatformEffect.Call(CallIdentifier.of(CallOwner.MEMBERSHIP, number), request,
 				policy().callTimeout()));
 	}
--- a/src/main/java/sycamorehill/logic/node/NodeReducer.java
+++ b/src/main/java/sycamorehill/logic/node/NodeReducer.java
@@ -30,7 +30,7 @@
  */
 public final class NodeReducer {
 
-	private static final int MOST_RAISED_EVENTS = 100_000;
+	private static final int MAXIMUM_EVENTS_PER_STEP = 100_000;
 
 	private final List<Part<?>> parts = List.of(
 			new Part<>(AdmissionReducer.create(), NodeState::admission, NodeState::withAdmission),
@@ -63,37 +63,38 @@
 	 * @return the state after it and what is to be done outside
 	 */
 	public Step<NodeState> reduce(NodeState state, Instant now, Event event) {
-		List<Effect> outside = new ArrayList<>();
+		List<Effect> externalEffects = new ArrayList<>();
 		Deque<Event> events = new ArrayDeque<>();
 		events.add(event);
 		NodeState current = state;
-		int taken = 0;
+		int processed = 0;
 		while (!events.isEmpty()) {
-			if (++taken > MOST_RAISED_EVENTS) {
+			if (++processed > MAXIMUM_EVENTS_PER_STEP) {
 				throw new IllegalStateException("events raise each other without end, beginning with " + event);
 			}
 			Event next = events.poll();
 			for (Part<?> part : this.parts) {
-				current = part.reduce(current, now, next, outside, events);
+				current = part.reduce(current, now, next, externalEffects, events);
 			}
 		}
-		return Step.of(current, outside);
+		return Step.of(current, externalEffects);
 	}
 
-	private record Part<S>(Reducer<S> reducer, Function<NodeState, S> read, BiFunction<NodeState, S, NodeState> write) {
+	private record Part<S>(Reducer<S> reducer, Function<NodeState, S> getState,
+			BiFunction<NodeState, S, NodeState> setState) {
 
-		NodeState reduce(NodeState state, Instant now, Event event, List<Effect> outside, Deque<Event> events) {
-			S before = this.read.apply(state);
+		NodeState reduce(NodeState state, Instant now, Event event, List<Effect> externalEffects, Deque<Event> events) {
+			S before = this.getState.apply(state);
 			Step<S> step = this.reducer.reduce(before, now, event, StateView.of(state, now));
 			for (Effect effect : step.effects()) {
 				if (effect instanceof NodeEffect.Raise raise) {
 					events.add(raise.event());
 				}
 				else {
-					outside.add(effect);
+					externalEffects.add(effect);
 				}
 			}
-			return (step.state() != before) ? this.write.apply(state, step.state()) : state;
+			return (step.state() != before) ? this.setState.apply(state, step.state()) : state;
 		}
 
 	}
--- a/src/main/java/sycamorehill/logic/node/NodeState.java
+++ b/src/main/java/sycamorehill/logic/node/NodeState.java
@@ -56,7 +56,7 @@
 	 * The state in force, once the node has one.
 	 * @return the truth
 	 */
-	public Optional<DesiredState> truth() {
+	public Optional<DesiredState> desiredState() {
 		return this.ticket.log().truth();
 	}
 
@@ -76,7 +76,7 @@
 	 * @return whether it is ready
 	 */
 	public boolean ready() {
-		return truth().isPresent() && this.request.stop().isEmpty();
+		return desiredState().isPresent() && this.request.stop().isEmpty();
 	}
 
 	NodeState withAdmission(AdmissionState changed) {
--- a/src/main/java/sycamorehill/logic/node/StateView.java
+++ b/src/main/java/sycamorehill/logic/node/StateView.java
@@ -56,7 +56,7 @@
 	}
 
 	@Override
-	public Optional<DesiredState> truth() {
+	public Optional<DesiredState> desiredState() {
 		return this.state.ticket().log().truth();
 	}
 
@@ -66,7 +66,7 @@
 	}
 
 	@Override
-	public boolean delegate() {
+	public boolean isDelegate() {
 		return this.state.membership().delegate();
 	}
 
@@ -81,14 +81,14 @@
 	}
 
 	private List<ServingTarget> knownTargets(ServiceName service) {
-		Optional<ServiceItem> item = truth().flatMap((truth) -> truth.service(service));
+		Optional<ServiceItem> item = desiredState().flatMap((state) -> state.service(service));
 		if (item.filter((found) -> found.kind() == ServiceKind.PLAIN).isPresent()) {
-			return item.get().plainTargets().stream().map((target) -> plain(service, target)).toList();
+			return item.get().plainTargets().stream().map((target) -> toServingTarget(service, target)).toList();
 		}
 		return ServingGroups.of(this.state.group(), this, service, this.now);
 	}
 
-	private static ServingTarget plain(ServiceName service, PlainTarget target) {
+	private static ServingTarget toServingTarget(ServiceName service, PlainTarget target) {
 		return new ServingTarget(target.name(), service, target.dataCentre(), target.address(), Optional.empty(),
 				List.of());
 	}
@@ -102,17 +102,17 @@
 	}
 
 	@Override
-	public boolean quarantined(Fingerprint fingerprint) {
+	public boolean isQuarantined(Fingerprint fingerprint) {
 		return this.state.quarantine().quarantined(fingerprint, this.now);
 	}
 
 	@Override
-	public boolean suspected(Fingerprint fingerprint) {
+	public boolean isSuspect(Fingerprint fingerprint) {
 		return this.state.quarantine().suspected(fingerprint, this.now);
 	}
 
 	@Override
-	public Optional<VmObservation> sight(VmName vm) {
+	public Optional<VmObservation> observation(VmName vm) {
 		return fleet().observation(vm).or(() -> ServingGroups.publishedHeadObservation(this.state.group(), vm));
 	}
 
--- a/src/main/java/sycamorehill/logic/platform/CallBudget.java
+++ b/src/main/java/sycamorehill/logic/platform/CallBudget.java
@@ -26,7 +26,7 @@
 public record CallBudget(double perSecond, double burst, Duration firstBackoff, Duration longestBackoff, double credit,
 		Instant creditAt, Instant notBefore, int failures, long randomState) {
 
-	private static final int MOST_DOUBLINGS = 20;
+	private static final int MAXIMUM_DOUBLINGS = 20;
 
 	private static final double NANOS_PER_SECOND = 1e9;
 
@@ -42,7 +42,7 @@
 	public static CallBudget create(double perSecond, double burst, Duration firstBackoff, Duration longestBackoff,
 			long seed) {
 		return new CallBudget(perSecond, burst, firstBackoff, longestBackoff, burst, Instant.MIN, Instant.MIN, 0,
-				Jitter.next(seed));
+				Jitter.nextState(seed));
 	}
 
 	/**
@@ -51,7 +51,7 @@
 	 * @return whether rate and backoff allow it
 	 */
 	public boolean allows(Instant now) {
-		return !now.isBefore(this.notBefore) && creditAt(now) >= 1;
+		return !now.isBefore(this.notBefore) && availableCredit(now) >= 1;
 	}
 
 	/**
@@ -59,9 +59,9 @@
 	 * @param now own monotonic time
 	 * @return the budget after the call
 	 */
-	public CallBudget called(Instant now) {
-		return new CallBudget(this.perSecond, this.burst, this.firstBackoff, this.longestBackoff, creditAt(now) - 1,
-				now, this.notBefore, this.failures, this.randomState);
+	public CallBudget recordCall(Instant now) {
+		return new CallBudget(this.perSecond, this.burst, this.firstBackoff, this.longestBackoff,
+				availableCredit(now) - 1, now, this.notBefore, this.failures, this.randomState);
 	}
 
 	/**
@@ -70,22 +70,22 @@
 	 * @param retryAfter the platform's own word on when to come back, zero for none
 	 * @return the budget with a longer backoff
 	 */
-	public CallBudget failed(Instant now, Duration retryAfter) {
-		int doublings = Math.min(this.failures, MOST_DOUBLINGS);
+	public CallBudget recordFailure(Instant now, Duration retryAfter) {
+		int doublings = Math.min(this.failures, MAXIMUM_DOUBLINGS);
 		Duration range = this.firstBackoff.multipliedBy(1L << doublings);
-		Duration bounded = (range.compareTo(this.longestBackoff) < 0) ? range : this.longestBackoff;
-		long next = Jitter.next(this.randomState);
-		Duration wait = Jitter.within(bounded, next);
-		Instant end = now.plus((wait.compareTo(retryAfter) > 0) ? wait : retryAfter.plus(wait));
+		Duration boundedRange = (range.compareTo(this.longestBackoff) < 0) ? range : this.longestBackoff;
+		long nextState = Jitter.nextState(this.randomState);
+		Duration delay = Jitter.randomDuration(boundedRange, nextState);
+		Instant backoffEnd = now.plus((delay.compareTo(retryAfter) > 0) ? delay : retryAfter.plus(delay));
 		return new CallBudget(this.perSecond, this.burst, this.firstBackoff, this.longestBackoff, this.credit,
-				this.creditAt, end, this.failures + 1, next);
+				this.creditAt, backoffEnd, this.failures + 1, nextState);
 	}
 
 	/**
 	 * Takes in that a call succeeded.
 	 * @return the budget without backoff
 	 */
-	public CallBudget succeeded() {
+	public CallBudget recordSuccess() {
 		if (this.failures == 0) {
 			return this;
 		}
@@ -93,7 +93,7 @@
 				this.creditAt, Instant.MIN, 0, this.randomState);
 	}
 
-	private double creditAt(Instant now) {
+	private double availableCredit(Instant now) {
 		if (this.creditAt.equals(Instant.MIN)) {
 			return this.burst;
 		}
--- a/src/main/java/sycamorehill/logic/platform/Jitter.java
+++ b/src/main/java/sycamorehill/logic/platform/Jitter.java
@@ -9,9 +9,9 @@
 
 	private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
 
-	private static final double UNIT = 0x1.0p-53;
+	private static final double FRACTION_UNIT = 0x1.0p-53;
 
-	private static final int UNUSED_BITS = 11;
+	private static final int DISCARDED_BITS = 11;
 
 	private Jitter() {
 	}
@@ -21,7 +21,7 @@
 	 * @param state the state
 	 * @return the state after it
 	 */
-	public static long next(long state) {
+	public static long nextState(long state) {
 		return state + GOLDEN_GAMMA;
 	}
 
@@ -31,9 +31,9 @@
 	 * @param state the generator's state
 	 * @return a wait from zero up to the range
 	 */
-	public static Duration within(Duration range, long state) {
-		double part = (mix(state) >>> UNUSED_BITS) * UNIT;
-		return Duration.ofNanos((long) (range.toNanos() * part));
+	public static Duration randomDuration(Duration range, long state) {
+		double fraction = (mix(state) >>> DISCARDED_BITS) * FRACTION_UNIT;
+		return Duration.ofNanos((long) (range.toNanos() * fraction));
 	}
 
 	private static long mix(long state) {
--- a/src/main/java/sycamorehill/logic/quarantine/BreakRule.java
+++ b/src/main/java/sycamorehill/logic/quarantine/BreakRule.java
@@ -193,7 +193,7 @@
 			.members()
 			.stream()
 			.allMatch((member) -> step.view()
-				.sight(member)
+				.observation(member)
 				.filter((sight) -> sight.seenAt().isAfter(found.since()) && serves(sight, found.target()))
 				.isPresent());
 	}
--- a/src/main/java/sycamorehill/logic/request/RequestStep.java
+++ b/src/main/java/sycamorehill/logic/request/RequestStep.java
@@ -84,14 +84,14 @@
 	 * @param request the request, without an attempt under way
 	 */
 	void seekTarget(ActiveRequest request) {
-		if (this.view.quarantined(request.description().fingerprint())) {
+		if (this.view.isQuarantined(request.description().fingerprint())) {
 			finish(request,
 					request.history()
 						.outcome(RefusalReason.QUARANTINED, "its content has crashed the targets that ran it",
 								this.view.policy().quarantine().quarantine()));
 			return;
 		}
-		if (this.view.suspected(request.description().fingerprint())) {
+		if (this.view.isSuspect(request.description().fingerprint())) {
 			awaitIsolation(request);
 			return;
 		}
--- a/src/main/java/sycamorehill/logic/routing/RouteContext.java
+++ b/src/main/java/sycamorehill/logic/routing/RouteContext.java
@@ -29,7 +29,7 @@
 	}
 
 	Optional<VmObservation> observation(ServingTarget target) {
-		return target.members().isEmpty() ? Optional.empty() : this.view.sight(target.members().get(0));
+		return target.members().isEmpty() ? Optional.empty() : this.view.observation(target.members().get(0));
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/ticket/Compaction.java
+++ b/src/main/java/sycamorehill/logic/ticket/Compaction.java
@@ -23,25 +23,25 @@
 		return new Compaction(false, 0, 0, 0, List.of(), Instant.MIN);
 	}
 
-	Compaction begin() {
+	Compaction start() {
 		return new Compaction(true, this.snapshotNumber, 0, this.deletedUpTo, List.of(), this.notBefore);
 	}
 
-	Compaction write(long number, long floor) {
-		return new Compaction(true, this.snapshotNumber, number, floor, List.of(), this.notBefore);
+	Compaction startWrite(long number, long deletableUpTo) {
+		return new Compaction(true, this.snapshotNumber, number, deletableUpTo, List.of(), this.notBefore);
 	}
 
-	Compaction stands(long number, long floor) {
-		return new Compaction(this.running, number, 0, floor, List.of(), this.notBefore);
+	Compaction withStoredSnapshot(long number, long deletableUpTo) {
+		return new Compaction(this.running, number, 0, deletableUpTo, List.of(), this.notBefore);
 	}
 
-	Compaction delete(List<StoredObject> objects) {
+	Compaction withDeletions(List<StoredObject> objects) {
 		return new Compaction(!objects.isEmpty(), this.snapshotNumber, 0, this.deletedUpTo, List.copyOf(objects),
 				this.notBefore);
 	}
 
-	Compaction end(Instant next) {
-		return new Compaction(false, this.snapshotNumber, 0, this.deletedUpTo, List.of(), next);
+	Compaction finish(Instant nextAttempt) {
+		return new Compaction(false, this.snapshotNumber, 0, this.deletedUpTo, List.of(), nextAttempt);
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/ticket/CompactionSteps.java
+++ b/src/main/java/sycamorehill/logic/ticket/CompactionSteps.java
@@ -25,121 +25,123 @@
  */
 final class CompactionSteps {
 
-	private static final Duration PAUSE = Duration.ofSeconds(2);
+	private static final Duration ATTEMPT_INTERVAL = Duration.ofSeconds(2);
 
 	private CompactionSteps() {
 	}
 
-	static void ticked(TicketTurn turn) {
-		Compaction compaction = turn.state().compaction();
-		boolean due = turn.log().number() - compaction.snapshotNumber() >= turn.policy().snapshotEvery()
-				|| turn.sync().behind();
-		if (!due || compaction.running() || turn.now().isBefore(compaction.notBefore()) || turn.sync().running()
-				|| !turn.sync().budget().allows(turn.now()) || !onDuty(turn)) {
+	static void handleTick(TicketStep step) {
+		Compaction compaction = step.state().compaction();
+		boolean due = step.log().number() - compaction.snapshotNumber() >= step.policy().snapshotEvery()
+				|| step.sync().behind();
+		if (!due || compaction.running() || step.now().isBefore(compaction.notBefore()) || step.sync().running()
+				|| !step.sync().budget().allows(step.now()) || !isResponsible(step)) {
 			return;
 		}
-		turn.set(compaction.begin());
-		turn.call(TicketCall.READ_OLD_SNAPSHOT, new PlatformRequest.Read(TicketNames.SNAPSHOT));
+		step.set(compaction.start());
+		step.call(TicketCallPurpose.READ_OLD_SNAPSHOT, new PlatformRequest.Read(TicketObjectNames.SNAPSHOT));
 	}
 
-	static void oldSnapshotRead(TicketTurn turn, PlatformAnswer answer) {
-		Compaction compaction = turn.state().compaction();
+	static void handleOldSnapshot(TicketStep step, PlatformAnswer answer) {
+		Compaction compaction = step.state().compaction();
 		if (answer instanceof PlatformAnswer.Found found) {
 			DesiredStateSnapshot old = (DesiredStateSnapshot) found.object().value();
-			if (old.number() >= turn.log().number()) {
-				turn.set(compaction.stands(old.number(), old.deletedUpTo()).end(turn.now().plus(PAUSE)));
+			if (old.number() >= step.log().number()) {
+				step.set(compaction.withStoredSnapshot(old.number(), old.deletedUpTo())
+					.finish(step.now().plus(ATTEMPT_INTERVAL)));
 				return;
 			}
-			write(turn, old.deletedUpTo(), found.object());
+			writeSnapshot(step, old.deletedUpTo(), found.object());
 		}
 		else if (answer instanceof PlatformAnswer.Missing) {
-			write(turn, 0, null);
+			writeSnapshot(step, 0, null);
 		}
 		else {
-			stop(turn);
+			finish(step);
 		}
 	}
 
-	static void snapshotWritten(TicketTurn turn, PlatformAnswer answer) {
-		Compaction compaction = turn.state().compaction();
+	static void handleSnapshotWritten(TicketStep step, PlatformAnswer answer) {
+		Compaction compaction = step.state().compaction();
 		if (!(answer instanceof PlatformAnswer.Written)) {
-			stop(turn);
+			finish(step);
 			return;
 		}
-		turn.log(LogEvent.SNAPSHOT_WRITTEN, "ticket " + compaction.writing());
-		turn.set(compaction.stands(compaction.writing(), compaction.deletedUpTo()));
-		if (turn.sync().behind()) {
-			SynchronisationSteps.begin(turn);
+		step.log(LogEvent.SNAPSHOT_WRITTEN, "ticket " + compaction.writing());
+		step.set(compaction.withStoredSnapshot(compaction.writing(), compaction.deletedUpTo()));
+		if (step.sync().behind()) {
+			SynchronisationSteps.start(step);
 		}
-		turn.call(TicketCall.LIST_OLD_TICKETS,
-				new PlatformRequest.ListObjects(ObjectKind.TICKET, "", turn.policy().pageSize()));
+		step.call(TicketCallPurpose.LIST_OLD_TICKETS,
+				new PlatformRequest.ListObjects(ObjectKind.TICKET, "", step.policy().pageSize()));
 	}
 
-	static void oldTicketsListed(TicketTurn turn, PlatformAnswer answer) {
+	static void handleOldTickets(TicketStep step, PlatformAnswer answer) {
 		if (!(answer instanceof PlatformAnswer.Listed listed)) {
-			stop(turn);
+			finish(step);
 			return;
 		}
-		long floor = turn.state().compaction().deletedUpTo();
+		long deletableUpTo = step.state().compaction().deletedUpTo();
 		List<StoredObject> old = listed.objects()
 			.stream()
-			.filter((object) -> ((TicketValue) object.value()).ticket().number() <= floor)
+			.filter((object) -> ((TicketValue) object.value()).ticket().number() <= deletableUpTo)
 			.toList();
-		turn.set(turn.state().compaction().delete(old));
-		deleteNext(turn);
+		step.set(step.state().compaction().withDeletions(old));
+		deleteNext(step);
 	}
 
 	/**
 	 * Goes on after a deletion. A conflict means that another node deleted the ticket.
-	 * @param turn the step under way
+	 * @param step the step under way
 	 * @param answer how the deletion ended
 	 */
-	static void ticketDeleted(TicketTurn turn, PlatformAnswer answer) {
-		List<StoredObject> left = turn.state().compaction().deletions();
-		boolean gone = answer instanceof PlatformAnswer.Written || answer instanceof PlatformAnswer.Conflict
+	static void handleTicketDeleted(TicketStep step, PlatformAnswer answer) {
+		List<StoredObject> remaining = step.state().compaction().deletions();
+		boolean deleted = answer instanceof PlatformAnswer.Written || answer instanceof PlatformAnswer.Conflict
 				|| answer instanceof PlatformAnswer.Missing;
-		if (!gone || left.isEmpty()) {
-			stop(turn);
+		if (!deleted || remaining.isEmpty()) {
+			finish(step);
 			return;
 		}
-		turn.set(turn.state().compaction().delete(left.subList(1, left.size())));
-		deleteNext(turn);
+		step.set(step.state().compaction().withDeletions(remaining.subList(1, remaining.size())));
+		deleteNext(step);
 	}
 
-	private static void deleteNext(TicketTurn turn) {
-		List<StoredObject> left = turn.state().compaction().deletions();
-		if (left.isEmpty()) {
-			stop(turn);
+	private static void deleteNext(TicketStep step) {
+		List<StoredObject> remaining = step.state().compaction().deletions();
+		if (remaining.isEmpty()) {
+			finish(step);
 			return;
 		}
-		StoredObject next = left.get(0);
-		turn.call(TicketCall.DELETE_TICKET, new PlatformRequest.Delete(next.key(), next.version()));
+		StoredObject next = remaining.get(0);
+		step.call(TicketCallPurpose.DELETE_TICKET, new PlatformRequest.Delete(next.key(), next.version()));
 	}
 
-	private static void write(TicketTurn turn, long oldFloor, StoredObject old) {
-		long number = turn.log().number();
-		long floor = turn.sync().behind() ? number : Math.max(oldFloor, number - turn.policy().keptTickets());
-		turn.set(turn.state().compaction().write(number, floor));
-		DesiredStateSnapshot snapshot = turn.log().snapshot(floor);
+	private static void writeSnapshot(TicketStep step, long announcedUpTo, StoredObject old) {
+		long number = step.log().number();
+		long deletableUpTo = step.sync().behind() ? number
+				: Math.max(announcedUpTo, number - step.policy().keptTickets());
+		step.set(step.state().compaction().startWrite(number, deletableUpTo));
+		DesiredStateSnapshot snapshot = step.log().snapshot(deletableUpTo);
 		PlatformRequest request = (old != null)
-				? new PlatformRequest.Update(TicketNames.SNAPSHOT, snapshot, old.version())
-				: new PlatformRequest.Create(TicketNames.SNAPSHOT, snapshot);
-		turn.call(TicketCall.WRITE_SNAPSHOT, request);
+				? new PlatformRequest.Update(TicketObjectNames.SNAPSHOT, snapshot, old.version())
+				: new PlatformRequest.Create(TicketObjectNames.SNAPSHOT, snapshot);
+		step.call(TicketCallPurpose.WRITE_SNAPSHOT, request);
 	}
 
-	private static void stop(TicketTurn turn) {
-		turn.set(turn.state().compaction().end(turn.now().plus(PAUSE)));
+	private static void finish(TicketStep step) {
+		step.set(step.state().compaction().finish(step.now().plus(ATTEMPT_INTERVAL)));
 	}
 
-	private static boolean onDuty(TicketTurn turn) {
-		List<LiveNode> nodes = turn.view()
+	private static boolean isResponsible(TicketStep step) {
+		List<LiveNode> nodes = step.view()
 			.liveNodes()
 			.nodes()
 			.values()
 			.stream()
 			.filter((node) -> !node.stopping())
 			.toList();
-		return Delegates.of(nodes, 1).stream().anyMatch((node) -> node.identity().equals(turn.view().self()));
+		return Delegates.of(nodes, 1).stream().anyMatch((node) -> node.identity().equals(step.view().self()));
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/ticket/Filing.java
+++ b/src/main/java/sycamorehill/logic/ticket/Filing.java
@@ -22,23 +22,24 @@
 public record Filing(OperatorCallIdentifier call, TicketDraft draft, String mark, long number, boolean doubtful,
 		int attempts, Instant until, long synchronisation) {
 
-	static Filing of(OperatorCallIdentifier call, TicketDraft draft, String mark, Instant until, long begun) {
-		return new Filing(call, draft, mark, 0, false, 0, until, begun + 1);
+	static Filing of(OperatorCallIdentifier call, TicketDraft draft, String mark, Instant until,
+			long synchronisationsBegun) {
+		return new Filing(call, draft, mark, 0, false, 0, until, synchronisationsBegun + 1);
 	}
 
-	Filing creating(long ticketNumber) {
+	Filing startCreate(long ticketNumber) {
 		return new Filing(this.call, this.draft, this.mark, ticketNumber, true, this.attempts + 1, this.until,
 				Long.MAX_VALUE);
 	}
 
-	Filing certain() {
+	Filing withoutDoubt() {
 		return new Filing(this.call, this.draft, this.mark, this.number, false, this.attempts, this.until,
 				this.synchronisation);
 	}
 
-	Filing after(long begun) {
+	Filing awaitSynchronisationAfter(long synchronisationsBegun) {
 		return new Filing(this.call, this.draft, this.mark, this.number, this.doubtful, this.attempts, this.until,
-				begun + 1);
+				synchronisationsBegun + 1);
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/ticket/FilingSteps.java
+++ b/src/main/java/sycamorehill/logic/ticket/FilingSteps.java
@@ -23,84 +23,85 @@
  */
 final class FilingSteps {
 
-	private static final int FAILURES_OF_AN_OUTAGE = 3;
+	private static final int OUTAGE_FAILURE_THRESHOLD = 3;
 
 	private FilingSteps() {
 	}
 
-	static void filed(TicketTurn turn, OperatorEvent.TicketFiled event) {
-		String mark = turn.view().self().incarnation() + "-f" + event.call().number();
-		Filing filing = Filing.of(event.call(), event.draft(), mark, turn.now().plus(turn.policy().filingPatience()),
-				turn.sync().begun());
-		turn.set(turn.state().withFilings(turn.state().filings().plus(filing)));
+	static void handleFiling(TicketStep step, OperatorEvent.TicketFiled event) {
+		String mark = step.view().self().incarnation() + "-f" + event.call().number();
+		Filing filing = Filing.of(event.call(), event.draft(), mark, step.now().plus(step.policy().filingPatience()),
+				step.sync().begun());
+		step.set(step.state().withFilings(step.state().filings().plus(filing)));
 		if (event.draft().filing() == null) {
-			refuseUnnamed(turn, event);
+			refuseWithoutIdentifier(step, event);
 			return;
 		}
-		if (outage(turn)) {
-			platformFailed(turn);
+		if (isOutage(step)) {
+			handlePlatformFailure(step);
 		}
-		SynchronisationSteps.begin(turn);
+		SynchronisationSteps.start(step);
 	}
 
 	/**
 	 * Goes on with the filings after a synchronisation that began after them.
-	 * @param turn the step under way
+	 * @param step the step under way
 	 */
-	static void synchronised(TicketTurn turn) {
-		boolean settled = true;
-		while (settled && !turn.state().filings().isEmpty()) {
-			settled = turn.state().filings().get(0).synchronisation() <= turn.sync().begun() && !creating(turn)
-					&& settle(turn);
+	static void handleSynchronised(TicketStep step) {
+		boolean answered = true;
+		while (answered && !step.state().filings().isEmpty()) {
+			answered = step.state().filings().get(0).synchronisation() <= step.sync().begun() && !isCreateOpen(step)
+					&& processFirst(step);
 		}
 	}
 
-	static void created(TicketTurn turn, PlatformAnswer answer) {
+	static void handleCreateAnswer(TicketStep step, PlatformAnswer answer) {
 		if (answer instanceof PlatformAnswer.NotTaken notTaken) {
-			turn.set(turn.sync().withBudget(turn.sync().budget().failed(turn.now(), notTaken.retryAfter())));
+			step.set(step.sync().withBudget(step.sync().budget().recordFailure(step.now(), notTaken.retryAfter())));
 		}
-		if (!turn.state().filings().isEmpty() && turn.state().filings().get(0).attempts() > 0) {
-			Filing filing = turn.state().filings().get(0);
+		if (!step.state().filings().isEmpty() && step.state().filings().get(0).attempts() > 0) {
+			Filing filing = step.state().filings().get(0);
 			// The first create under a number that was not taken left no doubt. After a
 			// second one there is: the first may still be under way.
 			boolean certain = answer instanceof PlatformAnswer.NotTaken && filing.attempts() == 1;
-			replaceFirst(turn, (certain ? filing.certain() : filing).after(turn.sync().begun()));
+			replaceFirst(step,
+					(certain ? filing.withoutDoubt() : filing).awaitSynchronisationAfter(step.sync().begun()));
 		}
-		SynchronisationSteps.begin(turn);
+		SynchronisationSteps.start(step);
 	}
 
 	/**
 	 * Takes in that the platform failed. A single lost call is tried again; in an outage
 	 * a filer that nothing was written for is told so at once.
-	 * @param turn the step under way
+	 * @param step the step under way
 	 */
-	static void platformFailed(TicketTurn turn) {
-		while (outage(turn) && !turn.state().filings().isEmpty() && !turn.state().filings().get(0).doubtful()) {
-			answer(turn, new FilingOutcome.Refused(
-					List.of("the platform can't be reached from data centre " + turn.view().self().dataCentre()
+	static void handlePlatformFailure(TicketStep step) {
+		while (isOutage(step) && !step.state().filings().isEmpty() && !step.state().filings().get(0).doubtful()) {
+			answerFirst(step, new FilingOutcome.Refused(
+					List.of("the platform can't be reached from data centre " + step.view().self().dataCentre()
 							+ ": this call wrote nothing; file again later, or through a data centre that reaches it"),
 					List.of()));
 		}
 	}
 
-	static void platformOlder(TicketTurn turn) {
-		while (!turn.state().filings().isEmpty()) {
-			String detail = "the platform came back older than ticket " + turn.log().number()
+	static void handleOlderPlatform(TicketStep step) {
+		while (!step.state().filings().isEmpty()) {
+			String detail = "the platform came back older than ticket " + step.log().number()
 					+ ", which stays in force: nothing is accepted until it is restored";
-			FilingOutcome outcome = turn.state().filings().get(0).doubtful() ? new FilingOutcome.NotKnown(detail)
+			FilingOutcome outcome = step.state().filings().get(0).doubtful() ? new FilingOutcome.NotKnown(detail)
 					: new FilingOutcome.Refused(List.of(detail), List.of());
-			answer(turn, outcome);
+			answerFirst(step, outcome);
 		}
 	}
 
-	static void ticked(TicketTurn turn) {
-		while (!turn.state().filings().isEmpty() && !turn.now().isBefore(turn.state().filings().get(0).until())) {
-			if (turn.state().filings().get(0).doubtful()) {
-				answer(turn, new FilingOutcome.NotKnown(
+	static void expireFilings(TicketStep step) {
+		while (!step.state().filings().isEmpty() && !step.now().isBefore(step.state().filings().get(0).until())) {
+			if (step.state().filings().get(0).doubtful()) {
+				answerFirst(step, new FilingOutcome.NotKnown(
 						"the platform did not confirm: file again with the same filing identifier"));
 			}
 			else {
-				answer(turn, new FilingOutcome.Refused(
+				answerFirst(step, new FilingOutcome.Refused(
 						List.of("the platform answered too slowly: this call wrote nothing; file again"), List.of()));
 			}
 		}
@@ -108,84 +109,84 @@
 
 	// Without an identifier neither a lost answer nor a second filing could be told from
 	// another ticket.
-	private static void refuseUnnamed(TicketTurn turn, OperatorEvent.TicketFiled event) {
-		PVector<Filing> others = turn.state().filings();
-		turn.set(turn.state().withFilings(others.minus(others.size() - 1)));
-		turn.add(new OperatorEffect.AnswerFiling(event.call(),
+	private static void refuseWithoutIdentifier(TicketStep step, OperatorEvent.TicketFiled event) {
+		PVector<Filing> filings = step.state().filings();
+		step.set(step.state().withFilings(filings.minus(filings.size() - 1)));
+		step.add(new OperatorEffect.AnswerFiling(event.call(),
 				new FilingOutcome.Refused(List.of("filing: a filing identifier is needed"), List.of())));
 	}
 
-	private static boolean settle(TicketTurn turn) {
-		Filing filing = turn.state().filings().get(0);
-		Optional<Long> known = turn.log().accepted(filing.draft().filing());
-		if (known.isPresent()) {
-			answer(turn, known(turn, filing, known.get()));
+	private static boolean processFirst(TicketStep step) {
+		Filing filing = step.state().filings().get(0);
+		Optional<Long> acceptedNumber = step.log().acceptedNumber(filing.draft().filing());
+		if (acceptedNumber.isPresent()) {
+			answerFirst(step, outcomeOfAccepted(step, filing, acceptedNumber.get()));
 			return true;
 		}
-		if (SpreadSteps.peersAhead(turn)) {
+		if (ReplicationSteps.isPeerAhead(step)) {
 			// A peer's ticket that the platform does not show must not have its number
 			// given away again: wait until it is learnt.
-			turn.set(turn.sync().want());
-			replaceFirst(turn, filing.after(turn.sync().begun()));
+			step.set(step.sync().requestAnother());
+			replaceFirst(step, filing.awaitSynchronisationAfter(step.sync().begun()));
 			return false;
 		}
-		if (filing.doubtful() && turn.log().number() < filing.number()) {
-			create(turn, filing);
+		if (filing.doubtful() && step.log().number() < filing.number()) {
+			createTicket(step, filing);
 			return false;
 		}
-		ValidationResult result = TicketValidator.validate(filing.draft(), turn.log().truth().get());
+		ValidationResult result = TicketValidator.validate(filing.draft(), step.log().truth().get());
 		if (!result.faults().isEmpty()) {
-			answer(turn, new FilingOutcome.Refused(result.faults(), result.presentItems()));
+			answerFirst(step, new FilingOutcome.Refused(result.faults(), result.currentItems()));
 			return true;
 		}
-		if (filing.attempts() >= turn.policy().filingAttempts()) {
-			answer(turn,
+		if (filing.attempts() >= step.policy().filingAttempts()) {
+			answerFirst(step,
 					new FilingOutcome.Refused(
 							List.of("other tickets were accepted first " + filing.attempts() + " times: file again"),
 							List.of()));
 			return true;
 		}
-		create(turn, filing);
+		createTicket(step, filing);
 		return false;
 	}
 
-	private static FilingOutcome known(TicketTurn turn, Filing filing, long number) {
-		boolean other = turn.log()
+	private static FilingOutcome outcomeOfAccepted(TicketStep step, Filing filing, long number) {
+		boolean otherChanges = step.log()
 			.ticket(number)
 			.map((ticket) -> !ticket.draft().changes().equals(filing.draft().changes()))
 			.orElse(false);
-		if (other) {
+		if (otherChanges) {
 			return new FilingOutcome.Refused(List.of("the filing identifier " + filing.draft().filing()
 					+ " has become ticket " + number + " with other changes: choose a new one"), List.of());
 		}
 		return new FilingOutcome.Accepted(number);
 	}
 
-	private static void create(TicketTurn turn, Filing filing) {
-		long number = turn.log().number() + 1;
-		replaceFirst(turn, filing.creating(number));
-		Ticket ticket = new Ticket(number, turn.state().wallClock(), filing.draft());
-		turn.call(TicketCall.CREATE_TICKET, new PlatformRequest.Create(TicketNames.ticket(number),
-				new TicketValue(ticket, filing.mark(), TruthLog.FORMAT_VERSION)));
+	private static void createTicket(TicketStep step, Filing filing) {
+		long number = step.log().number() + 1;
+		replaceFirst(step, filing.startCreate(number));
+		Ticket ticket = new Ticket(number, step.state().wallClock(), filing.draft());
+		step.call(TicketCallPurpose.CREATE_TICKET, new PlatformRequest.Create(TicketObjectNames.ticketKey(number),
+				new TicketValue(ticket, filing.mark(), TicketLog.FORMAT_VERSION)));
 	}
 
-	private static boolean outage(TicketTurn turn) {
-		return turn.sync().budget().failures() >= FAILURES_OF_AN_OUTAGE;
+	private static boolean isOutage(TicketStep step) {
+		return step.sync().budget().failures() >= OUTAGE_FAILURE_THRESHOLD;
 	}
 
-	private static boolean creating(TicketTurn turn) {
-		return turn.state().calls().containsValue(TicketCall.CREATE_TICKET);
+	private static boolean isCreateOpen(TicketStep step) {
+		return step.state().calls().containsValue(TicketCallPurpose.CREATE_TICKET);
 	}
 
-	private static void replaceFirst(TicketTurn turn, Filing filing) {
-		turn.set(turn.state().withFilings(turn.state().filings().with(0, filing)));
+	private static void replaceFirst(TicketStep step, Filing filing) {
+		step.set(step.state().withFilings(step.state().filings().with(0, filing)));
 	}
 
-	private static void answer(TicketTurn turn, FilingOutcome outcome) {
-		Filing filing = turn.state().filings().get(0);
-		turn.set(turn.state().withFilings(turn.state().filings().minus(0)));
-		turn.log(LogEvent.FILING_ANSWERED, filing.draft().filing() + ": " + outcome);
-		turn.add(new OperatorEffect.AnswerFiling(filing.call(), outcome));
+	private static void answerFirst(TicketStep step, FilingOutcome outcome) {
+		Filing filing = step.state().filings().get(0);
+		step.set(step.state().withFilings(step.state().filings().minus(0)));
+		step.log(LogEvent.FILING_ANSWERED, filing.draft().filing() + ": " + outcome);
+		step.add(new OperatorEffect.AnswerFiling(filing.call(), outcome));
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/ticket/ItemRules.java
+++ b/src/main/java/sycamorehill/logic/ticket/ItemValidator.java
@@ -18,25 +18,25 @@
 /**
  * What each kind of item must be like by itself.
  */
-final class ItemRules {
+final class ItemValidator {
 
-	static final int MOST_GROUPS = 1000;
+	static final int MAXIMUM_GROUPS = 1000;
 
-	static final int MOST_MEMBERS = 64;
+	static final int MAXIMUM_MEMBERS = 64;
 
-	static final int MOST_WEIGHT = 1000;
+	static final int MAXIMUM_WEIGHT = 1000;
 
-	private static final int LONGEST_NAME = 100;
+	private static final int MAXIMUM_NAME_LENGTH = 100;
 
 	private static final Pattern KEY_HASH = Pattern.compile("[0-9a-f]{64}");
 
-	private static final int ITEM_BYTES = 400;
+	private static final int ESTIMATED_ITEM_BYTES = 400;
 
-	private static final int LIST_ENTRY_BYTES = 200;
+	private static final int ESTIMATED_LIST_ENTRY_BYTES = 200;
 
 	private final List<String> faults = new ArrayList<>();
 
-	private ItemRules() {
+	private ItemValidator() {
 	}
 
 	/**
@@ -46,23 +46,24 @@
 	 * @return each fault with the field it is in, beginning with a dot
 	 */
 	static List<String> check(Item item, ItemKey key) {
-		ItemRules rules = new ItemRules();
-		if (rules.nameMissing(item)) {
+		ItemValidator validator = new ItemValidator();
+		if (validator.isNameMissing(item)) {
 			return List.of(".newState.name: a name is needed");
 		}
-		rules.require(item.key().equals(key),
+		validator.require(item.key().equals(key),
 				".newState: is the state of " + item.key().kind() + " " + item.key().name());
-		rules.require(key.name().length() <= LONGEST_NAME, ".key.name: at most " + LONGEST_NAME + " characters");
+		validator.require(key.name().length() <= MAXIMUM_NAME_LENGTH,
+				".key.name: at most " + MAXIMUM_NAME_LENGTH + " characters");
 		if (item instanceof ServiceItem service) {
-			rules.service(service);
+			validator.checkService(service);
 		}
 		else if (item instanceof ModelGroupItem set) {
-			rules.groupSet(set);
+			validator.checkGroupSet(set);
 		}
 		else {
-			rules.workspace((WorkspaceItem) item);
+			validator.checkWorkspace((WorkspaceItem) item);
 		}
-		return rules.faults;
+		return validator.faults;
 	}
 
 	/**
@@ -70,16 +71,16 @@
 	 * @param item the item
 	 * @return bytes
 	 */
-	static long bytes(Item item) {
+	static long estimateBytes(Item item) {
 		if (item instanceof ServiceItem service) {
-			return ITEM_BYTES + service.model().length() + service.modelVersion().length()
-					+ (long) LIST_ENTRY_BYTES * (service.plainTargets().size() + service.repeatRules().size())
+			return ESTIMATED_ITEM_BYTES + service.model().length() + service.modelVersion().length()
+					+ (long) ESTIMATED_LIST_ENTRY_BYTES * (service.plainTargets().size() + service.repeatRules().size())
 					+ service.repeatRules().stream().mapToLong((rule) -> rule.pathPrefix().length()).sum();
 		}
-		return ITEM_BYTES + item.key().name().length();
+		return ESTIMATED_ITEM_BYTES + item.key().name().length();
 	}
 
-	private boolean nameMissing(Item item) {
+	private boolean isNameMissing(Item item) {
 		if (item instanceof ServiceItem service) {
 			return service.name() == null;
 		}
@@ -89,7 +90,7 @@
 		return ((WorkspaceItem) item).name() == null;
 	}
 
-	private void service(ServiceItem service) {
+	private void checkService(ServiceItem service) {
 		if (service.kind() == null) {
 			this.faults.add(".newState.kind: MODEL or PLAIN is needed");
 			return;
@@ -107,9 +108,9 @@
 		require(!service.plainTargets().isEmpty(), ".newState.plainTargets: a plain service needs a target");
 		Set<Object> names = new HashSet<>();
 		for (PlainTarget target : service.plainTargets()) {
-			boolean whole = target.name() != null && target.dataCentre() != null && target.address() != null;
-			require(whole, ".newState.plainTargets: each needs a name, a data centre and an address");
-			require(!whole || names.add(target.name()),
+			boolean complete = target.name() != null && target.dataCentre() != null && target.address() != null;
+			require(complete, ".newState.plainTargets: each needs a name, a data centre and an address");
+			require(!complete || names.add(target.name()),
 					".newState.plainTargets: the name " + target.name() + " stands twice");
 		}
 		for (IdempotencyRule rule : service.repeatRules()) {
@@ -120,33 +121,34 @@
 		}
 	}
 
-	private void groupSet(ModelGroupItem set) {
+	private void checkGroupSet(ModelGroupItem set) {
 		require(set.service() != null, ".newState.service: a service is needed");
 		require(set.dataCentre() != null, ".newState.dataCentre: a data centre is needed");
-		range(".newState.groups", set.groups(), 0, MOST_GROUPS);
-		range(".newState.membersPerGroup", set.membersPerGroup(), 1, MOST_MEMBERS);
-		range(".newState.standbys", set.standbys(), 0, MOST_MEMBERS);
+		requireRange(".newState.groups", set.groups(), 0, MAXIMUM_GROUPS);
+		requireRange(".newState.membersPerGroup", set.membersPerGroup(), 1, MAXIMUM_MEMBERS);
+		requireRange(".newState.standbys", set.standbys(), 0, MAXIMUM_MEMBERS);
 	}
 
-	private void workspace(WorkspaceItem workspace) {
+	private void checkWorkspace(WorkspaceItem workspace) {
 		require(workspace.keyHash() != null && KEY_HASH.matcher(workspace.keyHash()).matches(),
 				".newState.keyHash: SHA-256 of the key in 64 lower-case hex digits");
-		positive(".newState.requestsPerSecond", workspace.requestsPerSecond());
-		positive(".newState.tokensPerSecond", workspace.tokensPerSecond());
-		range(".newState.inFlight", workspace.inFlight(), 1, Integer.MAX_VALUE);
-		range(".newState.weight", workspace.weight(), 1, MOST_WEIGHT);
+		requirePositive(".newState.requestsPerSecond", workspace.requestsPerSecond());
+		requirePositive(".newState.tokensPerSecond", workspace.tokensPerSecond());
+		requireRange(".newState.inFlight", workspace.inFlight(), 1, Integer.MAX_VALUE);
+		requireRange(".newState.weight", workspace.weight(), 1, MAXIMUM_WEIGHT);
 	}
 
-	private void positive(String field, double value) {
+	private void requirePositive(String field, double value) {
 		require(Double.isFinite(value) && value > 0, field + ": a number above 0, not " + value);
 	}
 
-	private void range(String field, int value, int least, int most) {
-		require(value >= least && value <= most, field + ": from " + least + " to " + most + ", not " + value);
+	private void requireRange(String field, int value, int minimum, int maximum) {
+		require(value >= minimum && value <= maximum,
+				field + ": from " + minimum + " to " + maximum + ", not " + value);
 	}
 
-	private void require(boolean holds, String fault) {
-		if (!holds) {
+	private void require(boolean condition, String fault) {
+		if (!condition) {
 			this.faults.add(fault);
 		}
 	}
--- a/src/main/java/sycamorehill/logic/ticket/PeerTickets.java
+++ b/src/main/java/sycamorehill/logic/ticket/PeerTickets.java
@@ -13,32 +13,32 @@
  */
 public record PeerTickets(long highest, Instant heardAt, Instant askedAt) {
 
-	private static final Duration VALID_FOR = Duration.ofSeconds(30);
+	private static final Duration REPORT_VALIDITY = Duration.ofSeconds(30);
 
-	private static final Duration ASK_INTERVAL = Duration.ofMillis(200);
+	private static final Duration REQUEST_INTERVAL = Duration.ofMillis(200);
 
 	static PeerTickets none() {
 		return new PeerTickets(-1, Instant.MIN, Instant.MIN);
 	}
 
-	PeerTickets heard(long number, Instant now) {
-		return (number >= this.highest || !valid(now)) ? new PeerTickets(number, now, this.askedAt) : this;
+	PeerTickets recordReport(long number, Instant now) {
+		return (number >= this.highest || !isReportValid(now)) ? new PeerTickets(number, now, this.askedAt) : this;
 	}
 
-	PeerTickets asked(Instant now) {
+	PeerTickets recordRequest(Instant now) {
 		return new PeerTickets(this.highest, this.heardAt, now);
 	}
 
-	boolean ahead(long number, Instant now) {
-		return this.highest > number && valid(now);
+	boolean isAheadOf(long number, Instant now) {
+		return this.highest > number && isReportValid(now);
 	}
 
-	boolean mayAsk(Instant now) {
-		return this.askedAt.equals(Instant.MIN) || !now.isBefore(this.askedAt.plus(ASK_INTERVAL));
+	boolean mayRequest(Instant now) {
+		return this.askedAt.equals(Instant.MIN) || !now.isBefore(this.askedAt.plus(REQUEST_INTERVAL));
 	}
 
-	private boolean valid(Instant now) {
-		return !this.heardAt.equals(Instant.MIN) && now.isBefore(this.heardAt.plus(VALID_FOR));
+	private boolean isReportValid(Instant now) {
+		return !this.heardAt.equals(Instant.MIN) && now.isBefore(this.heardAt.plus(REPORT_VALIDITY));
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/ticket/Synchronisation.java
+++ b/src/main/java/sycamorehill/logic/ticket/Synchronisation.java
@@ -31,27 +31,27 @@
 				Instant.MIN);
 	}
 
-	Synchronisation begin() {
+	Synchronisation start() {
 		return new Synchronisation(this.begun + 1, true, false, -1, List.of(), false, this.version, this.behind,
 				this.budget, this.watching, this.nextWatch, this.lastSuccess);
 	}
 
-	Synchronisation want() {
+	Synchronisation requestAnother() {
 		return new Synchronisation(this.begun, this.running, true, this.anchor, this.listed, this.pageFull,
 				this.version, this.behind, this.budget, this.watching, this.nextWatch, this.lastSuccess);
 	}
 
-	Synchronisation listing(long from) {
-		return new Synchronisation(this.begun, this.running, this.wanted, from, List.of(), false, this.version,
+	Synchronisation startList(long lastTicket) {
+		return new Synchronisation(this.begun, this.running, this.wanted, lastTicket, List.of(), false, this.version,
 				this.behind, this.budget, this.watching, this.nextWatch, this.lastSuccess);
 	}
 
-	Synchronisation page(List<Ticket> tickets, boolean full, long platformVersion) {
+	Synchronisation withPage(List<Ticket> tickets, boolean full, long platformVersion) {
 		return new Synchronisation(this.begun, this.running, this.wanted, this.anchor, List.copyOf(tickets), full,
 				platformVersion, this.behind, this.budget, this.watching, this.nextWatch, this.lastSuccess);
 	}
 
-	Synchronisation end(boolean platformBehind, Instant success) {
+	Synchronisation finish(boolean platformBehind, Instant success) {
 		return new Synchronisation(this.begun, false, this.wanted, -1, List.of(), false, this.version, platformBehind,
 				this.budget, this.watching, this.nextWatch, success);
 	}
@@ -61,7 +61,7 @@
 				this.version, this.behind, changed, this.watching, this.nextWatch, this.lastSuccess);
 	}
 
-	Synchronisation watch(boolean waiting, Instant next) {
+	Synchronisation withWatch(boolean waiting, Instant next) {
 		return new Synchronisation(this.begun, this.running, this.wanted, this.anchor, this.listed, this.pageFull,
 				this.version, this.behind, this.budget, waiting, next, this.lastSuccess);
 	}
--- a/src/main/java/sycamorehill/logic/ticket/SynchronisationSteps.java
+++ b/src/main/java/sycamorehill/logic/ticket/SynchronisationSteps.java
@@ -33,176 +33,176 @@
 
 	/**
 	 * Begins a synchronisation, or asks for another after the present one.
-	 * @param turn the step under way
+	 * @param step the step under way
 	 */
-	static void begin(TicketTurn turn) {
-		if (turn.sync().running() || !turn.sync().budget().allows(turn.now())) {
-			turn.set(turn.sync().want());
+	static void start(TicketStep step) {
+		if (step.sync().running() || !step.sync().budget().allows(step.now())) {
+			step.set(step.sync().requestAnother());
 			return;
 		}
-		turn.set(turn.sync().begin());
-		if (turn.log().truth().isEmpty()) {
-			readSnapshot(turn);
+		step.set(step.sync().start());
+		if (step.log().truth().isEmpty()) {
+			readSnapshot(step);
 		}
 		else {
-			list(turn);
+			listTickets(step);
 		}
 	}
 
-	static void listed(TicketTurn turn, PlatformAnswer answer) {
+	static void handleTickets(TicketStep step, PlatformAnswer answer) {
 		if (!(answer instanceof PlatformAnswer.Listed found)) {
-			failed(turn, answer);
+			handleFailure(step, answer);
 			return;
 		}
-		List<Ticket> tickets = tickets(found.objects());
+		List<Ticket> tickets = readableTickets(found.objects());
 		if (tickets.size() < found.objects().size()) {
-			turn.log(LogEvent.TICKET_FORMAT_UNKNOWN, "behind ticket " + turn.log().number());
+			step.log(LogEvent.TICKET_FORMAT_UNKNOWN, "behind ticket " + step.log().number());
 		}
-		boolean full = found.objects().size() >= turn.policy().pageSize();
-		turn.set(turn.sync().page(tickets, full, found.version()));
-		if (anchored(turn, tickets)) {
-			fold(turn);
+		boolean full = found.objects().size() >= step.policy().pageSize();
+		step.set(step.sync().withPage(tickets, full, found.version()));
+		if (matchesAnchor(step, tickets)) {
+			applyListedTickets(step);
 		}
 		else {
-			readSnapshot(turn);
+			readSnapshot(step);
 		}
 	}
 
-	static void snapshotRead(TicketTurn turn, PlatformAnswer answer) {
+	static void handleSnapshot(TicketStep step, PlatformAnswer answer) {
 		DesiredStateSnapshot snapshot = emptySnapshot();
 		if (answer instanceof PlatformAnswer.Found found) {
 			snapshot = (DesiredStateSnapshot) found.object().value();
 		}
 		else if (!(answer instanceof PlatformAnswer.Missing)) {
-			failed(turn, answer);
+			handleFailure(step, answer);
 			return;
 		}
-		if (snapshot.formatVersion() > TruthLog.FORMAT_VERSION) {
-			turn.log(LogEvent.TICKET_FORMAT_UNKNOWN, "snapshot at ticket " + snapshot.number());
-			failed(turn, answer);
+		if (snapshot.formatVersion() > TicketLog.FORMAT_VERSION) {
+			step.log(LogEvent.TICKET_FORMAT_UNKNOWN, "snapshot at ticket " + snapshot.number());
+			handleFailure(step, answer);
 			return;
 		}
-		if (snapshot.number() < turn.sync().anchor()) {
-			platformBehind(turn, snapshot.number());
+		if (snapshot.number() < step.sync().anchor()) {
+			handleOlderPlatform(step, snapshot.number());
 		}
-		else if (snapshot.number() == turn.sync().anchor()) {
-			fold(turn);
+		else if (snapshot.number() == step.sync().anchor()) {
+			applyListedTickets(step);
 		}
 		else {
-			Folding.adopt(turn, snapshot);
-			list(turn);
+			TicketLogUpdater.adopt(step, snapshot);
+			listTickets(step);
 		}
 	}
 
 	/**
 	 * Keeps a watch open. Its answer only wakes: what it shows is read again by a
 	 * synchronisation, which checks the anchor.
-	 * @param turn the step under way
+	 * @param step the step under way
 	 */
-	static void watch(TicketTurn turn) {
-		Synchronisation sync = turn.sync();
+	static void startWatch(TicketStep step) {
+		Synchronisation sync = step.sync();
 		boolean ready = !sync.watching() && !sync.running() && !sync.wanted() && sync.version() >= 0;
-		if (!ready || turn.now().isBefore(sync.nextWatch()) || !sync.budget().allows(turn.now())) {
+		if (!ready || step.now().isBefore(sync.nextWatch()) || !sync.budget().allows(step.now())) {
 			return;
 		}
-		turn.set(sync.watch(true, turn.now().plus(turn.policy().shortestWatch())));
-		Duration wait = turn.policy().watchWait();
-		turn.call(TicketCall.WATCH_TICKETS, new PlatformRequest.Watch(ObjectKind.TICKET, sync.version(), wait),
-				wait.plus(turn.policy().callTimeout()));
+		step.set(sync.withWatch(true, step.now().plus(step.policy().shortestWatch())));
+		Duration wait = step.policy().watchWait();
+		step.call(TicketCallPurpose.WATCH_TICKETS, new PlatformRequest.Watch(ObjectKind.TICKET, sync.version(), wait),
+				wait.plus(step.policy().callTimeout()));
 	}
 
-	static void watched(TicketTurn turn, PlatformAnswer answer) {
-		turn.set(turn.sync().watch(false, turn.sync().nextWatch()));
+	static void handleWatchAnswer(TicketStep step, PlatformAnswer answer) {
+		step.set(step.sync().withWatch(false, step.sync().nextWatch()));
 		if (!(answer instanceof PlatformAnswer.Listed found)) {
-			failed(turn, answer);
+			handleFailure(step, answer);
 		}
-		else if (!found.objects().isEmpty() || found.version() < turn.sync().version() || overdue(turn)) {
-			begin(turn);
+		else if (!found.objects().isEmpty() || found.version() < step.sync().version() || isOverdue(step)) {
+			start(step);
 		}
 	}
 
 	/**
 	 * Takes in that a call of the synchronisation failed: the next one waits.
-	 * @param turn the step under way
+	 * @param step the step under way
 	 * @param answer how it ended
 	 */
-	static void failed(TicketTurn turn, PlatformAnswer answer) {
+	static void handleFailure(TicketStep step, PlatformAnswer answer) {
 		Duration retryAfter = (answer instanceof PlatformAnswer.NotTaken notTaken) ? notTaken.retryAfter()
 				: Duration.ZERO;
-		Synchronisation sync = turn.sync();
-		turn.set(sync.withBudget(sync.budget().failed(turn.now(), retryAfter))
-			.end(sync.behind(), sync.lastSuccess())
-			.want());
-		FilingSteps.platformFailed(turn);
+		Synchronisation sync = step.sync();
+		step.set(sync.withBudget(sync.budget().recordFailure(step.now(), retryAfter))
+			.finish(sync.behind(), sync.lastSuccess())
+			.requestAnother());
+		FilingSteps.handlePlatformFailure(step);
 	}
 
 	// Also without any change seen: a platform that came back older may have grown
 	// past the version that this node waits for.
-	private static boolean overdue(TicketTurn turn) {
-		return turn.sync().lastSuccess().plus(turn.policy().longestUnsynchronised()).isBefore(turn.now());
+	private static boolean isOverdue(TicketStep step) {
+		return step.sync().lastSuccess().plus(step.policy().longestUnsynchronised()).isBefore(step.now());
 	}
 
-	private static void readSnapshot(TicketTurn turn) {
-		turn.set(turn.sync().withBudget(turn.sync().budget().called(turn.now())));
-		turn.call(TicketCall.READ_SNAPSHOT, new PlatformRequest.Read(TicketNames.SNAPSHOT));
+	private static void readSnapshot(TicketStep step) {
+		step.set(step.sync().withBudget(step.sync().budget().recordCall(step.now())));
+		step.call(TicketCallPurpose.READ_SNAPSHOT, new PlatformRequest.Read(TicketObjectNames.SNAPSHOT));
 	}
 
-	private static void list(TicketTurn turn) {
-		turn.set(turn.sync().withBudget(turn.sync().budget().called(turn.now())));
-		long number = turn.log().number();
-		turn.set(turn.sync().listing(number));
-		String after = (number > 0) ? TicketNames.name(number - 1) : "";
-		turn.call(TicketCall.LIST_TICKETS,
-				new PlatformRequest.ListObjects(ObjectKind.TICKET, after, turn.policy().pageSize()));
+	private static void listTickets(TicketStep step) {
+		step.set(step.sync().withBudget(step.sync().budget().recordCall(step.now())));
+		long number = step.log().number();
+		step.set(step.sync().startList(number));
+		String after = (number > 0) ? TicketObjectNames.ticketName(number - 1) : "";
+		step.call(TicketCallPurpose.LIST_TICKETS,
+				new PlatformRequest.ListObjects(ObjectKind.TICKET, after, step.policy().pageSize()));
 	}
 
-	private static boolean anchored(TicketTurn turn, List<Ticket> tickets) {
-		long number = turn.sync().anchor();
+	private static boolean matchesAnchor(TicketStep step, List<Ticket> tickets) {
+		long number = step.sync().anchor();
 		if (tickets.isEmpty() || tickets.get(0).number() != number) {
 			return false;
 		}
-		return turn.log()
+		return step.log()
 			.ticket(number)
 			.map((own) -> own.draft().filing().equals(tickets.get(0).draft().filing()))
 			.orElse(true);
 	}
 
-	private static void fold(TicketTurn turn) {
-		long before = turn.log().number();
-		Folding.append(turn, turn.sync().listed(), TicketSource.PLATFORM);
-		if (turn.sync().pageFull() && turn.log().number() > before) {
-			list(turn);
+	private static void applyListedTickets(TicketStep step) {
+		long before = step.log().number();
+		TicketLogUpdater.append(step, step.sync().listed(), TicketSource.PLATFORM);
+		if (step.sync().pageFull() && step.log().number() > before) {
+			listTickets(step);
 			return;
 		}
-		if (turn.sync().behind()) {
-			turn.log(LogEvent.PLATFORM_RESTORED, "ticket " + turn.log().number());
+		if (step.sync().behind()) {
+			step.log(LogEvent.PLATFORM_RESTORED, "ticket " + step.log().number());
 		}
-		turn.set(turn.sync().withBudget(turn.sync().budget().succeeded()).end(false, turn.now()));
-		FilingSteps.synchronised(turn);
-		if (turn.sync().wanted()) {
-			begin(turn);
+		step.set(step.sync().withBudget(step.sync().budget().recordSuccess()).finish(false, step.now()));
+		FilingSteps.handleSynchronised(step);
+		if (step.sync().wanted()) {
+			start(step);
 		}
 	}
 
-	private static void platformBehind(TicketTurn turn, long platformNumber) {
-		if (!turn.sync().behind()) {
-			turn.log(LogEvent.PLATFORM_CAME_BACK_OLDER,
-					"this node has ticket " + turn.sync().anchor() + ", the platform's snapshot is at " + platformNumber
-							+ " and ticket " + turn.sync().anchor() + " is gone or another");
+	private static void handleOlderPlatform(TicketStep step, long platformNumber) {
+		if (!step.sync().behind()) {
+			step.log(LogEvent.PLATFORM_CAME_BACK_OLDER,
+					"this node has ticket " + step.sync().anchor() + ", the platform's snapshot is at " + platformNumber
+							+ " and ticket " + step.sync().anchor() + " is gone or another");
 		}
-		turn.set(turn.sync().withBudget(turn.sync().budget().succeeded()).end(true, turn.now()));
-		FilingSteps.platformOlder(turn);
+		step.set(step.sync().withBudget(step.sync().budget().recordSuccess()).finish(true, step.now()));
+		FilingSteps.handleOlderPlatform(step);
 	}
 
 	private static DesiredStateSnapshot emptySnapshot() {
-		return new DesiredStateSnapshot(0, List.of(), TruthLog.FORMAT_VERSION, 0, List.of());
+		return new DesiredStateSnapshot(0, List.of(), TicketLog.FORMAT_VERSION, 0, List.of());
 	}
 
-	private static List<Ticket> tickets(List<StoredObject> objects) {
+	private static List<Ticket> readableTickets(List<StoredObject> objects) {
 		List<Ticket> tickets = new ArrayList<>();
 		for (StoredObject object : objects) {
 			TicketValue value = (TicketValue) object.value();
-			if (value.formatVersion() > TruthLog.FORMAT_VERSION) {
+			if (value.formatVersion() > TicketLog.FORMAT_VERSION) {
 				return tickets;
 			}
 			tickets.add(value.ticket());
--- a/src/main/java/sycamorehill/logic/ticket/TicketCall.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketCallPurpose.java
@@ -3,7 +3,7 @@
 /**
  * What a platform call of the part was made for.
  */
-public enum TicketCall {
+public enum TicketCallPurpose {
 
 	/** Reads the snapshot as a step of a synchronisation. */
 	READ_SNAPSHOT,
--- a/src/main/java/sycamorehill/logic/ticket/TruthLog.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketLog.java
@@ -26,7 +26,7 @@
  * @param filings the ticket of each of the latest filings
  * @param filingsByNumber the same by number, to forget the oldest
  */
-public record TruthLog(Optional<DesiredState> truth, TreePMap<Long, Ticket> tickets,
+public record TicketLog(Optional<DesiredState> truth, TreePMap<Long, Ticket> tickets,
 		TreePMap<Long, DesiredState> truths, PMap<FilingIdentifier, Long> filings,
 		TreePMap<Long, FilingIdentifier> filingsByNumber) {
 
@@ -37,8 +37,8 @@
 	 * A log without a truth.
 	 * @return the log of a fresh node
 	 */
-	public static TruthLog empty() {
-		return new TruthLog(Optional.empty(), TreePMap.empty(), TreePMap.empty(), HashTreePMap.empty(),
+	public static TicketLog empty() {
+		return new TicketLog(Optional.empty(), TreePMap.empty(), TreePMap.empty(), HashTreePMap.empty(),
 				TreePMap.empty());
 	}
 
@@ -55,7 +55,7 @@
 	 * @param number the ticket
 	 * @return the truth, empty if history does not reach back so far
 	 */
-	public Optional<DesiredState> at(long number) {
+	public Optional<DesiredState> stateAfter(long number) {
 		return Optional.ofNullable(this.truths.get(number));
 	}
 
@@ -73,19 +73,19 @@
 	 * @param filing the filer's identifier
 	 * @return the number, if the filing was accepted and is still remembered
 	 */
-	public Optional<Long> accepted(FilingIdentifier filing) {
+	public Optional<Long> acceptedNumber(FilingIdentifier filing) {
 		return Optional.ofNullable(this.filings.get(filing));
 	}
 
 	/**
 	 * The tickets behind a number.
 	 * @param after the number
-	 * @param most the most tickets
+	 * @param maximum the most tickets
 	 * @return the tickets without a gap; empty if history does not reach back so far
 	 */
-	List<Ticket> after(long after, int most) {
+	List<Ticket> ticketsAfter(long after, int maximum) {
 		List<Ticket> found = new ArrayList<>();
-		for (long number = after + 1; number <= number() && found.size() < most; number++) {
+		for (long number = after + 1; number <= number() && found.size() < maximum; number++) {
 			Ticket ticket = this.tickets.get(number);
 			if (ticket == null) {
 				return List.of();
@@ -99,42 +99,42 @@
 	 * Folds the next ticket in. Any other than the next is passed over: a lower one is
 	 * known already, a higher one would leave a gap.
 	 * @param ticket the ticket
-	 * @param mostTickets how many tickets are kept
-	 * @param mostFilings how many filings are kept
+	 * @param maximumTickets how many tickets are kept
+	 * @param maximumFilings how many filings are kept
 	 * @return the log after it
 	 */
-	TruthLog append(Ticket ticket, int mostTickets, int mostFilings) {
+	TicketLog append(Ticket ticket, int maximumTickets, int maximumFilings) {
 		if (this.truth.isEmpty() || ticket.number() != number() + 1) {
 			return this;
 		}
 		DesiredState next = this.truth.get().apply(ticket);
 		TreePMap<Long, Ticket> keptTickets = this.tickets.plus(ticket.number(), ticket);
-		TreePMap<Long, DesiredState> keptTruths = this.truths.plus(ticket.number(), next);
-		if (keptTickets.size() > mostTickets) {
+		TreePMap<Long, DesiredState> keptStates = this.truths.plus(ticket.number(), next);
+		if (keptTickets.size() > maximumTickets) {
 			keptTickets = keptTickets.minus(keptTickets.firstKey());
 		}
-		if (keptTruths.size() > mostTickets) {
-			keptTruths = keptTruths.minus(keptTruths.firstKey());
+		if (keptStates.size() > maximumTickets) {
+			keptStates = keptStates.minus(keptStates.firstKey());
 		}
-		return new TruthLog(Optional.of(next), keptTickets, keptTruths, this.filings, this.filingsByNumber)
-			.remember(new AcceptedFiling(ticket.draft().filing(), ticket.number()), mostFilings);
+		return new TicketLog(Optional.of(next), keptTickets, keptStates, this.filings, this.filingsByNumber)
+			.withFiling(new AcceptedFiling(ticket.draft().filing(), ticket.number()), maximumFilings);
 	}
 
 	/**
 	 * Takes a whole truth in if it is higher than the present one.
 	 * @param snapshot the truth
-	 * @param mostFilings how many filings are kept
+	 * @param maximumFilings how many filings are kept
 	 * @return the log after it
 	 */
-	TruthLog adopt(DesiredStateSnapshot snapshot, int mostFilings) {
+	TicketLog adopt(DesiredStateSnapshot snapshot, int maximumFilings) {
 		if (snapshot.number() <= number()) {
 			return this;
 		}
 		DesiredState adopted = DesiredState.of(snapshot.number(), snapshot.items());
-		TruthLog log = new TruthLog(Optional.of(adopted), TreePMap.empty(),
+		TicketLog log = new TicketLog(Optional.of(adopted), TreePMap.empty(),
 				TreePMap.singleton(adopted.number(), adopted), this.filings, this.filingsByNumber);
 		for (AcceptedFiling filing : snapshot.filings()) {
-			log = log.remember(filing, mostFilings);
+			log = log.withFiling(filing, maximumFilings);
 		}
 		return log;
 	}
@@ -145,13 +145,13 @@
 	 * @return the snapshot
 	 */
 	DesiredStateSnapshot snapshot(long deletedUpTo) {
-		DesiredState present = this.truth.orElseThrow(() -> new IllegalStateException("there is no truth to keep"));
+		DesiredState current = this.truth.orElseThrow(() -> new IllegalStateException("there is no truth to keep"));
 		List<AcceptedFiling> accepted = this.filingsByNumber.entrySet()
 			.stream()
 			.map((entry) -> new AcceptedFiling(entry.getValue(), entry.getKey()))
 			.toList();
-		return new DesiredStateSnapshot(present.number(),
-				present.items()
+		return new DesiredStateSnapshot(current.number(),
+				current.items()
 					.values()
 					.stream()
 					.sorted((one, other) -> one.item().key().compareTo(other.item().key()))
@@ -159,15 +159,15 @@
 				FORMAT_VERSION, deletedUpTo, accepted);
 	}
 
-	private TruthLog remember(AcceptedFiling filing, int mostFilings) {
+	private TicketLog withFiling(AcceptedFiling filing, int maximumFilings) {
 		PMap<FilingIdentifier, Long> byFiling = this.filings.plus(filing.filing(), filing.number());
 		TreePMap<Long, FilingIdentifier> byNumber = this.filingsByNumber.plus(filing.number(), filing.filing());
-		while (byNumber.size() > mostFilings) {
+		while (byNumber.size() > maximumFilings) {
 			long oldest = byNumber.firstKey();
 			byFiling = byFiling.minus(byNumber.get(oldest));
 			byNumber = byNumber.minus(oldest);
 		}
-		return new TruthLog(this.truth, this.tickets, this.truths, byFiling, byNumber);
+		return new TicketLog(this.truth, this.tickets, this.truths, byFiling, byNumber);
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/ticket/TicketNames.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketObjectNames.java
@@ -6,17 +6,17 @@
 /**
  * Names of the objects in which the platform keeps tickets and truth.
  */
-final class TicketNames {
+final class TicketObjectNames {
 
 	static final ObjectKey SNAPSHOT = ObjectKey.of(ObjectKind.SNAPSHOT, "truth");
 
 	private static final String NUMBER_FORMAT = "%012d";
 
-	private TicketNames() {
+	private TicketObjectNames() {
 	}
 
-	static ObjectKey ticket(long number) {
-		return ObjectKey.of(ObjectKind.TICKET, name(number));
+	static ObjectKey ticketKey(long number) {
+		return ObjectKey.of(ObjectKind.TICKET, ticketName(number));
 	}
 
 	/**
@@ -24,7 +24,7 @@
 	 * @param number the ticket, 0 for the name before the first
 	 * @return the name
 	 */
-	static String name(long number) {
+	static String ticketName(long number) {
 		return String.format(NUMBER_FORMAT, number);
 	}
 
--- a/src/main/java/sycamorehill/logic/ticket/TicketReducer.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketReducer.java
@@ -42,78 +42,78 @@
 
 	@Override
 	public Step<TicketState> reduce(TicketState state, Instant now, Event event, NodeView view) {
-		TicketTurn turn = TicketTurn.of(state, now, view);
+		TicketStep step = TicketStep.of(state, now, view);
 		if (event instanceof NodeEvent.Started started) {
-			started(turn, started.seed());
+			handleStart(step, started.seed());
 		}
 		else if (event instanceof NodeEvent.Ticked ticked) {
-			ticked(turn, ticked.wallClock());
+			handleTick(step, ticked.wallClock());
 		}
 		else if (event instanceof OperatorEvent.TicketFiled filed) {
-			FilingSteps.filed(turn, filed);
+			FilingSteps.handleFiling(step, filed);
 		}
 		else if (event instanceof PeerEvent.MessageReceived received) {
-			received(turn, received);
+			handleMessage(step, received);
 		}
 		else if (event instanceof PlatformEvent.Answered answered && answered.call().owner() == CallOwner.TICKETS) {
-			answered(turn, answered);
+			handleAnswer(step, answered);
 		}
-		return turn.end();
+		return step.finish();
 	}
 
-	private static void started(TicketTurn turn, long seed) {
-		TicketPolicy policy = turn.policy();
+	private static void handleStart(TicketStep step, long seed) {
+		TicketPolicy policy = step.policy();
 		CallBudget budget = CallBudget.create(CALLS_PER_SECOND, CALL_BURST, policy.firstBackoff(),
 				policy.longestBackoff(), seed);
-		turn.set(Synchronisation.initial(budget));
-		SynchronisationSteps.begin(turn);
+		step.set(Synchronisation.initial(budget));
+		SynchronisationSteps.start(step);
 	}
 
-	private static void ticked(TicketTurn turn, Instant wallClock) {
-		turn.set(turn.state().withWallClock(wallClock));
-		FilingSteps.ticked(turn);
-		boolean repairing = turn.sync().behind()
-				&& turn.sync().lastSuccess().plus(turn.policy().longestBackoff()).isBefore(turn.now());
-		if ((turn.sync().wanted() || repairing) && !turn.sync().running()) {
-			SynchronisationSteps.begin(turn);
+	private static void handleTick(TicketStep step, Instant wallClock) {
+		step.set(step.state().withWallClock(wallClock));
+		FilingSteps.expireFilings(step);
+		boolean repairing = step.sync().behind()
+				&& step.sync().lastSuccess().plus(step.policy().longestBackoff()).isBefore(step.now());
+		if ((step.sync().wanted() || repairing) && !step.sync().running()) {
+			SynchronisationSteps.start(step);
 		}
-		if (turn.view().delegate()) {
-			SynchronisationSteps.watch(turn);
-			CompactionSteps.ticked(turn);
+		if (step.view().isDelegate()) {
+			SynchronisationSteps.startWatch(step);
+			CompactionSteps.handleTick(step);
 		}
 	}
 
-	private static void received(TicketTurn turn, PeerEvent.MessageReceived received) {
+	private static void handleMessage(TicketStep step, PeerEvent.MessageReceived received) {
 		PeerMessage message = received.message();
 		if (message instanceof Heartbeat heartbeat) {
-			SpreadSteps.heard(turn, received.from(), heartbeat);
+			ReplicationSteps.handleHeartbeat(step, received.from(), heartbeat);
 		}
 		else if (message instanceof TicketsAsked asked) {
-			SpreadSteps.asked(turn, received.from(), asked);
+			ReplicationSteps.handleRequest(step, received.from(), asked);
 		}
 		else if (message instanceof TicketsSent sent) {
-			Folding.append(turn, sent.tickets(), SpreadSteps.source(turn, received.from()));
+			TicketLogUpdater.append(step, sent.tickets(), ReplicationSteps.sourceOf(step, received.from()));
 		}
 		else if (message instanceof TruthSent sent) {
-			Folding.adopt(turn, sent.snapshot());
+			TicketLogUpdater.adopt(step, sent.snapshot());
 		}
 	}
 
-	private static void answered(TicketTurn turn, PlatformEvent.Answered answered) {
-		TicketCall purpose = turn.close(answered.call().number());
+	private static void handleAnswer(TicketStep step, PlatformEvent.Answered answered) {
+		TicketCallPurpose purpose = step.closeCall(answered.call().number());
 		if (purpose == null) {
 			return;
 		}
 		PlatformAnswer answer = answered.answer();
 		switch (purpose) {
-			case READ_SNAPSHOT -> SynchronisationSteps.snapshotRead(turn, answer);
-			case LIST_TICKETS -> SynchronisationSteps.listed(turn, answer);
-			case WATCH_TICKETS -> SynchronisationSteps.watched(turn, answer);
-			case CREATE_TICKET -> FilingSteps.created(turn, answer);
-			case READ_OLD_SNAPSHOT -> CompactionSteps.oldSnapshotRead(turn, answer);
-			case WRITE_SNAPSHOT -> CompactionSteps.snapshotWritten(turn, answer);
-			case LIST_OLD_TICKETS -> CompactionSteps.oldTicketsListed(turn, answer);
-			case DELETE_TICKET -> CompactionSteps.ticketDeleted(turn, answer);
+			case READ_SNAPSHOT -> SynchronisationSteps.handleSnapshot(step, answer);
+			case LIST_TICKETS -> SynchronisationSteps.handleTickets(step, answer);
+			case WATCH_TICKETS -> SynchronisationSteps.handleWatchAnswer(step, answer);
+			case CREATE_TICKET -> FilingSteps.handleCreateAnswer(step, answer);
+			case READ_OLD_SNAPSHOT -> CompactionSteps.handleOldSnapshot(step, answer);
+			case WRITE_SNAPSHOT -> CompactionSteps.handleSnapshotWritten(step, answer);
+			case LIST_OLD_TICKETS -> CompactionSteps.handleOldTickets(step, answer);
+			case DELETE_TICKET -> CompactionSteps.handleTicketDeleted(step, answer);
 		}
 	}
 
--- a/src/main/java/sycamorehill/logic/ticket/TicketState.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketState.java
@@ -23,8 +23,9 @@
  * @param compaction renewing the snapshot
  * @param peers what the other nodes have told of their tickets
  */
-public record TicketState(TruthLog log, Synchronisation sync, PVector<Filing> filings, PMap<Long, TicketCall> calls,
-		long nextCall, Instant wallClock, Compaction compaction, PeerTickets peers) {
+public record TicketState(TicketLog log, Synchronisation sync, PVector<Filing> filings,
+		PMap<Long, TicketCallPurpose> calls, long nextCall, Instant wallClock, Compaction compaction,
+		PeerTickets peers) {
 
 	/**
 	 * The state of a fresh node.
@@ -32,11 +33,11 @@
 	 */
 	public static TicketState initial() {
 		CallBudget none = CallBudget.create(0, 0, Duration.ZERO, Duration.ZERO, 0);
-		return new TicketState(TruthLog.empty(), Synchronisation.initial(none), TreePVector.empty(),
+		return new TicketState(TicketLog.empty(), Synchronisation.initial(none), TreePVector.empty(),
 				HashTreePMap.empty(), 1, Instant.EPOCH, Compaction.initial(), PeerTickets.none());
 	}
 
-	TicketState withLog(TruthLog changed) {
+	TicketState withLog(TicketLog changed) {
 		return new TicketState(changed, this.sync, this.filings, this.calls, this.nextCall, this.wallClock,
 				this.compaction, this.peers);
 	}
@@ -51,7 +52,7 @@
 				this.peers);
 	}
 
-	TicketState withCalls(PMap<Long, TicketCall> changed, long next) {
+	TicketState withCalls(PMap<Long, TicketCallPurpose> changed, long next) {
 		return new TicketState(this.log, this.sync, this.filings, changed, next, this.wallClock, this.compaction,
 				this.peers);
 	}
--- a/src/main/java/sycamorehill/logic/ticket/TicketTurn.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketStep.java
@@ -24,7 +24,7 @@
  * One step under way: the state as changed so far and the effects gathered. It lives no
  * longer than the step.
  */
-final class TicketTurn {
+final class TicketStep {
 
 	private final Instant now;
 
@@ -34,17 +34,17 @@
 
 	private TicketState state;
 
-	private TicketTurn(TicketState state, Instant now, NodeView view) {
+	private TicketStep(TicketState state, Instant now, NodeView view) {
 		this.state = state;
 		this.now = now;
 		this.view = view;
 	}
 
-	static TicketTurn of(TicketState state, Instant now, NodeView view) {
-		return new TicketTurn(state, now, view);
+	static TicketStep of(TicketState state, Instant now, NodeView view) {
+		return new TicketStep(state, now, view);
 	}
 
-	Step<TicketState> end() {
+	Step<TicketState> finish() {
 		return Step.of(this.state, List.copyOf(this.effects));
 	}
 
@@ -52,7 +52,7 @@
 		return this.state;
 	}
 
-	TruthLog log() {
+	TicketLog log() {
 		return this.state.log();
 	}
 
@@ -76,7 +76,7 @@
 		this.state = changed;
 	}
 
-	void set(TruthLog changed) {
+	void set(TicketLog changed) {
 		this.state = this.state.withLog(changed);
 	}
 
@@ -100,11 +100,11 @@
 		this.effects.add(new PeerEffect.Send(to, message));
 	}
 
-	void call(TicketCall purpose, PlatformRequest request) {
+	void call(TicketCallPurpose purpose, PlatformRequest request) {
 		call(purpose, request, policy().callTimeout());
 	}
 
-	void call(TicketCall purpose, PlatformRequest request, Duration timeout) {
+	void call(TicketCallPurpose purpose, PlatformRequest request, Duration timeout) {
 		long number = this.state.nextCall();
 		this.state = this.state.withCalls(this.state.calls().plus(number, purpose), number + 1);
 		this.effects.add(new PlatformEffect.Call(CallIdentifier.of(CallOwner.TICKETS, number), request, timeout));
@@ -115,8 +115,8 @@
 	 * @param number the call
 	 * @return what it was made for, or null if it is not open
 	 */
-	TicketCall close(long number) {
-		TicketCall purpose = this.state.calls().get(number);
+	TicketCallPurpose closeCall(long number) {
+		TicketCallPurpose purpose = this.state.calls().get(number);
 		if (purpose != null) {
 			this.state = this.state.withCalls(this.state.calls().minus(number), this.state.nextCall());
 		}
--- a/src/main/java/sycamorehill/logic/ticket/TicketValidator.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketValidator.java
@@ -30,40 +30,40 @@
 	/**
 	 * The most changes in one ticket, so that it stays far below the object size limit.
 	 */
-	static final int MOST_CHANGES = 500;
+	static final int MAXIMUM_CHANGES = 500;
 
 	/** The most bytes that the items of the truth may need in the snapshot. */
-	static final long MOST_TRUTH_BYTES = 850_000;
+	static final long MAXIMUM_STATE_BYTES = 850_000;
 
-	private final DesiredState truth;
+	private final DesiredState desiredState;
 
 	private final List<String> faults = new ArrayList<>();
 
-	private final List<AppliedItem> present = new ArrayList<>();
+	private final List<AppliedItem> currentItems = new ArrayList<>();
 
-	private final Map<ItemKey, Item> after = new HashMap<>();
+	private final Map<ItemKey, Item> itemsAfter = new HashMap<>();
 
-	private TicketValidator(DesiredState truth) {
-		this.truth = truth;
+	private TicketValidator(DesiredState desiredState) {
+		this.desiredState = desiredState;
 	}
 
 	/**
 	 * Checks a ticket against the truth that it would follow.
 	 * @param draft the ticket
-	 * @param truth the truth before it
+	 * @param desiredState the desired state before the ticket
 	 * @return every fault found
 	 */
-	public static ValidationResult validate(TicketDraft draft, DesiredState truth) {
-		TicketValidator validator = new TicketValidator(truth);
-		validator.checkWhole(draft);
+	public static ValidationResult validate(TicketDraft draft, DesiredState desiredState) {
+		TicketValidator validator = new TicketValidator(desiredState);
+		validator.checkDraft(draft);
 		if (validator.faults.isEmpty()) {
 			validator.checkReferences();
 			validator.checkSize();
 		}
-		return new ValidationResult(List.copyOf(validator.faults), List.copyOf(validator.present));
+		return new ValidationResult(List.copyOf(validator.faults), List.copyOf(validator.currentItems));
 	}
 
-	private void checkWhole(TicketDraft draft) {
+	private void checkDraft(TicketDraft draft) {
 		if (draft.filing() == null) {
 			this.faults.add("filing: a filing identifier is needed");
 		}
@@ -73,69 +73,69 @@
 		if (draft.changes().isEmpty()) {
 			this.faults.add("changes: a ticket changes at least one item");
 		}
-		if (draft.changes().size() > MOST_CHANGES) {
+		if (draft.changes().size() > MAXIMUM_CHANGES) {
 			this.faults
-				.add("changes: a ticket changes at most " + MOST_CHANGES + " items, not " + draft.changes().size());
+				.add("changes: a ticket changes at most " + MAXIMUM_CHANGES + " items, not " + draft.changes().size());
 		}
-		this.truth.items().forEach((key, item) -> this.after.put(key, item.item()));
-		Set<ItemKey> seen = new HashSet<>();
+		this.desiredState.items().forEach((key, item) -> this.itemsAfter.put(key, item.item()));
+		Set<ItemKey> seenKeys = new HashSet<>();
 		for (int index = 0; index < draft.changes().size(); index++) {
-			checkChange("changes[" + index + "]", draft.changes().get(index), seen);
+			checkChange("changes[" + index + "]", draft.changes().get(index), seenKeys);
 		}
 	}
 
-	private void checkChange(String place, ItemChange change, Set<ItemKey> seen) {
+	private void checkChange(String path, ItemChange change, Set<ItemKey> seenKeys) {
 		if (change.key() == null || change.key().kind() == null || change.key().name() == null
 				|| change.key().name().isBlank()) {
-			this.faults.add(place + ".key: a kind and a name are needed");
+			this.faults.add(path + ".key: a kind and a name are needed");
 			return;
 		}
-		String named = place + " (" + change.key().kind() + " " + change.key().name() + ")";
-		if (!seen.add(change.key())) {
-			this.faults.add(named + ": the item stands twice in the ticket");
+		String label = path + " (" + change.key().kind() + " " + change.key().name() + ")";
+		if (!seenKeys.add(change.key())) {
+			this.faults.add(label + ": the item stands twice in the ticket");
 			return;
 		}
-		checkLastSetBy(named, change);
+		checkLastSetBy(label, change);
 		Optional<Item> state = change.newState();
 		if (state.isPresent()) {
-			this.after.put(change.key(), state.get());
-			List<String> found = ItemRules.check(state.get(), change.key());
-			found.forEach((fault) -> this.faults.add(named + fault));
+			this.itemsAfter.put(change.key(), state.get());
+			List<String> itemFaults = ItemValidator.check(state.get(), change.key());
+			itemFaults.forEach((fault) -> this.faults.add(label + fault));
 		}
 		else {
-			if (!this.truth.items().containsKey(change.key())) {
-				this.faults.add(named + ": can't be removed, it does not exist");
+			if (!this.desiredState.items().containsKey(change.key())) {
+				this.faults.add(label + ": can't be removed, it does not exist");
 			}
-			this.after.remove(change.key());
+			this.itemsAfter.remove(change.key());
 		}
 	}
 
-	private void checkLastSetBy(String named, ItemChange change) {
-		long setBy = this.truth.lastSetBy(change.key());
+	private void checkLastSetBy(String label, ItemChange change) {
+		long setBy = this.desiredState.lastSetBy(change.key());
 		if (setBy == change.lastSetBy()) {
 			return;
 		}
-		AppliedItem item = this.truth.items().get(change.key());
+		AppliedItem item = this.desiredState.items().get(change.key());
 		if (item != null) {
-			this.present.add(item);
+			this.currentItems.add(item);
 			this.faults
-				.add(named + ".lastSetBy: the item was last set by ticket " + setBy + ", not " + change.lastSetBy());
+				.add(label + ".lastSetBy: the item was last set by ticket " + setBy + ", not " + change.lastSetBy());
 		}
 		else {
-			this.faults.add(named + ".lastSetBy: the item does not exist, so 0 is expected, not " + change.lastSetBy());
+			this.faults.add(label + ".lastSetBy: the item does not exist, so 0 is expected, not " + change.lastSetBy());
 		}
 	}
 
 	private void checkReferences() {
 		Map<String, ItemKey> keyHashes = new HashMap<>();
-		for (Map.Entry<ItemKey, Item> entry : this.after.entrySet()) {
+		for (Map.Entry<ItemKey, Item> entry : this.itemsAfter.entrySet()) {
 			if (entry.getValue() instanceof ModelGroupItem set) {
 				checkService(set);
 			}
 			else if (entry.getValue() instanceof WorkspaceItem workspace) {
-				ItemKey other = keyHashes.put(workspace.keyHash(), entry.getKey());
-				if (other != null) {
-					this.faults.add("workspaces " + other.name() + " and " + entry.getKey().name()
+				ItemKey otherKey = keyHashes.put(workspace.keyHash(), entry.getKey());
+				if (otherKey != null) {
+					this.faults.add("workspaces " + otherKey.name() + " and " + entry.getKey().name()
 							+ " must not have the same key");
 				}
 			}
@@ -144,7 +144,7 @@
 	}
 
 	private void checkService(ModelGroupItem set) {
-		Item service = this.after.get(ItemKey.of(ItemKind.SERVICE, set.service().value()));
+		Item service = this.itemsAfter.get(ItemKey.of(ItemKind.SERVICE, set.service().value()));
 		if (service == null) {
 			this.faults.add("MODEL_GROUP " + set.name() + ".service: there is no service " + set.service()
 					+ " after this ticket");
@@ -155,10 +155,10 @@
 	}
 
 	private void checkSize() {
-		long bytes = this.after.values().stream().mapToLong(ItemRules::bytes).sum();
-		if (bytes > MOST_TRUTH_BYTES) {
+		long bytes = this.itemsAfter.values().stream().mapToLong(ItemValidator::estimateBytes).sum();
+		if (bytes > MAXIMUM_STATE_BYTES) {
 			this.faults.add("the items would need about " + bytes + " bytes, and one object of the platform holds "
-					+ MOST_TRUTH_BYTES + " of them");
+					+ MAXIMUM_STATE_BYTES + " of them");
 		}
 	}
 
--- a/src/main/java/sycamorehill/logic/ticket/ValidationResult.java
+++ b/src/main/java/sycamorehill/logic/ticket/ValidationResult.java
@@ -8,7 +8,7 @@
  * What is wrong with a ticket.
  *
  * @param faults every fault found, empty for a ticket that may be accepted
- * @param presentItems the present state of the items that another ticket has changed
+ * @param currentItems the present state of the items that another ticket has changed
  */
-public record ValidationResult(List<String> faults, List<AppliedItem> presentItems) {
+public record ValidationResult(List<String> faults, List<AppliedItem> currentItems) {
 }
--- a/src/main/java/sycamorehill/runtime/NodeDump.java
+++ b/src/main/java/sycamorehill/runtime/NodeDump.java
@@ -15,8 +15,8 @@
 record NodeDump(NodeIdentity self, boolean ready, long ticket, NodeState state) {
 
 	static NodeDump of(NodeState state) {
-		return new NodeDump(state.self(), state.ready(), state.truth().map((truth) -> truth.number()).orElse(-1L),
-				state);
+		return new NodeDump(state.self(), state.ready(),
+				state.desiredState().map((truth) -> truth.number()).orElse(-1L), state);
 	}
 
 }
--- a/src/main/java/sycamorehill/runtime/NodeMetrics.java
+++ b/src/main/java/sycamorehill/runtime/NodeMetrics.java
@@ -72,7 +72,7 @@
 	 * @param clock monotonic time
 	 */
 	void state(Supplier<NodeState> state, InstantSource clock) {
-		whole("state.ticket", () -> state.get().truth().map(DesiredState::number).orElse(NO_TRUTH));
+		whole("state.ticket", () -> state.get().desiredState().map(DesiredState::number).orElse(NO_TRUTH));
 		whole("state.live-nodes", () -> state.get().membership().liveNodes().nodes().size());
 		whole("state.requests-in-flight", () -> state.get().request().inFlight());
 		whole("state.ready", () -> state.get().ready() ? 1 : 0);
--- a/src/main/java/sycamorehill/runtime/StateReader.java
+++ b/src/main/java/sycamorehill/runtime/StateReader.java
@@ -18,12 +18,12 @@
 
 	@Override
 	public Optional<DesiredState> truth() {
-		return this.state.get().truth();
+		return this.state.get().desiredState();
 	}
 
 	@Override
 	public Optional<DesiredState> truthAfter(long number) {
-		return this.state.get().ticket().log().at(number);
+		return this.state.get().ticket().log().stateAfter(number);
 	}
 
 	@Override
--- a/src/test/java/sycamorehill/logic/admission/FakeNodeView.java
+++ b/src/test/java/sycamorehill/logic/admission/FakeNodeView.java
@@ -105,7 +105,7 @@
 	}
 
 	@Override
-	public Optional<DesiredState> truth() {
+	public Optional<DesiredState> desiredState() {
 		return this.truth;
 	}
 
@@ -125,12 +125,12 @@
 	}
 
 	@Override
-	public boolean quarantined(Fingerprint fingerprint) {
+	public boolean isQuarantined(Fingerprint fingerprint) {
 		return this.quarantined.contains(fingerprint);
 	}
 
 	@Override
-	public Optional<VmObservation> sight(VmName vm) {
+	public Optional<VmObservation> observation(VmName vm) {
 		return Optional.ofNullable(this.sights.get(vm));
 	}
 
--- a/src/test/java/sycamorehill/logic/dispatch/RequestDispatcherTests.java
+++ b/src/test/java/sycamorehill/logic/dispatch/RequestDispatcherTests.java
@@ -51,13 +51,13 @@
 	}
 
 	private List<EntryEffect> arrive(long number, String path) {
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		this.dispatcher.handleRequest(ServingSamples.request(number, path), this.now, this.now, effects);
 		return effects.all();
 	}
 
 	private List<EntryEffect> end(long number, int attempt, AttemptEnd end) {
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		this.dispatcher.handleAttemptEnd(number, attempt, end, this.now, effects);
 		return effects.all();
 	}
@@ -156,10 +156,10 @@
 	@Test
 	void streamsOfASilentGroupMoveOnlyToAnotherGroup() {
 		TargetName first = target(arrive(1, "/stream/x"));
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		this.dispatcher.handleSilentTarget(first, this.now, effects);
 		assertThat(target(effects.all())).isNotEqualTo(first);
-		Effects none = Effects.begin();
+		Effects none = Effects.create();
 		this.dispatcher.handleSilentTarget(target(effects.all()), this.now, none);
 		assertThat(starts(none.all())).isEmpty();
 		assertThat(none.all()).noneMatch(EntryEffect.Answer.class::isInstance);
@@ -176,7 +176,7 @@
 	@Test
 	void aWaitingRequestMovesWhenOtherNodesReportItsGroupSilent() {
 		TargetName first = target(arrive(1, "/stream/x"));
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		reportSilence(first, effects);
 		assertThat(target(effects.all())).isNotEqualTo(first);
 		assertThat(target(arrive(2, "/stream/x"))).isNotEqualTo(first);
@@ -188,7 +188,7 @@
 	void aStartedStreamStaysWhenOtherNodesReportItsGroupSilent() {
 		TargetName first = target(arrive(1, "/stream/x"));
 		this.dispatcher.handleFirstEvent(1, this.now);
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		reportSilence(first, effects);
 		assertThat(effects.all()).isEmpty();
 	}
@@ -212,7 +212,7 @@
 	void aHeadReceivesRequestsAgainInItsNextGroup() {
 		TargetName first = target(arrive(1, "/stream/x"));
 		String group = first.equals(TargetName.of("a1")) ? "small.1" : "small.2";
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		this.dispatcher.handleGroupEnded(first, group, group.equals("small.1") ? 1 : 2, this.now, effects);
 		assertThat(target(effects.all())).isNotEqualTo(first);
 		targets(ServingSamples.member(first.toString(), "small.9", 9, 0, MemberState.OPEN),
@@ -271,7 +271,7 @@
 	@Test
 	void aTimedOutRequestThatMayHaveRunIsNotReportedAsNotRun() {
 		arrive(1, "/once/x");
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		this.dispatcher.handleTimeout(1, this.now.plus(Duration.ofSeconds(6)), effects);
 		assertThat(effects.all()).contains(new EntryEffect.CancelAttempt(1, 1));
 		assertThat(answer(effects.all()).status()).isEqualTo(504);
@@ -285,17 +285,17 @@
 		long content = ServingSamples.request(7, "/again/x").contentHash();
 		for (String target : List.of("p1", "p2", "p3")) {
 			this.dispatcher.handleMessage(new NodeMessage.Suspicion("two", content, TargetName.of(target)), this.now,
-					Effects.begin());
+					Effects.create());
 		}
 		assertThat(answer(arrive(7, "/again/x")).status()).isEqualTo(503);
-		this.dispatcher.handleMessage(new NodeMessage.Cleared("two", content), this.now, Effects.begin());
+		this.dispatcher.handleMessage(new NodeMessage.Cleared("two", content), this.now, Effects.create());
 		assertThat(starts(arrive(7, "/again/x"))).hasSize(1);
 	}
 
 	@Test
 	void anUnknownKeyAndAnUnknownPathAreRefusedBeforeAnyAttempt() {
 		assertThat(answer(arrive(1, "/nowhere/x")).status()).isEqualTo(404);
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		var request = ServingSamples.request(2, "/once/x");
 		this.dispatcher.handleRequest(new CallerRequest(2, "r2", request.host(), request.path(), Optional.of("other"),
 				Optional.empty(), Optional.empty(), Optional.empty(), 1), this.now, this.now, effects);
@@ -306,7 +306,7 @@
 	@Test
 	void aNodeWithoutAConfigurationAnswersUnavailable() {
 		RequestDispatcher fresh = RequestDispatcher.of(ServingSamples.settings("one"), this.directory, new Random(1));
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		fresh.handleRequest(ServingSamples.request(1, "/nowhere/x"), this.now, this.now, effects);
 		assertThat(answer(effects.all()).status()).isEqualTo(503);
 	}
--- a/src/test/java/sycamorehill/logic/entry/PeerNodesTests.java
+++ b/src/test/java/sycamorehill/logic/entry/PeerNodesTests.java
@@ -51,7 +51,7 @@
 		long sent = 0;
 		for (Instant now = START; now.isBefore(START.plus(time)); now = now.plus(STEP)) {
 			if (peers.isLoadSendDue(now)) {
-				Effects effects = Effects.begin();
+				Effects effects = Effects.create();
 				peers.sendLoads(loads(0, 1), now, effects);
 				sent += effects.all().stream().mapToLong((effect) -> ((EntryEffect.Send) effect).nodes().size()).sum();
 			}
--- a/src/test/java/sycamorehill/logic/layout/FakeFleet.java
+++ b/src/test/java/sycamorehill/logic/layout/FakeFleet.java
@@ -260,7 +260,7 @@
 		}
 
 		void checkMembers(String head) {
-			Effects effects = Effects.begin();
+			Effects effects = Effects.create();
 			this.control.checkMembers(TargetName.of(head), FakeFleet.this.now, effects);
 			executeAll(effects);
 		}
@@ -274,7 +274,7 @@
 			if (!this.partitionedFromStore) {
 				this.directory.replaceAll(entries(), FakeFleet.this.now);
 			}
-			Effects effects = Effects.begin();
+			Effects effects = Effects.create();
 			this.control.tick(
 					new GroupController.NodeStatus(Optional.of(ServingSamples.configuration(1)),
 							(head, now) -> FakeFleet.this.requestsPerGroup, false, storeUnreachableForAll()),
@@ -295,7 +295,7 @@
 
 		private void executeAll(Effects effects) {
 			for (EntryEffect effect : effects.all()) {
-				Effects next = Effects.begin();
+				Effects next = Effects.create();
 				if (effect instanceof EntryEffect.SendCommand command) {
 					send(command, next);
 				}
--- a/src/test/java/sycamorehill/logic/layout/GroupLeaseManagerTests.java
+++ b/src/test/java/sycamorehill/logic/layout/GroupLeaseManagerTests.java
@@ -29,10 +29,10 @@
 
 	private List<EntryEffect> effectsAfterReading(String ownIdentity, String holder, long millis) {
 		GroupLeaseManager manager = GroupLeaseManager.of(ownIdentity);
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		manager.tick(REACHED, this.start, effects);
 		manager.handleAnswer(new LeaseAnswer.Present(new Lease(holder, 3, 7), false), this.start, effects);
-		Effects next = Effects.begin();
+		Effects next = Effects.create();
 		manager.tick(REACHED, this.start.plusMillis(millis), next);
 		return next.all();
 	}
@@ -57,7 +57,7 @@
 
 	private GroupLeaseManager holder(String ownIdentity) {
 		GroupLeaseManager manager = GroupLeaseManager.of(ownIdentity);
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		manager.tick(REACHED, this.start, effects);
 		manager.handleAnswer(new LeaseAnswer.Present(new Lease(ownIdentity, 3, 7), true), this.start, effects);
 		return manager;
@@ -65,10 +65,10 @@
 
 	private List<EntryEffect> effectsOfFailingRenewals(GroupLeaseManager manager,
 			GroupLeaseManager.StoreStatus storeStatus, long untilMillis) {
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		for (long millis = 100; millis <= untilMillis; millis += 100) {
 			Instant now = this.start.plusMillis(millis);
-			Effects step = Effects.begin();
+			Effects step = Effects.create();
 			manager.tick(storeStatus, now, step);
 			if (step.all().stream().anyMatch(EntryEffect.ReplaceLease.class::isInstance)) {
 				manager.handleAnswer(new LeaseAnswer.Unavailable("status 429"), now, step);
@@ -88,18 +88,18 @@
 			.contains(new EntryEffect.Broadcast(new NodeMessage.LeaseGivenUp("one", "one#a")));
 		assertThat(manager.isHeld(this.start.plusMillis(1800))).isFalse();
 		GroupLeaseManager other = GroupLeaseManager.of("two#b");
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		other.tick(REACHED, this.start, effects);
 		other.handleAnswer(new LeaseAnswer.Present(new Lease("one#a", 3, 7), false), this.start, effects);
 		other.handleReleased("one#a", false, this.start.plusMillis(200));
-		Effects next = Effects.begin();
+		Effects next = Effects.create();
 		other.tick(REACHED, this.start.plusMillis(200), next);
 		assertThat(next.all()).containsExactly(new EntryEffect.ReplaceLease(new Lease("two#b", 4, 7)));
 	}
 
 	private List<EntryEffect> effectsOfTick(GroupLeaseManager manager, GroupLeaseManager.StoreStatus storeStatus,
 			long millis) {
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		manager.tick(storeStatus, this.start.plusMillis(millis), effects);
 		return effects.all();
 	}
@@ -113,13 +113,13 @@
 		GroupLeaseManager manager = GroupLeaseManager.of("one#b");
 		for (long millis = 0; millis <= 5000; millis += 100) {
 			manager.handleUpdate(new Lease("two#a", 3, 7 + millis / 700), this.start.plusMillis(millis),
-					Effects.begin());
+					Effects.create());
 			assertThat(effectsOfTick(manager, REACHED_BY_OTHERS, millis)).isEmpty();
 		}
 		assertThat(manager.holder()).hasValue("two");
 		assertThat(effectsOfTick(manager, REACHED, 6000)).containsExactly(new EntryEffect.ReadLease());
 		manager.handleAnswer(new LeaseAnswer.Present(new Lease("two#a", 3, 14), false), this.start.plusMillis(6010),
-				Effects.begin());
+				Effects.create());
 		assertThat(effectsOfTick(manager, REACHED, 7300))
 			.containsExactly(new EntryEffect.ReplaceLease(new Lease("one#b", 4, 14)));
 	}
@@ -130,7 +130,7 @@
 	void aHolderStopsWhenAnUpdateNamesAnotherHolder() {
 		GroupLeaseManager manager = holder("one#a");
 		assertThat(manager.isHeld(this.start.plusMillis(500))).isTrue();
-		manager.handleUpdate(new Lease("two#a", 4, 9), this.start.plusMillis(500), Effects.begin());
+		manager.handleUpdate(new Lease("two#a", 4, 9), this.start.plusMillis(500), Effects.create());
 		assertThat(manager.isHeld(this.start.plusMillis(510))).isFalse();
 	}
 
--- a/src/test/java/sycamorehill/logic/layout/PlanIntervalTests.java
+++ b/src/test/java/sycamorehill/logic/layout/PlanIntervalTests.java
@@ -46,7 +46,7 @@
 	}
 
 	private List<EntryEffect> tick(Duration after) {
-		Effects effects = Effects.begin();
+		Effects effects = Effects.create();
 		this.control.tick(new GroupController.NodeStatus(Optional.of(ServingSamples.configuration(1)), (head, now) -> 0,
 				false, false), START.plus(after), effects);
 		return effects.all();
@@ -57,7 +57,7 @@
 		Duration after = Duration.ZERO;
 		while (tick(after).stream().noneMatch(EntryEffect.ReadReport.class::isInstance)) {
 			this.control.handleLeaseAnswer(new LeaseAnswer.Present(new Lease("one#a", 1, 5), true), START.plus(after),
-					Effects.begin());
+					Effects.create());
 			after = after.plusMillis(100);
 			assertThat(after).isLessThan(Duration.ofSeconds(20));
 		}
@@ -75,7 +75,7 @@
 		Duration first = timeOfFirstPlan();
 		EngineReport report = new EngineReport(0, Set.of(), Optional.empty());
 		this.engines
-			.forEach((engine) -> this.control.handleReport(engine.name(), report, START.plus(first), Effects.begin()));
+			.forEach((engine) -> this.control.handleReport(engine.name(), report, START.plus(first), Effects.create()));
 		assertThat(sendsCommandsAt(first.plusMillis(5))).isFalse();
 		assertThat(sendsCommandsAt(first.plusMillis(59))).isFalse();
 		assertThat(sendsCommandsAt(first.plusMillis(60))).isTrue();
--- a/src/test/java/sycamorehill/logic/platform/CallBudgetTests.java
+++ b/src/test/java/sycamorehill/logic/platform/CallBudgetTests.java
@@ -14,37 +14,37 @@
  */
 class CallBudgetTests {
 
-	private static final Duration FIRST = Duration.ofMillis(250);
+	private static final Duration FIRST_BACKOFF = Duration.ofMillis(250);
 
-	private static final Duration LONGEST = Duration.ofSeconds(15);
+	private static final Duration MAXIMUM_BACKOFF = Duration.ofSeconds(15);
 
 	private static final Instant NOW = Instant.EPOCH;
 
 	@Test
 	void burstIsBounded() {
-		CallBudget budget = budget(1).called(NOW).called(NOW);
+		CallBudget budget = budget(1).recordCall(NOW).recordCall(NOW);
 		assertThat(budget.allows(NOW)).isFalse();
 	}
 
 	@Test
-	void creditComesBackWithTime() {
-		CallBudget budget = budget(1).called(NOW).called(NOW);
+	void creditRefillsOverTime() {
+		CallBudget budget = budget(1).recordCall(NOW).recordCall(NOW);
 		assertThat(budget.allows(NOW.plusSeconds(1))).isTrue();
 	}
 
 	@Test
 	void successEndsTheBackoff() {
-		assertThat(failed(budget(1), 10).succeeded().allows(NOW)).isTrue();
+		assertThat(failed(budget(1), 10).recordSuccess().allows(NOW)).isTrue();
 	}
 
 	@Test
-	void platformsOwnWordIsKept() {
-		CallBudget budget = budget(1).failed(NOW, Duration.ofSeconds(3));
+	void retryAfterIsRespected() {
+		CallBudget budget = budget(1).recordFailure(NOW, Duration.ofSeconds(3));
 		assertThat(budget.allows(NOW.plusSeconds(2))).isFalse();
 	}
 
 	@Test
-	void nodesComeBackAtDifferentTimes() {
+	void nodesRetryAtDifferentTimes() {
 		// An hour's outage ends. If all nodes waited equally long after their
 		// failures, they would call in the same moment and the platform would
 		// throttle them all again.
@@ -57,17 +57,17 @@
 
 	@Test
 	void backoffIsBounded() {
-		assertThat(failed(budget(1), 100).notBefore()).isBeforeOrEqualTo(NOW.plus(LONGEST));
+		assertThat(failed(budget(1), 100).notBefore()).isBeforeOrEqualTo(NOW.plus(MAXIMUM_BACKOFF));
 	}
 
 	private static CallBudget budget(long seed) {
-		return CallBudget.create(1, 2, FIRST, LONGEST, seed * 7919);
+		return CallBudget.create(1, 2, FIRST_BACKOFF, MAXIMUM_BACKOFF, seed * 7919);
 	}
 
 	private static CallBudget failed(CallBudget budget, int times) {
 		CallBudget failed = budget;
 		for (int time = 0; time < times; time++) {
-			failed = failed.failed(NOW, Duration.ZERO);
+			failed = failed.recordFailure(NOW, Duration.ZERO);
 		}
 		return failed;
 	}
--- a/src/test/java/sycamorehill/logic/ticket/CompactionTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/CompactionTests.java
@@ -34,7 +34,7 @@
 	private final NodeGroup group = NodeGroup.create(this.random, Policies.shortHistory());
 
 	@Test
-	void oldTicketsAreDeletedBehindASnapshot() {
+	void oldTicketsAreDeletedAfterASnapshot() {
 		startThree();
 		fileTickets(1, 30);
 		TicketPolicy policy = Policies.shortHistory().ticket();
@@ -43,22 +43,22 @@
 	}
 
 	@Test
-	void newcomerReadsTheTruthWithoutHistory() {
+	void newNodeReadsTheDesiredStateWithoutHistory() {
 		startThree();
 		fileTickets(1, 30);
 		this.group.start("node-9", "fukuoka");
 		this.group.runFor(Duration.ofSeconds(1));
-		assertThat(this.group.node("node-9").truth()).isEqualTo(this.group.node("node-1").truth());
+		assertThat(this.group.node("node-9").desiredState()).isEqualTo(this.group.node("node-1").desiredState());
 	}
 
 	@Test
-	void nodeWhoseNextNumberWasDeletedMeanwhileFilesNoGhost() {
+	void nodeThatMissedDeletedTicketsFilesUnderTheNextFreeNumber() {
 		// A node is cut off from everything for long. Meanwhile the tickets that it
 		// lacks are filed and deleted behind a snapshot, so that its next number is
 		// free again in the platform. A create under that number would succeed, be
 		// called accepted, and be in force nowhere.
 		startThree();
-		cutOffNodeThreeDuringTickets();
+		partitionNodeThreeAndFileTickets();
 		this.group.platformReachable("kumamoto", true);
 		this.group.runFor(Duration.ofSeconds(30));
 		OperatorCallIdentifier call = this.group.file("node-3", Drafts.service("late", "late", "1", 0));
@@ -67,23 +67,23 @@
 	}
 
 	@Test
-	void lateCreateUnderADeletedNumberIsNotFolded() {
+	void lateCreateUnderADeletedNumberIsNotApplied() {
 		// A create of a node that died is delivered by the network after its number
 		// was taken by another ticket and deleted again. A node that was cut off for
 		// long takes exactly that number next: it would put a ticket in force that
 		// was never accepted.
 		startThree();
-		cutOffNodeThreeDuringTickets();
+		partitionNodeThreeAndFileTickets();
 		TicketValue value = new TicketValue(new Ticket(1, this.group.now(), Drafts.service("ghost", "ghost", "1", 0)),
 				"dead", 1);
-		this.group.platform().look(new PlatformRequest.Create(TicketNames.ticket(1), value));
+		this.group.platform().look(new PlatformRequest.Create(TicketObjectNames.ticketKey(1), value));
 		this.group.platformReachable("kumamoto", true);
 		this.group.runFor(Duration.ofSeconds(30));
-		assertThat(this.group.node("node-3").truth()).isEqualTo(this.group.node("node-1").truth());
+		assertThat(this.group.node("node-3").desiredState()).isEqualTo(this.group.node("node-1").desiredState());
 	}
 
 	@Test
-	void platformThatCameBackOlderTakesNoNodeBack() {
+	void nodesKeepTheirStateWhenThePlatformIsRestoredFromABackup() {
 		// The platform is restored from a backup that lacks the last tickets. A node that
 		// believed it would put old state in force again.
 		startThree();
@@ -92,11 +92,11 @@
 		FakePlatform older = FakePlatform.create(this.random);
 		for (PlatformValue ticket : backup) {
 			long number = ((TicketValue) ticket).ticket().number();
-			older.look(new PlatformRequest.Create(TicketNames.ticket(number), ticket));
+			older.look(new PlatformRequest.Create(TicketObjectNames.ticketKey(number), ticket));
 		}
 		this.group.replacePlatform(older);
 		this.group.runFor(Duration.ofSeconds(40));
-		assertThat(this.group.nodes()).allMatch((node) -> node.truth().get().number() == 5);
+		assertThat(this.group.nodes()).allMatch((node) -> node.desiredState().get().number() == 5);
 	}
 
 	@Test
@@ -124,21 +124,21 @@
 	}
 
 	@Test
-	void newcomerTakesTheTruthOfItsPeersWhileThePlatformIsDown() {
+	void newNodeReadsTheDesiredStateFromPeersWhileThePlatformIsDown() {
 		startThree();
 		fileTickets(1, 5);
 		this.group.platform().down(true);
 		this.group.start("node-3", "fukuoka");
 		this.group.runFor(Duration.ofSeconds(10));
-		assertThat(this.group.node("node-3").truth()).isEqualTo(this.group.node("node-1").truth());
+		assertThat(this.group.node("node-3").desiredState()).isEqualTo(this.group.node("node-1").desiredState());
 	}
 
 	@Test
-	void nodeWithoutPlatformAndPeersHasNoTruth() {
+	void nodeWithoutPlatformAndPeersHasNoDesiredState() {
 		this.group.platform().down(true);
 		this.group.start("node-1", "fukuoka");
 		this.group.runFor(Duration.ofSeconds(30));
-		assertThat(this.group.node("node-1").truth()).isEmpty();
+		assertThat(this.group.node("node-1").desiredState()).isEmpty();
 	}
 
 	private void startThree() {
@@ -148,7 +148,7 @@
 		this.group.runFor(Duration.ofSeconds(5));
 	}
 
-	private void cutOffNodeThreeDuringTickets() {
+	private void partitionNodeThreeAndFileTickets() {
 		NodeName three = NodeName.of("node-3");
 		this.group.cut((from, to) -> from.incarnation().node().equals(three) || to.incarnation().node().equals(three));
 		this.group.platformReachable("kumamoto", false);
@@ -170,11 +170,11 @@
 	}
 
 	private DesiredStateSnapshot snapshot() {
-		return (DesiredStateSnapshot) this.group.platform().object(TicketNames.SNAPSHOT).value();
+		return (DesiredStateSnapshot) this.group.platform().object(TicketObjectNames.SNAPSHOT).value();
 	}
 
 	private PlatformValue value(long number) {
-		return this.group.platform().object(TicketNames.ticket(number)).value();
+		return this.group.platform().object(TicketObjectNames.ticketKey(number)).value();
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/ticket/FilingTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/FilingTests.java
@@ -22,16 +22,16 @@
 	private final NodeGroup group = NodeGroup.create(new SplittableRandom(7));
 
 	@Test
-	void acceptedTicketIsInForceOnEveryNode() {
+	void acceptedTicketIsAppliedByEveryNode() {
 		startSix();
 		OperatorCallIdentifier call = this.group.file("node-1", Drafts.service("f1", "drafting", "1", 0));
 		this.group.runFor(Duration.ofSeconds(2));
 		assertThat(this.group.outcome(call)).isEqualTo(new FilingOutcome.Accepted(1));
-		assertThat(this.group.nodes()).allMatch((node) -> node.truth().get().number() == 1);
+		assertThat(this.group.nodes()).allMatch((node) -> node.desiredState().get().number() == 1);
 	}
 
 	@Test
-	void ofTwoRacingFilersOneIsRefusedWithThePresentState() {
+	void oneOfTwoConcurrentFilingsIsRefusedWithTheCurrentState() {
 		// Two operators change the same service through two nodes at the same moment.
 		// Without the conditional create both would hear "accepted" and one change
 		// would be lost.
--- a/src/test/java/sycamorehill/logic/ticket/SnapshotSizeTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/SnapshotSizeTests.java
@@ -21,21 +21,21 @@
  */
 class SnapshotSizeTests {
 
-	private static final int OBJECT_LIMIT = 1024 * 1024;
+	private static final int MAXIMUM_OBJECT_BYTES = 1024 * 1024;
 
 	@Test
-	void largestAcceptedTruthFitsIntoOneObject() throws Exception {
+	void largestAcceptedStateFitsIntoOneObject() throws Exception {
 		// If the validator let the truth grow past what one object holds, no snapshot
 		// could be written any more: the log would grow for ever, and later tickets
 		// could never be refused for it, because they are accepted already.
 		List<AppliedItem> items = new ArrayList<>();
 		long bytes = 0;
-		while (bytes <= TicketValidator.MOST_TRUTH_BYTES) {
+		while (bytes <= TicketValidator.MAXIMUM_STATE_BYTES) {
 			String name = "workspace-with-a-long-name-" + items.size();
 			WorkspaceItem item = new WorkspaceItem(WorkspaceName.of(name), "f".repeat(64), 123456.789, 1234567.89,
 					Integer.MAX_VALUE, 1000);
 			items.add(new AppliedItem(item, 1_000_000 + items.size()));
-			bytes += ItemRules.bytes(item);
+			bytes += ItemValidator.estimateBytes(item);
 		}
 		List<AcceptedFiling> filings = new ArrayList<>();
 		for (int filing = 0; filing < TicketPolicy.standard().keptFilings(); filing++) {
@@ -43,7 +43,7 @@
 			filings.add(new AcceptedFiling(FilingIdentifier.of(identifier), 1_000_000 + filing));
 		}
 		DesiredStateSnapshot snapshot = new DesiredStateSnapshot(2_000_000, items, 1, 1_999_600, filings);
-		assertThat(ModelJson.json().writeValueAsBytes(snapshot).length).isLessThan(OBJECT_LIMIT);
+		assertThat(ModelJson.json().writeValueAsBytes(snapshot).length).isLessThan(MAXIMUM_OBJECT_BYTES);
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/ticket/TicketHistoryTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/TicketHistoryTests.java
@@ -44,12 +44,12 @@
 
 	@ParameterizedTest
 	@MethodSource("seeds")
-	void historyOfConcurrentFilersIsOneLog(long seed) {
+	void concurrentFilingsFormOneLog(long seed) {
 		assertThat(run(seed).faults()).isEmpty();
 	}
 
 	@Test
-	void filersOfTheHistoriesDoGetTicketsAccepted() {
+	void someConcurrentFilingsAreAccepted() {
 		// Histories in which nothing is accepted would pass every check.
 		assertThat(run(1).accepted()).isGreaterThan(20);
 	}
@@ -68,18 +68,18 @@
 			filers.add(TicketFiler.start(group, history, random, "filer-" + index));
 		}
 		for (int fault = 0; fault < FAULTS; fault++) {
-			fault(group, random);
+			injectFault(group, random);
 			group.runFor(Duration.ofMillis(random.nextInt(8000)));
 		}
 		filers.forEach(TicketFiler::end);
-		heal(group);
+		removeFaults(group);
 		group.runFor(Duration.ofSeconds(75));
 		long numbers = group.nodes().stream().map((node) -> node.ticket().log().number()).distinct().count();
 		assertThat(numbers).as("different numbers at the end").isEqualTo(1);
 		return history;
 	}
 
-	private static void fault(NodeGroup group, SplittableRandom random) {
+	private static void injectFault(NodeGroup group, SplittableRandom random) {
 		String node = "node-" + (random.nextInt(NODES) + 1);
 		String dataCentre = DATA_CENTRES[random.nextInt(DATA_CENTRES.length)];
 		switch (random.nextInt(9)) {
@@ -89,17 +89,17 @@
 			case 3 -> group.pause(node, Duration.ofMillis(random.nextInt(20_000)));
 			case 4 -> group.start(node, DATA_CENTRES[(node.charAt(5) - '1') / 2]);
 			case 5 -> group.platformReachable(dataCentre, random.nextBoolean());
-			case 6 -> cutOff(group, DataCentreName.of(dataCentre));
+			case 6 -> partition(group, DataCentreName.of(dataCentre));
 			case 7 -> group.cut((from, to) -> false);
 			default -> group.links(0.1, 0.1);
 		}
 	}
 
-	private static void cutOff(NodeGroup group, DataCentreName name) {
+	private static void partition(NodeGroup group, DataCentreName name) {
 		group.cut((from, to) -> from.dataCentre().equals(name) != to.dataCentre().equals(name));
 	}
 
-	private static void heal(NodeGroup group) {
+	private static void removeFaults(NodeGroup group) {
 		group.platform().faults(0, 0, 0);
 		group.platform().down(false);
 		group.links(0, 0);
--- a/src/test/java/sycamorehill/logic/ticket/TruthLogTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/TicketLogTests.java
@@ -15,50 +15,51 @@
 /**
  * The truth in force and its history.
  */
-class TruthLogTests {
+class TicketLogTests {
 
 	private static final int KEPT = 3;
 
-	private static final TruthLog AT_FIVE = TruthLog.empty()
+	private static final TicketLog AT_FIVE = TicketLog.empty()
 		.adopt(new DesiredStateSnapshot(2, List.of(), 1, 0, List.of()), KEPT)
 		.append(ticket(3), KEPT, KEPT)
 		.append(ticket(4), KEPT, KEPT)
 		.append(ticket(5), KEPT, KEPT);
 
 	@Test
-	void lowerTruthChangesNothing() {
+	void lowerSnapshotIsIgnored() {
 		// A peer's whole truth has been under way for long and comes after later
 		// tickets. A node that took it would put old state in force again.
 		assertThat(AT_FIVE.adopt(new DesiredStateSnapshot(4, List.of(), 1, 0, List.of()), KEPT).number()).isEqualTo(5);
 	}
 
 	@Test
-	void lateTicketChangesNothing() {
+	void lateTicketIsIgnored() {
 		assertThat(AT_FIVE.append(ticket(4), KEPT, KEPT)).isSameAs(AT_FIVE);
 	}
 
 	@Test
-	void ticketBehindAGapIsNotFolded() {
+	void ticketAfterAGapIsIgnored() {
 		assertThat(AT_FIVE.append(ticket(7), KEPT, KEPT)).isSameAs(AT_FIVE);
 	}
 
 	@Test
-	void truthAfterAnEarlierTicketIsKept() {
-		assertThat(AT_FIVE.at(4).get().lastSetBy(Drafts.service("f", "drafting", "4", 0).changes().get(0).key()))
+	void stateAfterAnEarlierTicketIsKept() {
+		assertThat(
+				AT_FIVE.stateAfter(4).get().lastSetBy(Drafts.service("f", "drafting", "4", 0).changes().get(0).key()))
 			.isEqualTo(4);
 	}
 
 	@Test
 	void historyIsBounded() {
-		TruthLog log = AT_FIVE.append(ticket(6), KEPT, KEPT);
+		TicketLog log = AT_FIVE.append(ticket(6), KEPT, KEPT);
 		assertThat(List.of(log.tickets().size(), log.truths().size(), log.filings().size())).containsOnly(KEPT);
 	}
 
 	@Test
-	void filingsOfTheSnapshotAreRemembered() {
+	void filingsOfTheSnapshotAreKept() {
 		AcceptedFiling filing = new AcceptedFiling(Drafts.of("early").filing(), 2);
-		TruthLog log = TruthLog.empty().adopt(new DesiredStateSnapshot(3, List.of(), 1, 0, List.of(filing)), KEPT);
-		assertThat(log.accepted(filing.filing())).contains(2L);
+		TicketLog log = TicketLog.empty().adopt(new DesiredStateSnapshot(3, List.of(), 1, 0, List.of(filing)), KEPT);
+		assertThat(log.acceptedNumber(filing.filing())).contains(2L);
 	}
 
 	private static Ticket ticket(long number) {
--- a/src/test/java/sycamorehill/logic/ticket/SpreadTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/TicketReplicationTests.java
@@ -23,7 +23,7 @@
 /**
  * How tickets reach the nodes, and what is known of it.
  */
-class SpreadTests {
+class TicketReplicationTests {
 
 	private static final DataCentreName FUKUOKA = DataCentreName.of("fukuoka");
 
@@ -32,28 +32,28 @@
 	private final NodeGroup group = NodeGroup.create(new SplittableRandom(5));
 
 	@Test
-	void dataCentreWithoutThePlatformGetsTicketsFromTheOthers() {
+	void dataCentreWithoutThePlatformReceivesTicketsFromPeers() {
 		startSix();
 		this.group.platformReachable("fukuoka", false);
 		this.group.runFor(Duration.ofSeconds(10));
 		file("node-5", 1);
-		assertThat(this.group.node("node-1").truth().get().number()).isEqualTo(1);
+		assertThat(this.group.node("node-1").desiredState().get().number()).isEqualTo(1);
 	}
 
 	@Test
-	void cutOffDataCentreCatchesUpAfterTheCut() {
+	void partitionedDataCentreCatchesUpAfterThePartition() {
 		startSix();
-		cutOffFukuoka();
+		partitionFukuoka();
 		file("node-5", 1);
 		file("node-5", 2);
 		this.group.cut((from, to) -> false);
 		this.group.platformReachable("fukuoka", true);
 		this.group.runFor(Duration.ofSeconds(20));
-		assertThat(this.group.nodes()).allMatch((node) -> node.truth().get().number() == 2);
+		assertThat(this.group.nodes()).allMatch((node) -> node.desiredState().get().number() == 2);
 	}
 
 	@Test
-	void everyPushLostIsMadeGoodByHeartbeats() {
+	void nodeRequestsLostTicketsAfterAHeartbeat() {
 		// All pushes of a ticket are lost and a node that is no delegate has nobody
 		// to tell it: callers there would be served by the old state for good.
 		for (int index = 1; index <= 8; index++) {
@@ -65,45 +65,45 @@
 		this.group.runFor(Duration.ofMillis(500));
 		this.group.links(0, 0);
 		this.group.runFor(Duration.ofSeconds(5));
-		assertThat(this.group.nodes()).allMatch((node) -> node.truth().get().number() == 1);
+		assertThat(this.group.nodes()).allMatch((node) -> node.desiredState().get().number() == 1);
 	}
 
 	@Test
-	void forceNamesEveryDataCentreThatHasTheTicket() {
+	void rolloutListsEveryDataCentreThatAppliedTheTicket() {
 		startSix();
 		file("node-1", 1);
-		assertThat(force("node-4", 1)).hasSize(3)
-			.allMatch((force) -> force.nodesInForce() == 2 && force.inForceSince().isPresent());
+		assertThat(rollout("node-4", 1)).hasSize(3)
+			.allMatch((rollout) -> rollout.nodesInForce() == 2 && rollout.inForceSince().isPresent());
 	}
 
 	@Test
-	void forceNamesNodesThatLackTheTicket() {
+	void rolloutListsNodesThatLackTheTicket() {
 		startSix();
 		file("node-1", 1);
 		this.group.pause("node-6", Duration.ofSeconds(3));
 		this.group.file("node-1", Drafts.service("f2", "drafting", "2", 1));
 		this.group.runFor(Duration.ofMillis(500));
-		DataCentreRollout kagoshima = force("node-1", 2).stream()
-			.filter((force) -> force.dataCentre().equals(DataCentreName.of("kagoshima")))
+		DataCentreRollout kagoshima = rollout("node-1", 2).stream()
+			.filter((rollout) -> rollout.dataCentre().equals(DataCentreName.of("kagoshima")))
 			.findFirst()
 			.orElseThrow();
 		assertThat(kagoshima.missing()).singleElement().asString().contains("node-6: had ticket 1");
 	}
 
 	@Test
-	void forceSaysThatACutOffDataCentreDoesNotAnswer() {
+	void rolloutReportsThatAPartitionedDataCentreDoesNotAnswer() {
 		startSix();
-		cutOffFukuoka();
+		partitionFukuoka();
 		file("node-5", 1);
-		DataCentreRollout fukuoka = force("node-5", 1).stream()
-			.filter((force) -> force.dataCentre().equals(FUKUOKA))
+		DataCentreRollout fukuoka = rollout("node-5", 1).stream()
+			.filter((rollout) -> rollout.dataCentre().equals(FUKUOKA))
 			.findFirst()
 			.orElseThrow();
 		assertThat(fukuoka.missing()).singleElement().asString().contains("no delegate of fukuoka has answered");
 	}
 
 	@Test
-	void allNodesReplacedInAnOutageHaveNoTruthUntilItEnds() {
+	void replacedNodesHaveNoDesiredStateUntilTheOutageEnds() {
 		startSix();
 		file("node-1", 1);
 		this.group.platform().down(true);
@@ -114,11 +114,11 @@
 			this.group.start("node-" + index, DATA_CENTRES[(index - 1) / 2]);
 		}
 		this.group.runFor(Duration.ofSeconds(20));
-		boolean none = this.group.nodes().stream().allMatch((node) -> node.truth().isEmpty());
+		boolean none = this.group.nodes().stream().allMatch((node) -> node.desiredState().isEmpty());
 		this.group.platform().down(false);
 		this.group.runFor(Duration.ofSeconds(45));
 		assertThat(none).isTrue();
-		assertThat(this.group.nodes()).allMatch((node) -> node.truth().get().number() == 1);
+		assertThat(this.group.nodes()).allMatch((node) -> node.desiredState().get().number() == 1);
 	}
 
 	@Test
@@ -148,12 +148,12 @@
 		this.group.runFor(Duration.ofSeconds(2));
 	}
 
-	private void cutOffFukuoka() {
+	private void partitionFukuoka() {
 		this.group.cut((from, to) -> from.dataCentre().equals(FUKUOKA) != to.dataCentre().equals(FUKUOKA));
 		this.group.platformReachable("fukuoka", false);
 	}
 
-	private List<DataCentreRollout> force(String node, long number) {
+	private List<DataCentreRollout> rollout(String node, long number) {
 		OperatorCallIdentifier call = this.group.askForce(node, number);
 		this.group.runFor(Duration.ofSeconds(3));
 		return this.group.force(call).dataCentres();
--- a/src/test/java/sycamorehill/logic/ticket/TicketValidatorTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/TicketValidatorTests.java
@@ -25,34 +25,34 @@
 
 	private static final ServiceItem SERVICE = ServiceItem.model(ServiceName.of("drafting"), "model", "1");
 
-	private static final DesiredState TRUTH = DesiredState.of(7,
+	private static final DesiredState DESIRED_STATE = DesiredState.of(7,
 			List.of(new AppliedItem(SERVICE, 5), new AppliedItem(Drafts.groupSet("set", "drafting", 2), 6),
 					new AppliedItem(Drafts.workspace("desk", 'a'), 7)));
 
 	@Test
-	void soundTicketHasNoFault() {
+	void validTicketHasNoFault() {
 		assertThat(faults(ItemChange.set(SERVICE, 5), ItemChange.set(Drafts.workspace("yard", 'b'), 0))).isEmpty();
 	}
 
 	@Test
-	void allFaultsAreToldAtOnce() {
+	void allFaultsAreReportedAtOnce() {
 		WorkspaceItem bad = new WorkspaceItem(WorkspaceName.of("bad"), "ABC", 0, -1, 0, 0);
 		assertThat(faults(ItemChange.set(bad, 0), ItemChange.set(SERVICE, 4), ItemChange.set(SERVICE, 4))).hasSize(7);
 	}
 
 	@Test
-	void itemChangedByAnotherTicketIsShown() {
-		assertThat(TicketValidator.validate(Drafts.of("f", ItemChange.set(SERVICE, 4)), TRUTH).presentItems())
+	void itemChangedByAnotherTicketIsReturned() {
+		assertThat(TicketValidator.validate(Drafts.of("f", ItemChange.set(SERVICE, 4)), DESIRED_STATE).currentItems())
 			.containsExactly(new AppliedItem(SERVICE, 5));
 	}
 
 	@Test
-	void serviceCannotGoWhileAGroupSetNeedsIt() {
+	void serviceOfAGroupSetCannotBeRemoved() {
 		assertThat(faults(ItemChange.remove(SERVICE.key(), 5))).singleElement().asString().contains("no service");
 	}
 
 	@Test
-	void serviceCanGoTogetherWithItsGroupSet() {
+	void serviceCanBeRemovedTogetherWithItsGroupSet() {
 		assertThat(faults(ItemChange.remove(SERVICE.key(), 5),
 				ItemChange.remove(ItemKey.of(ItemKind.MODEL_GROUP, "set"), 6)))
 			.isEmpty();
@@ -86,7 +86,7 @@
 	}
 
 	private static List<String> faults(ItemChange... changes) {
-		return TicketValidator.validate(Drafts.of("f", changes), TRUTH).faults();
+		return TicketValidator.validate(Drafts.of("f", changes), DESIRED_STATE).faults();
 	}
 
 }
--- a/src/test/java/sycamorehill/support/FixedView.java
+++ b/src/test/java/sycamorehill/support/FixedView.java
@@ -101,7 +101,7 @@
 	}
 
 	@Override
-	public Optional<DesiredState> truth() {
+	public Optional<DesiredState> desiredState() {
 		return Optional.empty();
 	}
 
@@ -123,12 +123,12 @@
 	}
 
 	@Override
-	public boolean quarantined(Fingerprint fingerprint) {
+	public boolean isQuarantined(Fingerprint fingerprint) {
 		return this.quarantine.contains(fingerprint);
 	}
 
 	@Override
-	public Optional<VmObservation> sight(VmName vm) {
+	public Optional<VmObservation> observation(VmName vm) {
 		return Optional.ofNullable(this.sights.get(vm));
 	}
 
--- a/src/test/java/sycamorehill/support/TicketFiler.java
+++ b/src/test/java/sycamorehill/support/TicketFiler.java
@@ -66,11 +66,11 @@
 			return;
 		}
 		ControlNode node = anyNode();
-		if (node.truth().isEmpty()) {
+		if (node.desiredState().isEmpty()) {
 			this.group.at(Duration.ofMillis(500), this::fileNext);
 			return;
 		}
-		file(node, draft(node.truth().get()), 1);
+		file(node, draft(node.desiredState().get()), 1);
 	}
 
 	private void file(ControlNode node, TicketDraft draft, int tries) {
--- a/src/test/java/sycamorehill/support/TicketHistory.java
+++ b/src/test/java/sycamorehill/support/TicketHistory.java
@@ -53,7 +53,7 @@
 			return;
 		}
 		this.numbers.put(node.self().incarnation(), number);
-		DesiredState truth = node.truth().orElseThrow();
+		DesiredState truth = node.desiredState().orElseThrow();
 		DesiredState other = this.truths.putIfAbsent(number, truth);
 		if (other != null && !other.equals(truth)) {
 			this.faults.add("two truths after ticket " + number);
