--- a/src/main/java/sycamorehill/logic/Effects.java
+++ b/src/main/java/sycamorehill/logic/Effects.java
@@ -8,7 +8,7 @@
 import sycamorehill.model.serving.EntryEffect;
 
 /**
- * Collects what one step wants done, in its order.
+ * Collects the effects of one step in the order in which they are to be executed.
  */
 public final class Effects {
 
@@ -18,7 +18,7 @@
 	}
 
 	/**
-	 * Begins a step.
+	 * Creates an empty collection for a new step.
 	 * @return an empty collection
 	 */
 	public static Effects create() {
@@ -36,15 +36,15 @@
 	/**
 	 * Adds a log line.
 	 * @param event the numbered event
-	 * @param detail what it is about
+	 * @param detail the text of the line
 	 */
 	public void log(LogEvent event, String detail) {
 		add(new EntryEffect.Log(LogLine.of(event, detail)));
 	}
 
 	/**
-	 * What was collected.
-	 * @return the effects in their order
+	 * Returns the collected effects.
+	 * @return the effects in the order in which they were added
 	 */
 	public List<EntryEffect> all() {
 		return List.copyOf(this.collected);
--- a/src/main/java/sycamorehill/logic/NodeView.java
+++ b/src/main/java/sycamorehill/logic/NodeView.java
@@ -18,55 +18,56 @@
 import sycamorehill.model.ticket.Ticket;
 
 /**
- * What one part of the reducer may read of the others.
+ * Gives one reducer of a node read access to the state of the others.
  */
 public interface NodeView {
 
 	/**
-	 * Who this node is.
+	 * Returns the identity of this node.
 	 * @return the identity
 	 */
 	NodeIdentity self();
 
 	/**
-	 * The tunable bounds.
+	 * Returns the configurable limits of this node.
 	 * @return the policy
 	 */
 	Policy policy();
 
 	/**
-	 * The state in force, once the node has one.
-	 * @return the truth; empty until it has been read from the platform or a peer
+	 * Returns the desired state that this node has applied.
+	 * @return the desired state, empty until it has been read from the platform or a peer
 	 */
 	Optional<DesiredState> desiredState();
 
 	/**
-	 * An accepted ticket.
-	 * @param number its number
-	 * @return the ticket, if the node still keeps it
+	 * Returns an accepted ticket.
+	 * @param number the number of the ticket
+	 * @return the ticket, empty if the node no longer keeps it
 	 */
 	default Optional<Ticket> ticket(long number) {
 		return Optional.empty();
 	}
 
 	/**
-	 * The nodes taken to be alive.
-	 * @return the nodes, this one among them
+	 * Returns the nodes that this node considers live.
+	 * @return the live nodes, including this one
 	 */
 	LiveNodes liveNodes();
 
 	/**
-	 * Whether this node speaks for its data centre towards the platform and the other
-	 * data centres.
-	 * @return whether it is one of the delegates
+	 * Returns whether this node is a delegate: a node that communicates with the platform
+	 * and with other data centres on behalf of its own data centre.
+	 * @return whether this node is a delegate
 	 */
 	default boolean isDelegate() {
 		return false;
 	}
 
 	/**
-	 * The targets of a service that may be given work: whole groups freshly seen, or the
-	 * addresses of a plain service, without those put aside or leaving.
+	 * Returns the targets of a service that may receive requests: complete groups with a
+	 * recent observation, or the addresses of a plain service. Ejected and leaving
+	 * targets are left out.
 	 * @param service the service
 	 * @return the targets, in a stable order
 	 */
@@ -74,43 +75,43 @@
 
 	/**
 	 * Chooses a target for a request.
-	 * @param query the request and the targets that have already failed it
-	 * @return the target, empty if there is none
+	 * @param query the request and the targets on which it has already failed
+	 * @return the target, empty if no target is available
 	 */
 	Optional<ServingTarget> chooseTarget(RouteQuery query);
 
 	/**
-	 * Whether content is quarantined because it crashed targets.
-	 * @param fingerprint the content
-	 * @return whether it must not be sent
+	 * Returns whether content is quarantined because it crashed targets.
+	 * @param fingerprint the fingerprint of the content
+	 * @return whether the content must not be sent to any target
 	 */
 	boolean isQuarantined(Fingerprint fingerprint);
 
 	/**
-	 * Whether content is suspected of crashing targets, so that it may run only where no
-	 * other suspect runs.
-	 * @param fingerprint the content
-	 * @return whether it has to be isolated
+	 * Returns whether content is suspected of crashing targets. Such content may run only
+	 * on a target that runs no other suspect content.
+	 * @param fingerprint the fingerprint of the content
+	 * @return whether the content must run isolated
 	 */
 	default boolean isSuspect(Fingerprint fingerprint) {
 		return false;
 	}
 
 	/**
-	 * The last sight of a VM, of this data centre or of another.
+	 * Returns the latest observation of a VM in this or another data centre.
 	 * @param vm the VM
-	 * @return the sight, if there ever was one
+	 * @return the observation, empty if the VM was never observed
 	 */
 	Optional<VmObservation> observation(VmName vm);
 
 	/**
-	 * The allocation of this node's data centre as last seen.
-	 * @return the allocation, if it was ever seen
+	 * Returns the allocation of this node's data centre as last read.
+	 * @return the allocation, empty if it was never read
 	 */
 	Optional<Allocation> allocation();
 
 	/**
-	 * What is known of the VMs of this node's data centre.
+	 * Returns what is known about the VMs of this node's data centre.
 	 * @return the fleet
 	 */
 	default Fleet fleet() {
--- a/src/main/java/sycamorehill/logic/RandomSequence.java
+++ b/src/main/java/sycamorehill/logic/RandomSequence.java
@@ -3,9 +3,10 @@
 import java.time.Duration;
 
 /**
- * Random numbers as a value: the same seed gives the same numbers (SplitMix64).
+ * An immutable position in a sequence of pseudo-random numbers (SplitMix64). The same
+ * seed yields the same numbers.
  *
- * @param position where the sequence stands
+ * @param position the state of the generator
  */
 public record RandomSequence(long position) {
 
@@ -18,7 +19,7 @@
 	private static final double FRACTION_UNIT = 0x1.0p-53;
 
 	/**
-	 * Creates the sequence of a seed.
+	 * Creates the sequence for a seed.
 	 * @param seed the seed
 	 * @return the sequence
 	 */
@@ -27,16 +28,16 @@
 	}
 
 	/**
-	 * The sequence after its present number.
-	 * @return the rest of the sequence
+	 * Advances to the next number.
+	 * @return the sequence positioned at the next number
 	 */
 	public RandomSequence next() {
 		return new RandomSequence(this.position + INCREMENT);
 	}
 
 	/**
-	 * The present number as a fraction.
-	 * @return from 0 to below 1
+	 * Returns the current number as a fraction.
+	 * @return a number from 0 (inclusive) to 1 (exclusive)
 	 */
 	public double fraction() {
 		long mixed = this.position + INCREMENT;
@@ -47,8 +48,8 @@
 	}
 
 	/**
-	 * A random duration between half of one and the whole.
-	 * @param maximum the upper bound
+	 * Returns a random duration between half the maximum and the maximum.
+	 * @param maximum the longest duration
 	 * @return the duration
 	 */
 	public Duration jittered(Duration maximum) {
--- a/src/main/java/sycamorehill/logic/Step.java
+++ b/src/main/java/sycamorehill/logic/Step.java
@@ -5,18 +5,18 @@
 import sycamorehill.model.effect.Effect;
 
 /**
- * The result of one step.
+ * The result of handling one event.
  *
- * @param <S> the type of state
- * @param state the state after it
- * @param effects what is to be done
+ * @param <S> the type of the state
+ * @param state the state after the event
+ * @param effects the effects to execute, in this order
  */
 public record Step<S>(S state, List<Effect> effects) {
 
 	/**
-	 * A step that does nothing outside.
-	 * @param <S> the type of state
-	 * @param state the state after it
+	 * Creates a step without effects.
+	 * @param <S> the type of the state
+	 * @param state the state after the event
 	 * @return the step
 	 */
 	public static <S> Step<S> of(S state) {
@@ -24,10 +24,10 @@
 	}
 
 	/**
-	 * A step with effects.
-	 * @param <S> the type of state
-	 * @param state the state after it
-	 * @param effects what is to be done, in this order
+	 * Creates a step with effects.
+	 * @param <S> the type of the state
+	 * @param state the state after the event
+	 * @param effects the effects to execute, in this order
 	 * @return the step
 	 */
 	public static <S> Step<S> of(S state, List<Effect> effects) {
@@ -35,10 +35,10 @@
 	}
 
 	/**
-	 * A step with effects.
-	 * @param <S> the type of state
-	 * @param state the state after it
-	 * @param effects what is to be done, in this order
+	 * Creates a step with effects.
+	 * @param <S> the type of the state
+	 * @param state the state after the event
+	 * @param effects the effects to execute, in this order
 	 * @return the step
 	 */
 	public static <S> Step<S> of(S state, Effect... effects) {
--- a/src/main/java/sycamorehill/logic/node/NodeReducer.java
+++ b/src/main/java/sycamorehill/logic/node/NodeReducer.java
@@ -25,8 +25,9 @@
 import sycamorehill.model.event.Event;
 
 /**
- * Feeds each event to every part, in a fixed order, and then the events that the parts
- * raised, until none is left: one step for one event from outside.
+ * Handles an external event in one step. It passes the event to the reducer of every part
+ * in a fixed order, then does the same with the events that the reducers raise, until
+ * none is left.
  */
 public final class NodeReducer {
 
@@ -56,11 +57,11 @@
 	}
 
 	/**
-	 * Takes one event in.
-	 * @param state the node's state
-	 * @param now monotonic time of this node
-	 * @param event what happened
-	 * @return the state after it and what is to be done outside
+	 * Handles one external event.
+	 * @param state the state of the node
+	 * @param now the monotonic time of this node
+	 * @param event the event
+	 * @return the state after the event and the effects to execute
 	 */
 	public Step<NodeState> reduce(NodeState state, Instant now, Event event) {
 		List<Effect> externalEffects = new ArrayList<>();
@@ -70,7 +71,7 @@
 		int processed = 0;
 		while (!events.isEmpty()) {
 			if (++processed > MAXIMUM_EVENTS_PER_STEP) {
-				throw new IllegalStateException("events raise each other without end, beginning with " + event);
+				throw new IllegalStateException("too many events raised in one step, starting with " + event);
 			}
 			Event next = events.poll();
 			for (Part<?> part : this.parts) {
--- a/src/main/java/sycamorehill/logic/node/NodeState.java
+++ b/src/main/java/sycamorehill/logic/node/NodeState.java
@@ -21,29 +21,29 @@
 import sycamorehill.model.ticket.Ticket;
 
 /**
- * Everything that a node knows and that its decisions rest on: a value.
+ * The complete immutable state on which the decisions of a node depend.
  *
- * @param self who the node is
- * @param policy the tunable bounds
- * @param admission state of the part admission
- * @param routing state of the part routing
- * @param request state of the part request
- * @param health state of the part health
- * @param quarantine state of the part quarantine
- * @param order state of the part order
- * @param ticket state of the part ticket
- * @param membership state of the part membership
- * @param observation state of the part observation
- * @param group state of the part group
+ * @param self the identity of the node
+ * @param policy the configurable limits
+ * @param admission the state of request admission
+ * @param routing the state of request routing
+ * @param request the state of the requests in progress
+ * @param health the state of target health
+ * @param quarantine the state of content quarantine
+ * @param order the state of the non-idempotent requests (orders) and their claims
+ * @param ticket the state of the tickets and the desired state
+ * @param membership the state of the cluster membership
+ * @param observation the state of the observation of VMs
+ * @param group the state of the serving groups
  */
 public record NodeState(NodeIdentity self, Policy policy, AdmissionState admission, RoutingState routing,
 		RequestState request, HealthState health, QuarantineState quarantine, OrderState order, TicketState ticket,
 		MembershipState membership, ObservationState observation, GroupState group) {
 
 	/**
-	 * The state of a fresh node.
-	 * @param self who it is
-	 * @param policy the tunable bounds
+	 * Creates the state of a node that has just started.
+	 * @param self the identity of the node
+	 * @param policy the configurable limits
 	 * @return the state before the first event
 	 */
 	public static NodeState initial(NodeIdentity self, Policy policy) {
@@ -53,15 +53,15 @@
 	}
 
 	/**
-	 * The state in force, once the node has one.
-	 * @return the truth
+	 * Returns the desired state that this node has applied.
+	 * @return the desired state, empty until it has been read from the platform or a peer
 	 */
 	public Optional<DesiredState> desiredState() {
 		return this.ticket.log().truth();
 	}
 
 	/**
-	 * The tickets that the node still keeps.
+	 * Returns the tickets that the node still keeps.
 	 * @return the tickets, newest first
 	 */
 	public List<Ticket> tickets() {
@@ -71,9 +71,9 @@
 	}
 
 	/**
-	 * Whether the balancer may send new callers: the node knows the state in force and
-	 * does not stop.
-	 * @return whether it is ready
+	 * Returns whether the load balancer may send new callers: the node has a desired
+	 * state and is not stopping.
+	 * @return whether the node is ready
 	 */
 	public boolean ready() {
 		return desiredState().isPresent() && this.request.stop().isEmpty();
--- a/src/main/java/sycamorehill/logic/node/StateView.java
+++ b/src/main/java/sycamorehill/logic/node/StateView.java
@@ -26,7 +26,7 @@
 import sycamorehill.model.ticket.Ticket;
 
 /**
- * What the parts read of each other, taken from one state of the node.
+ * Implements the read access of the parts to each other, based on one state of the node.
  */
 final class StateView implements NodeView {
 
--- a/src/main/java/sycamorehill/logic/node/package-info.java
+++ b/src/main/java/sycamorehill/logic/node/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The one reducer of a node, composed of its parts.
+ * The reducer of the whole node, composed of the reducers of its parts.
  */
 package sycamorehill.logic.node;
--- a/src/main/java/sycamorehill/logic/package-info.java
+++ b/src/main/java/sycamorehill/logic/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Decisions: one reducer over all events, composed of one small reducer for each part.
+ * The decisions of a node, made by one reducer for each part of its state.
  */
 package sycamorehill.logic;
--- a/src/main/java/sycamorehill/logic/placement/RendezvousHash.java
+++ b/src/main/java/sycamorehill/logic/placement/RendezvousHash.java
@@ -5,8 +5,9 @@
 import sycamorehill.model.identity.NodeName;
 
 /**
- * Weighs nodes for duties by rendezvous hashing: all nodes that see the same live nodes
- * pick the same one, and a lost node moves only its own duties.
+ * Assigns duties to nodes by rendezvous hashing: nodes that agree on the live nodes
+ * choose the same node for a duty, and the loss of a node moves only the duties of that
+ * node.
  */
 public final class RendezvousHash {
 
@@ -16,10 +17,10 @@
 	}
 
 	/**
-	 * The weight of a node for a duty.
-	 * @param duty names the duty
+	 * Returns the weight of a node for a duty. Nodes are compared by it.
+	 * @param duty the name of the duty
 	 * @param node the node
-	 * @return the weight, by which nodes are compared for the duty
+	 * @return the weight
 	 */
 	public static long weight(String duty, NodeName node) {
 		return Hashing.komihash5_0().hashCharsToLong(duty + SEPARATOR + node);
--- a/src/main/java/sycamorehill/logic/placement/package-info.java
+++ b/src/main/java/sycamorehill/logic/placement/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which node takes which duty.
+ * The assignment of duties to nodes.
  */
 package sycamorehill.logic.placement;
--- a/src/main/java/sycamorehill/logic/platform/CallBudget.java
+++ b/src/main/java/sycamorehill/logic/platform/CallBudget.java
@@ -4,24 +4,24 @@
 import java.time.Instant;
 
 /**
- * When one part may make its next platform call of one kind: a rate with a burst, and
- * after failures an exponential backoff with full jitter.
+ * Limits the platform calls of one kind: a token bucket bounds their rate and burst, and
+ * after failures an exponential backoff with full jitter applies.
  *
  * <p>
- * Guards against the herd after an outage: without jitter all nodes would come back in
- * the same moment and throttle the platform again. The wait is drawn anew from the whole
- * range after each failure, so that the first calls after an outage spread over the
- * longest backoff.
+ * The jitter prevents a thundering herd after an outage: without it all nodes would retry
+ * at the same moment and the platform would throttle them again. After each failure the
+ * delay is drawn from the whole range, so that the first calls after an outage are spread
+ * over the maximum backoff.
  *
- * @param perSecond the most calls a second over time
- * @param burst how many calls may come at once
- * @param firstBackoff the longest wait after the first failure
- * @param longestBackoff the longest wait after many failures
- * @param credit calls that may be made at {@code creditAt}
- * @param creditAt when the credit was counted
- * @param notBefore the end of the present backoff
- * @param failures failures since the last success
- * @param randomState state of the generator of jitter
+ * @param perSecond the sustained maximum of calls per second
+ * @param burst the maximum number of calls at once
+ * @param firstBackoff the upper limit of the random delay after the first failure
+ * @param longestBackoff the upper limit of the random delay after any number of failures
+ * @param credit the number of calls that were available at {@code creditAt}
+ * @param creditAt the time at which the credit was computed
+ * @param notBefore the end of the current backoff
+ * @param failures the number of failures since the last success
+ * @param randomState the state of the jitter generator
  */
 public record CallBudget(double perSecond, double burst, Duration firstBackoff, Duration longestBackoff, double credit,
 		Instant creditAt, Instant notBefore, int failures, long randomState) {
@@ -31,12 +31,13 @@
 	private static final double NANOS_PER_SECOND = 1e9;
 
 	/**
-	 * Creates a budget with its whole burst free.
-	 * @param perSecond the most calls a second over time
-	 * @param burst how many calls may come at once
-	 * @param firstBackoff the longest wait after the first failure
-	 * @param longestBackoff the longest wait after many failures
-	 * @param seed feeds the jitter, different for each node
+	 * Creates a budget with the full burst available.
+	 * @param perSecond the sustained maximum of calls per second
+	 * @param burst the maximum number of calls at once
+	 * @param firstBackoff the upper limit of the random delay after the first failure
+	 * @param longestBackoff the upper limit of the random delay after any number of
+	 * failures
+	 * @param seed the seed of the jitter, different for each node
 	 * @return the budget
 	 */
 	public static CallBudget create(double perSecond, double burst, Duration firstBackoff, Duration longestBackoff,
@@ -46,17 +47,17 @@
 	}
 
 	/**
-	 * Whether a call may be made.
-	 * @param now own monotonic time
-	 * @return whether rate and backoff allow it
+	 * Returns whether a call may be made.
+	 * @param now the monotonic time of this node
+	 * @return whether rate and backoff allow a call
 	 */
 	public boolean allows(Instant now) {
 		return !now.isBefore(this.notBefore) && availableCredit(now) >= 1;
 	}
 
 	/**
-	 * Counts a call.
-	 * @param now own monotonic time
+	 * Records a call.
+	 * @param now the monotonic time of this node
 	 * @return the budget after the call
 	 */
 	public CallBudget recordCall(Instant now) {
@@ -65,10 +66,10 @@
 	}
 
 	/**
-	 * Takes in that a call failed.
-	 * @param now own monotonic time
-	 * @param retryAfter the platform's own word on when to come back, zero for none
-	 * @return the budget with a longer backoff
+	 * Records a failed call.
+	 * @param now the monotonic time of this node
+	 * @param retryAfter the minimum delay that the platform asked for, zero for none
+	 * @return the budget with a new backoff
 	 */
 	public CallBudget recordFailure(Instant now, Duration retryAfter) {
 		int doublings = Math.min(this.failures, MAXIMUM_DOUBLINGS);
@@ -82,7 +83,7 @@
 	}
 
 	/**
-	 * Takes in that a call succeeded.
+	 * Records a successful call.
 	 * @return the budget without backoff
 	 */
 	public CallBudget recordSuccess() {
--- a/src/main/java/sycamorehill/logic/platform/Jitter.java
+++ b/src/main/java/sycamorehill/logic/platform/Jitter.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * Random waits from a generator whose state is kept by the caller (SplitMix64).
+ * Computes random delays. The caller keeps the state of the generator (SplitMix64).
  */
 public final class Jitter {
 
@@ -17,19 +17,19 @@
 	}
 
 	/**
-	 * The generator's next state.
-	 * @param state the state
-	 * @return the state after it
+	 * Advances the generator.
+	 * @param state the current state
+	 * @return the next state
 	 */
 	public static long nextState(long state) {
 		return state + GOLDEN_GAMMA;
 	}
 
 	/**
-	 * A part of a range, drawn from a state.
-	 * @param range the whole range
-	 * @param state the generator's state
-	 * @return a wait from zero up to the range
+	 * Returns a random duration within a range.
+	 * @param range the upper bound
+	 * @param state the state of the generator
+	 * @return a duration from zero to the range
 	 */
 	public static Duration randomDuration(Duration range, long state) {
 		double fraction = (mix(state) >>> DISCARDED_BITS) * FRACTION_UNIT;
--- a/src/main/java/sycamorehill/logic/platform/package-info.java
+++ b/src/main/java/sycamorehill/logic/platform/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What all parts share towards the platform: how often and when they call it.
+ * Rate limiting and backoff for calls to the platform, shared by all parts.
  */
 package sycamorehill.logic.platform;
--- a/src/main/java/sycamorehill/logic/ticket/Compaction.java
+++ b/src/main/java/sycamorehill/logic/ticket/Compaction.java
@@ -6,14 +6,15 @@
 import sycamorehill.model.platform.StoredObject;
 
 /**
- * Where the node stands in renewing the snapshot and deleting old tickets.
+ * The progress of this node in replacing the snapshot and deleting old tickets.
  *
- * @param running whether a call is under way
- * @param snapshotNumber the ticket of the last snapshot known to stand in the platform
- * @param writing the ticket of the snapshot that is being written
- * @param deletedUpTo tickets up to this number may be deleted, because a snapshot that
- * says so stands in the platform
- * @param deletions tickets that are to be deleted, the lowest first
+ * @param running whether a compaction is in progress
+ * @param snapshotNumber the ticket number of the latest snapshot known to be stored on
+ * the platform
+ * @param writing the ticket number of the snapshot that is being written, 0 for none
+ * @param deletedUpTo the number up to which tickets may be deleted once the snapshot that
+ * announces it is stored on the platform
+ * @param deletions the tickets that remain to be deleted, lowest number first
  * @param notBefore the earliest time of the next attempt
  */
 record Compaction(boolean running, long snapshotNumber, long writing, long deletedUpTo, List<StoredObject> deletions,
--- a/src/main/java/sycamorehill/logic/ticket/CompactionSteps.java
+++ b/src/main/java/sycamorehill/logic/ticket/CompactionSteps.java
@@ -14,14 +14,15 @@
 import sycamorehill.model.ticket.TicketValue;
 
 /**
- * Renews the snapshot and deletes tickets that it made superfluous. One node has the
- * duty, but any may do it, two at once or one after another that died midway: the
- * snapshot is replaced by conditional update and only by a higher one, and a ticket is
- * deleted only after a snapshot that announces its deletion stands in the platform.
+ * Replaces the snapshot and deletes the tickets that it makes redundant. One node is
+ * responsible, but the steps are safe if several nodes take them at once or a node takes
+ * over from one that crashed midway: a conditional update replaces the snapshot, and only
+ * by one with a higher number, and a ticket is deleted only after a snapshot that
+ * announces its deletion is stored on the platform.
  *
  * <p>
- * The same writes restore a platform that came back older: a snapshot at the present
- * number takes the place of all tickets up to it.
+ * The same writes repair a platform that was restored from an older backup: a snapshot at
+ * the current number replaces all tickets up to that number.
  */
 final class CompactionSteps {
 
@@ -91,9 +92,9 @@
 	}
 
 	/**
-	 * Goes on after a deletion. A conflict means that another node deleted the ticket.
-	 * @param step the step under way
-	 * @param answer how the deletion ended
+	 * Continues after a deletion. A conflict means that another node deleted the ticket.
+	 * @param step the current step
+	 * @param answer the answer to the deletion
 	 */
 	static void handleTicketDeleted(TicketStep step, PlatformAnswer answer) {
 		List<StoredObject> remaining = step.state().compaction().deletions();
--- a/src/main/java/sycamorehill/logic/ticket/Filing.java
+++ b/src/main/java/sycamorehill/logic/ticket/Filing.java
@@ -6,18 +6,18 @@
 import sycamorehill.model.ticket.TicketDraft;
 
 /**
- * A filing that waits for its outcome.
+ * A ticket submitted by an operator (a filing) that waits for its outcome.
  *
- * @param call the waiting operator
- * @param draft what is filed
- * @param mark identifies this writer in the ticket's object
- * @param number the number of the last create, 0 before the first
- * @param doubtful whether the create under {@code number} may have taken effect or may
- * still do so: then the filing must not be called refused
- * @param attempts creates so far
- * @param until when the filer has waited long enough
- * @param synchronisation the first synchronisation that begins after the filing's last
- * change: its result decides
+ * @param call the operator call that waits for the outcome
+ * @param draft the submitted ticket
+ * @param mark identifies the writer of the ticket object on the platform
+ * @param number the ticket number of the last create call, 0 before the first
+ * @param doubtful whether the create call for {@code number} may have taken effect or may
+ * still do so. Such a filing must not be answered as refused
+ * @param attempts the number of create calls so far
+ * @param until the time at which the filing is answered at the latest
+ * @param synchronisation the number of the first synchronisation that starts after the
+ * last change of the filing. Its result decides how the filing continues
  */
 public record Filing(OperatorCallIdentifier call, TicketDraft draft, String mark, long number, boolean doubtful,
 		int attempts, Instant until, long synchronisation) {
--- a/src/main/java/sycamorehill/logic/ticket/FilingSteps.java
+++ b/src/main/java/sycamorehill/logic/ticket/FilingSteps.java
@@ -15,11 +15,12 @@
 import sycamorehill.model.ticket.TicketValue;
 
 /**
- * Takes filings to their outcome, one after the other: synchronise, validate against what
- * the platform has right now, create the next number, and synchronise again. What the
- * second synchronisation folds in decides, not the answer of the create: so a lost
- * answer, a lost race and a create in the place of a deleted ticket all end in the same
- * check, whether the filing's identifier stands in the folded log.
+ * Processes filings one after the other: it synchronises, validates the filing against
+ * the current state of the platform, creates the ticket with the next number, and
+ * synchronises again. The outcome depends on the log after the second synchronisation,
+ * not on the answer to the create call. A lost answer, a lost race and a create under the
+ * number of a deleted ticket therefore need only one check: whether the log contains the
+ * identifier of the filing.
  */
 final class FilingSteps {
 
@@ -44,8 +45,8 @@
 	}
 
 	/**
-	 * Goes on with the filings after a synchronisation that began after them.
-	 * @param step the step under way
+	 * Continues with the filings that waited for the synchronisation that has just ended.
+	 * @param step the current step
 	 */
 	static void handleSynchronised(TicketStep step) {
 		boolean answered = true;
@@ -61,8 +62,8 @@
 		}
 		if (!step.state().filings().isEmpty() && step.state().filings().get(0).attempts() > 0) {
 			Filing filing = step.state().filings().get(0);
-			// The first create under a number that was not taken left no doubt. After a
-			// second one there is: the first may still be under way.
+			// A first create that the platform did not execute leaves no doubt. After a
+			// second create, the first one may still be in transit.
 			boolean certain = answer instanceof PlatformAnswer.NotTaken && filing.attempts() == 1;
 			replaceFirst(step,
 					(certain ? filing.withoutDoubt() : filing).awaitSynchronisationAfter(step.sync().begun()));
@@ -71,9 +72,9 @@
 	}
 
 	/**
-	 * Takes in that the platform failed. A single lost call is tried again; in an outage
-	 * a filer that nothing was written for is told so at once.
-	 * @param step the step under way
+	 * Handles a failed platform call. After a single failure the call is retried. During
+	 * an outage, filings for which nothing was written are refused immediately.
+	 * @param step the current step
 	 */
 	static void handlePlatformFailure(TicketStep step) {
 		while (isOutage(step) && !step.state().filings().isEmpty() && !step.state().filings().get(0).doubtful()) {
@@ -107,8 +108,8 @@
 		}
 	}
 
-	// Without an identifier neither a lost answer nor a second filing could be told from
-	// another ticket.
+	// Without an identifier, a retry or a filing whose answer was lost could not be
+	// distinguished from another ticket.
 	private static void refuseWithoutIdentifier(TicketStep step, OperatorEvent.TicketFiled event) {
 		PVector<Filing> filings = step.state().filings();
 		step.set(step.state().withFilings(filings.minus(filings.size() - 1)));
@@ -124,8 +125,8 @@
 			return true;
 		}
 		if (ReplicationSteps.isPeerAhead(step)) {
-			// A peer's ticket that the platform does not show must not have its number
-			// given away again: wait until it is learnt.
+			// A peer has a ticket that the platform does not list. Its number must not be
+			// assigned again, so the filing waits until this node has the ticket.
 			step.set(step.sync().requestAnother());
 			replaceFirst(step, filing.awaitSynchronisationAfter(step.sync().begun()));
 			return false;
--- a/src/main/java/sycamorehill/logic/ticket/ItemValidator.java
+++ b/src/main/java/sycamorehill/logic/ticket/ItemValidator.java
@@ -16,7 +16,7 @@
 import sycamorehill.model.ticket.WorkspaceItem;
 
 /**
- * What each kind of item must be like by itself.
+ * Validates single items, without regard to other items.
  */
 final class ItemValidator {
 
@@ -43,7 +43,7 @@
 	 * Finds the faults of an item.
 	 * @param item the item's new state
 	 * @param key the key under which the ticket sets it
-	 * @return each fault with the field it is in, beginning with a dot
+	 * @return the faults, each preceded by its field, which starts with a dot
 	 */
 	static List<String> check(Item item, ItemKey key) {
 		ItemValidator validator = new ItemValidator();
@@ -67,9 +67,9 @@
 	}
 
 	/**
-	 * An upper estimate of the bytes that an item needs in the snapshot.
+	 * Returns an upper estimate of the size of an item in the snapshot.
 	 * @param item the item
-	 * @return bytes
+	 * @return the size in bytes
 	 */
 	static long estimateBytes(Item item) {
 		if (item instanceof ServiceItem service) {
--- a/src/main/java/sycamorehill/logic/ticket/PeerTickets.java
+++ b/src/main/java/sycamorehill/logic/ticket/PeerTickets.java
@@ -4,12 +4,12 @@
 import java.time.Instant;
 
 /**
- * What the other nodes have told of their tickets.
+ * The ticket numbers that peers have reported.
  *
- * @param highest the highest ticket that a peer has told of
- * @param heardAt when it was last told of; it counts only for a while, or else the word
- * of a node that is gone for good would hold up every filing
- * @param askedAt when a peer was last asked for tickets
+ * @param highest the highest ticket number that a peer has reported, -1 for none
+ * @param heardAt the time of the latest report of {@code highest}. Reports expire,
+ * because otherwise the report of a permanently lost node would block every filing
+ * @param askedAt the time at which this node last requested tickets from a peer
  */
 public record PeerTickets(long highest, Instant heardAt, Instant askedAt) {
 
--- a/src/main/java/sycamorehill/logic/ticket/ReplicationSteps.java
+++ b/src/main/java/sycamorehill/logic/ticket/ReplicationSteps.java
@@ -13,10 +13,11 @@
 import sycamorehill.model.ticket.Ticket;
 
 /**
- * Spreads tickets between nodes. A delegate pushes what it has learnt to all nodes of its
- * data centre; any other node gives what it learnt from the platform to its delegates. A
- * node that hears of a higher number than its own asks for what it lacks, so that a lost
- * push or a data centre without the platform is made good by the next heartbeat.
+ * Replicates tickets between nodes. A delegate pushes new tickets to all nodes of its
+ * data centre. Any other node pushes tickets that it read from the platform to the
+ * delegates of its data centre. A node that receives a heartbeat with a higher ticket
+ * number than its own requests the missing tickets. The next heartbeat therefore
+ * compensates for a lost push, also in a data centre that cannot reach the platform.
  */
 final class ReplicationSteps {
 
@@ -24,10 +25,10 @@
 	}
 
 	/**
-	 * Tells the others that the truth has advanced.
-	 * @param step the step under way
-	 * @param before the number before
-	 * @param source where the tickets came from
+	 * Pushes newly applied tickets to the nodes that need them from this node.
+	 * @param step the current step
+	 * @param before the number of the last ticket applied before them
+	 * @param source the source of the tickets
 	 */
 	static void pushTickets(TicketStep step, long before, TicketSource source) {
 		boolean delegate = step.view().isDelegate();
--- a/src/main/java/sycamorehill/logic/ticket/Synchronisation.java
+++ b/src/main/java/sycamorehill/logic/ticket/Synchronisation.java
@@ -7,20 +7,22 @@
 import sycamorehill.model.ticket.Ticket;
 
 /**
- * Where the node stands in learning the tickets from the platform.
+ * The progress of this node in reading tickets from the platform.
  *
- * @param begun how many synchronisations have begun
- * @param running whether one is under way
- * @param wanted whether another one is to begin after it
- * @param anchor the node's own last ticket when the last list was asked for
- * @param listed tickets of the last page, held until the snapshot has been read
+ * @param begun the number of synchronisations started so far
+ * @param running whether a synchronisation is in progress
+ * @param wanted whether another synchronisation is to follow
+ * @param anchor the last ticket number of this node when it requested the current list,
+ * -1 if none is requested
+ * @param listed the tickets of the last page, kept until the snapshot has been read
  * @param pageFull whether there may be more pages
- * @param version the platform's version as of the last list, -1 before the first
- * @param behind whether the platform was found to have lost tickets that this node has
- * @param budget when the next call may be made
- * @param watching whether a watch is waiting
+ * @param version the version of the platform in its last answer to a list call, -1 before
+ * the first
+ * @param behind whether the platform has lost tickets that this node has
+ * @param budget limits the calls to the platform
+ * @param watching whether a watch call is open
  * @param nextWatch the earliest time of the next watch
- * @param lastSuccess own monotonic time of the last finished synchronisation
+ * @param lastSuccess the monotonic time of the last successful synchronisation
  */
 public record Synchronisation(long begun, boolean running, boolean wanted, long anchor, List<Ticket> listed,
 		boolean pageFull, long version, boolean behind, CallBudget budget, boolean watching, Instant nextWatch,
--- a/src/main/java/sycamorehill/logic/ticket/SynchronisationSteps.java
+++ b/src/main/java/sycamorehill/logic/ticket/SynchronisationSteps.java
@@ -14,17 +14,17 @@
 import sycamorehill.model.ticket.TicketValue;
 
 /**
- * Learns the tickets from the platform: the snapshot if there is no truth yet, then the
- * tickets from the node's own last one on.
+ * Reads tickets from the platform: the snapshot if this node has no desired state yet,
+ * then the tickets from the last one of this node onwards.
  *
  * <p>
- * The list begins at the last ticket that the node has itself, the anchor. Guards against
- * two failures. A platform that came back older would let a new ticket take a number
- * again: the anchor is then missing and no snapshot reaches it. A node that was paused
- * while old tickets were deleted could fold a ticket that a late create put in the place
- * of a deleted one: deletion is announced in the snapshot first, so that with a missing
- * anchor the snapshot, read after the list, shows that the node has to take the snapshot
- * instead.
+ * The list starts at the last ticket of this node, the anchor, which protects against two
+ * failures. First, a platform that was restored from an older backup would let a new
+ * ticket reuse a number. In this case the anchor is missing and no snapshot covers it.
+ * Second, a node that was paused while old tickets were deleted could apply a ticket that
+ * a delayed create call stored under a deleted number. Deletions are announced in the
+ * snapshot before they happen. If the anchor is missing, the node therefore reads the
+ * snapshot after the list and adopts it if it is newer.
  */
 final class SynchronisationSteps {
 
@@ -32,8 +32,9 @@
 	}
 
 	/**
-	 * Begins a synchronisation, or asks for another after the present one.
-	 * @param step the step under way
+	 * Starts a synchronisation, or requests one for later if one is in progress or the
+	 * budget allows no call.
+	 * @param step the current step
 	 */
 	static void start(TicketStep step) {
 		if (step.sync().running() || !step.sync().budget().allows(step.now())) {
@@ -56,7 +57,7 @@
 		}
 		List<Ticket> tickets = readableTickets(found.objects());
 		if (tickets.size() < found.objects().size()) {
-			step.log(LogEvent.TICKET_FORMAT_UNKNOWN, "behind ticket " + step.log().number());
+			step.log(LogEvent.TICKET_FORMAT_UNKNOWN, "after ticket " + step.log().number());
 		}
 		boolean full = found.objects().size() >= step.policy().pageSize();
 		step.set(step.sync().withPage(tickets, full, found.version()));
@@ -95,9 +96,9 @@
 	}
 
 	/**
-	 * Keeps a watch open. Its answer only wakes: what it shows is read again by a
-	 * synchronisation, which checks the anchor.
-	 * @param step the step under way
+	 * Opens a watch if none is open. Its answer only triggers a synchronisation, which
+	 * reads the tickets again and checks the anchor.
+	 * @param step the current step
 	 */
 	static void startWatch(TicketStep step) {
 		Synchronisation sync = step.sync();
@@ -122,9 +123,10 @@
 	}
 
 	/**
-	 * Takes in that a call of the synchronisation failed: the next one waits.
-	 * @param step the step under way
-	 * @param answer how it ended
+	 * Handles a failed call of a synchronisation or a watch. The next call waits for the
+	 * backoff.
+	 * @param step the current step
+	 * @param answer the answer to the call
 	 */
 	static void handleFailure(TicketStep step, PlatformAnswer answer) {
 		Duration retryAfter = (answer instanceof PlatformAnswer.NotTaken notTaken) ? notTaken.retryAfter()
@@ -136,8 +138,8 @@
 		FilingSteps.handlePlatformFailure(step);
 	}
 
-	// Also without any change seen: a platform that came back older may have grown
-	// past the version that this node waits for.
+	// Forces a synchronisation even if the watch shows no change: a platform restored
+	// from an older backup may already be past the version that this node waits for.
 	private static boolean isOverdue(TicketStep step) {
 		return step.sync().lastSuccess().plus(step.policy().longestUnsynchronised()).isBefore(step.now());
 	}
@@ -188,7 +190,7 @@
 		if (!step.sync().behind()) {
 			step.log(LogEvent.PLATFORM_CAME_BACK_OLDER,
 					"this node has ticket " + step.sync().anchor() + ", the platform's snapshot is at " + platformNumber
-							+ " and ticket " + step.sync().anchor() + " is gone or another");
+							+ " and ticket " + step.sync().anchor() + " is missing or has a different filing");
 		}
 		step.set(step.sync().withBudget(step.sync().budget().recordSuccess()).finish(true, step.now()));
 		FilingSteps.handleOlderPlatform(step);
--- a/src/main/java/sycamorehill/logic/ticket/TicketCallPurpose.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketCallPurpose.java
@@ -1,7 +1,7 @@
 package sycamorehill.logic.ticket;
 
 /**
- * What a platform call of the part was made for.
+ * The purpose of a platform call of the ticket reducer.
  */
 public enum TicketCallPurpose {
 
@@ -9,11 +9,11 @@
 	READ_SNAPSHOT,
 	/** Lists tickets as a step of a synchronisation. */
 	LIST_TICKETS,
-	/** Waits for a new ticket. */
+	/** Watches for new tickets. */
 	WATCH_TICKETS,
 	/** Creates the ticket of the first filing in the queue. */
 	CREATE_TICKET,
-	/** Reads the snapshot before it is renewed. */
+	/** Reads the snapshot before it is replaced. */
 	READ_OLD_SNAPSHOT,
 	/** Creates or replaces the snapshot. */
 	WRITE_SNAPSHOT,
--- a/src/main/java/sycamorehill/logic/ticket/TicketLog.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketLog.java
@@ -15,27 +15,28 @@
 import sycamorehill.model.ticket.Ticket;
 
 /**
- * The truth in force and the latest tickets behind it. The number only grows: a snapshot
- * or a ticket that is not higher changes nothing, so that a stale read, a late peer or a
- * platform that came back older can't take the node back.
+ * The current desired state and the latest tickets that led to it. The number only
+ * increases: a snapshot or ticket without a higher number has no effect. A stale read, a
+ * delayed peer message or a platform restored from an older backup therefore can't revert
+ * the node to an earlier state.
  *
- * @param truth the state in force, empty until there is one
- * @param tickets the latest tickets by number, without gaps, up to the number of the
- * truth
- * @param truths the truth after each of the latest tickets; they share their structure
- * @param filings the ticket of each of the latest filings
- * @param filingsByNumber the same by number, to forget the oldest
+ * @param truth the current desired state, empty until one is known
+ * @param tickets the latest tickets by number, without gaps up to the current number
+ * @param truths the desired state after each of the latest tickets. They share structure
+ * @param filings the ticket number of each of the latest accepted filings
+ * @param filingsByNumber the latest accepted filings by ticket number, used to remove the
+ * oldest
  */
 public record TicketLog(Optional<DesiredState> truth, TreePMap<Long, Ticket> tickets,
 		TreePMap<Long, DesiredState> truths, PMap<FilingIdentifier, Long> filings,
 		TreePMap<Long, FilingIdentifier> filingsByNumber) {
 
-	/** Version of the format in which this build writes tickets and snapshots. */
+	/** The version of the format in which this build writes tickets and snapshots. */
 	static final int FORMAT_VERSION = 1;
 
 	/**
-	 * A log without a truth.
-	 * @return the log of a fresh node
+	 * Creates a log without a desired state.
+	 * @return the log of a node that has just started
 	 */
 	public static TicketLog empty() {
 		return new TicketLog(Optional.empty(), TreePMap.empty(), TreePMap.empty(), HashTreePMap.empty(),
@@ -43,45 +44,46 @@
 	}
 
 	/**
-	 * The last ticket in force.
-	 * @return its number, -1 while there is no truth
+	 * Returns the number of the last applied ticket.
+	 * @return the number, -1 while no desired state is known
 	 */
 	public long number() {
 		return this.truth.map(DesiredState::number).orElse(-1L);
 	}
 
 	/**
-	 * The truth after a ticket.
-	 * @param number the ticket
-	 * @return the truth, empty if history does not reach back so far
+	 * Returns the desired state after a ticket.
+	 * @param number the number of the ticket
+	 * @return the desired state, empty if the kept history does not include it
 	 */
 	public Optional<DesiredState> stateAfter(long number) {
 		return Optional.ofNullable(this.truths.get(number));
 	}
 
 	/**
-	 * A ticket of the kept history.
-	 * @param number its number
-	 * @return the ticket, if it is kept
+	 * Returns a ticket of the kept history.
+	 * @param number the number of the ticket
+	 * @return the ticket, empty if it is not kept
 	 */
 	public Optional<Ticket> ticket(long number) {
 		return Optional.ofNullable(this.tickets.get(number));
 	}
 
 	/**
-	 * The ticket that a filing has become.
-	 * @param filing the filer's identifier
-	 * @return the number, if the filing was accepted and is still remembered
+	 * Returns the number of the ticket that was created for a filing.
+	 * @param filing the identifier that the operator gave the filing
+	 * @return the number, empty if the filing was not accepted or is no longer kept
 	 */
 	public Optional<Long> acceptedNumber(FilingIdentifier filing) {
 		return Optional.ofNullable(this.filings.get(filing));
 	}
 
 	/**
-	 * The tickets behind a number.
+	 * Returns the tickets that follow a number.
 	 * @param after the number
-	 * @param maximum the most tickets
-	 * @return the tickets without a gap; empty if history does not reach back so far
+	 * @param maximum the maximum number of tickets
+	 * @return the tickets without gaps, empty if the kept history does not reach back to
+	 * the number
 	 */
 	List<Ticket> ticketsAfter(long after, int maximum) {
 		List<Ticket> found = new ArrayList<>();
@@ -96,12 +98,12 @@
 	}
 
 	/**
-	 * Folds the next ticket in. Any other than the next is passed over: a lower one is
-	 * known already, a higher one would leave a gap.
+	 * Applies the next ticket. Any other ticket is ignored: a lower one has already been
+	 * applied, and a higher one would leave a gap.
 	 * @param ticket the ticket
-	 * @param maximumTickets how many tickets are kept
-	 * @param maximumFilings how many filings are kept
-	 * @return the log after it
+	 * @param maximumTickets the maximum number of tickets to keep
+	 * @param maximumFilings the maximum number of filings to keep
+	 * @return the updated log
 	 */
 	TicketLog append(Ticket ticket, int maximumTickets, int maximumFilings) {
 		if (this.truth.isEmpty() || ticket.number() != number() + 1) {
@@ -121,10 +123,10 @@
 	}
 
 	/**
-	 * Takes a whole truth in if it is higher than the present one.
-	 * @param snapshot the truth
-	 * @param maximumFilings how many filings are kept
-	 * @return the log after it
+	 * Replaces the desired state by a snapshot if the snapshot has a higher number.
+	 * @param snapshot the snapshot
+	 * @param maximumFilings the maximum number of filings to keep
+	 * @return the updated log
 	 */
 	TicketLog adopt(DesiredStateSnapshot snapshot, int maximumFilings) {
 		if (snapshot.number() <= number()) {
@@ -140,12 +142,12 @@
 	}
 
 	/**
-	 * The present truth as it is kept in the platform or sent to a peer.
-	 * @param deletedUpTo tickets up to this number may be deleted
+	 * Creates a snapshot of the current desired state for the platform or a peer.
+	 * @param deletedUpTo the number up to which tickets may be deleted
 	 * @return the snapshot
 	 */
 	DesiredStateSnapshot snapshot(long deletedUpTo) {
-		DesiredState current = this.truth.orElseThrow(() -> new IllegalStateException("there is no truth to keep"));
+		DesiredState current = this.truth.orElseThrow(() -> new IllegalStateException("no desired state is known"));
 		List<AcceptedFiling> accepted = this.filingsByNumber.entrySet()
 			.stream()
 			.map((entry) -> new AcceptedFiling(entry.getValue(), entry.getKey()))
--- a/src/main/java/sycamorehill/logic/ticket/TicketLogUpdater.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketLogUpdater.java
@@ -8,7 +8,8 @@
 import sycamorehill.model.ticket.Ticket;
 
 /**
- * Takes tickets and truths into the log, wherever they come from, and tells the others.
+ * Applies tickets and snapshots to the log, whatever their source, and forwards newly
+ * applied tickets to peers.
  */
 final class TicketLogUpdater {
 
--- a/src/main/java/sycamorehill/logic/ticket/TicketObjectNames.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketObjectNames.java
@@ -4,7 +4,8 @@
 import sycamorehill.model.platform.ObjectKind;
 
 /**
- * Names of the objects in which the platform keeps tickets and truth.
+ * Creates the names of the platform objects that store the tickets and the snapshot of
+ * the desired state.
  */
 final class TicketObjectNames {
 
@@ -20,8 +21,8 @@
 	}
 
 	/**
-	 * The name of a ticket's object: names sort as numbers do.
-	 * @param number the ticket, 0 for the name before the first
+	 * Returns the object name of a ticket. The names sort in the order of the numbers.
+	 * @param number the ticket number, 0 for a name that sorts before the first ticket
 	 * @return the name
 	 */
 	static String ticketName(long number) {
--- a/src/main/java/sycamorehill/logic/ticket/TicketReducer.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketReducer.java
@@ -21,7 +21,8 @@
 import sycamorehill.model.policy.TicketPolicy;
 
 /**
- * Filing, folding and spreading of tickets.
+ * Handles the events of tickets: their submission by operators (filing), their
+ * application to the desired state, and their replication between nodes.
  */
 public final class TicketReducer implements Reducer<TicketState> {
 
--- a/src/main/java/sycamorehill/logic/ticket/TicketState.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketState.java
@@ -11,24 +11,24 @@
 import sycamorehill.logic.platform.CallBudget;
 
 /**
- * State of the part: filing, folding and spreading of tickets.
+ * The state of the ticket reducer.
  *
- * @param log the truth in force and the latest tickets
- * @param sync learning from the platform
- * @param filings filings in the order of their coming; only the first is worked on, so
- * that a node never races with itself
- * @param calls what each open platform call was made for
+ * @param log the desired state and the latest tickets
+ * @param sync the progress in reading tickets from the platform
+ * @param filings the open filings in the order of their arrival. Only the first is
+ * processed, so that filings of the same node never compete for a ticket number
+ * @param calls the purpose of each open platform call
  * @param nextCall the number of the next platform call
- * @param wallClock the last wall clock time, for records that people read
- * @param compaction renewing the snapshot
- * @param peers what the other nodes have told of their tickets
+ * @param wallClock the latest wall clock time, used only for timestamps that people read
+ * @param compaction the progress in replacing the snapshot and deleting old tickets
+ * @param peers the ticket numbers that peers have reported
  */
 public record TicketState(TicketLog log, Synchronisation sync, PVector<Filing> filings,
 		PMap<Long, TicketCallPurpose> calls, long nextCall, Instant wallClock, Compaction compaction,
 		PeerTickets peers) {
 
 	/**
-	 * The state of a fresh node.
+	 * Creates the state of a node that has just started.
 	 * @return the state before the first event
 	 */
 	public static TicketState initial() {
--- a/src/main/java/sycamorehill/logic/ticket/TicketStep.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketStep.java
@@ -21,8 +21,7 @@
 import sycamorehill.model.policy.TicketPolicy;
 
 /**
- * One step under way: the state as changed so far and the effects gathered. It lives no
- * longer than the step.
+ * Holds the changed state and the collected effects while one event is handled.
  */
 final class TicketStep {
 
@@ -111,9 +110,9 @@
 	}
 
 	/**
-	 * Closes a call. An answer that comes twice finds the call closed and is dropped.
-	 * @param number the call
-	 * @return what it was made for, or null if it is not open
+	 * Closes a platform call. A duplicate answer finds its call closed and is dropped.
+	 * @param number the number of the call
+	 * @return the purpose of the call, or null if the call is not open
 	 */
 	TicketCallPurpose closeCall(long number) {
 		TicketCallPurpose purpose = this.state.calls().get(number);
--- a/src/main/java/sycamorehill/logic/ticket/TicketValidator.java
+++ b/src/main/java/sycamorehill/logic/ticket/TicketValidator.java
@@ -21,18 +21,19 @@
 import sycamorehill.model.ticket.WorkspaceItem;
 
 /**
- * Finds every fault of a ticket at once. It runs before acceptance only: an accepted
- * ticket is folded in by every node as it is, so that no node can refuse what another one
- * accepted.
+ * Finds all faults of a ticket in one pass. Tickets are validated only before they are
+ * accepted. Every node applies an accepted ticket without further checks, so that no node
+ * can reject what another node accepted.
  */
 public final class TicketValidator {
 
 	/**
-	 * The most changes in one ticket, so that it stays far below the object size limit.
+	 * The maximum number of changes in one ticket. It keeps a ticket far below the size
+	 * limit of a platform object.
 	 */
 	static final int MAXIMUM_CHANGES = 500;
 
-	/** The most bytes that the items of the truth may need in the snapshot. */
+	/** The maximum size in bytes of all items of the desired state in the snapshot. */
 	static final long MAXIMUM_STATE_BYTES = 850_000;
 
 	private final DesiredState desiredState;
@@ -48,10 +49,10 @@
 	}
 
 	/**
-	 * Checks a ticket against the truth that it would follow.
+	 * Validates a ticket against the desired state to which it would be applied.
 	 * @param draft the ticket
 	 * @param desiredState the desired state before the ticket
-	 * @return every fault found
+	 * @return all faults found
 	 */
 	public static ValidationResult validate(TicketDraft draft, DesiredState desiredState) {
 		TicketValidator validator = new TicketValidator(desiredState);
--- a/src/main/java/sycamorehill/logic/ticket/ValidationResult.java
+++ b/src/main/java/sycamorehill/logic/ticket/ValidationResult.java
@@ -5,10 +5,11 @@
 import sycamorehill.model.ticket.AppliedItem;
 
 /**
- * What is wrong with a ticket.
+ * The result of validating a ticket.
  *
- * @param faults every fault found, empty for a ticket that may be accepted
- * @param currentItems the present state of the items that another ticket has changed
+ * @param faults all faults found, empty for a valid ticket
+ * @param currentItems the current state of the items that another ticket has changed
+ * since the operator read them
  */
 public record ValidationResult(List<String> faults, List<AppliedItem> currentItems) {
 }
--- a/src/test/java/sycamorehill/logic/platform/CallBudgetTests.java
+++ b/src/test/java/sycamorehill/logic/platform/CallBudgetTests.java
@@ -10,7 +10,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * When the next platform call may be made.
+ * Tests when the next platform call is allowed.
  */
 class CallBudgetTests {
 
@@ -45,9 +45,8 @@
 
 	@Test
 	void nodesRetryAtDifferentTimes() {
-		// An hour's outage ends. If all nodes waited equally long after their
-		// failures, they would call in the same moment and the platform would
-		// throttle them all again.
+		// If all nodes waited equally long after an outage of an hour, they would call at
+		// the same moment and the platform would throttle them all again.
 		Map<Long, Integer> nodesBySecond = new HashMap<>();
 		for (int node = 0; node < 400; node++) {
 			nodesBySecond.merge(failed(budget(node), 12).notBefore().getEpochSecond(), 1, Integer::sum);
--- a/src/test/java/sycamorehill/logic/ticket/CompactionTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/CompactionTests.java
@@ -25,7 +25,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Snapshots, deletion of old tickets, and a platform that came back older.
+ * Tests snapshots, the deletion of old tickets, and a platform restored from an older
+ * backup.
  */
 class CompactionTests {
 
@@ -53,10 +54,10 @@
 
 	@Test
 	void nodeThatMissedDeletedTicketsFilesUnderTheNextFreeNumber() {
-		// A node is cut off from everything for long. Meanwhile the tickets that it
-		// lacks are filed and deleted behind a snapshot, so that its next number is
-		// free again in the platform. A create under that number would succeed, be
-		// called accepted, and be in force nowhere.
+		// While a node is partitioned, the tickets that it lacks are filed and deleted
+		// after a snapshot. Its next number is free again on the platform. A create
+		// under that number would succeed and be answered as accepted, but no node
+		// would apply the ticket.
 		startThree();
 		partitionNodeThreeAndFileTickets();
 		this.group.platformReachable("kumamoto", true);
@@ -68,10 +69,9 @@
 
 	@Test
 	void lateCreateUnderADeletedNumberIsNotApplied() {
-		// A create of a node that died is delivered by the network after its number
-		// was taken by another ticket and deleted again. A node that was cut off for
-		// long takes exactly that number next: it would put a ticket in force that
-		// was never accepted.
+		// A delayed create of a crashed node arrives after another ticket had used its
+		// number and was deleted. A node that was partitioned in the meantime expects
+		// this number next and would apply a ticket that was never accepted.
 		startThree();
 		partitionNodeThreeAndFileTickets();
 		TicketValue value = new TicketValue(new Ticket(1, this.group.now(), Drafts.service("ghost", "ghost", "1", 0)),
@@ -84,8 +84,8 @@
 
 	@Test
 	void nodesKeepTheirStateWhenThePlatformIsRestoredFromABackup() {
-		// The platform is restored from a backup that lacks the last tickets. A node that
-		// believed it would put old state in force again.
+		// The platform is restored from a backup that lacks the last tickets. A node
+		// that trusted it would revert to an older state.
 		startThree();
 		fileTickets(1, 5);
 		PlatformValue[] backup = { value(1), value(2), value(3) };
@@ -101,9 +101,9 @@
 
 	@Test
 	void ticketsLostByThePlatformKeepTheirNumbers() {
-		// After the restore of a backup the numbers of the lost tickets are free
-		// again. A filing that took one would be a second ticket of that number, in
-		// force only on new nodes.
+		// After a restore from a backup the numbers of the lost tickets are free again.
+		// A filing that used one would create a second ticket with that number, which
+		// only new nodes would apply.
 		startThree();
 		fileTickets(1, 5);
 		this.group.replacePlatform(FakePlatform.create(this.random));
--- a/src/test/java/sycamorehill/logic/ticket/FilingTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/FilingTests.java
@@ -15,7 +15,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Filing of tickets through several nodes.
+ * Tests the filing of tickets through several nodes.
  */
 class FilingTests {
 
@@ -32,8 +32,8 @@
 
 	@Test
 	void oneOfTwoConcurrentFilingsIsRefusedWithTheCurrentState() {
-		// Two operators change the same service through two nodes at the same moment.
-		// Without the conditional create both would hear "accepted" and one change
+		// Two operators change the same service through two nodes at the same time.
+		// Without the conditional create both filings would be accepted and one change
 		// would be lost.
 		startSix();
 		OperatorCallIdentifier one = this.group.file("node-1", Drafts.service("f1", "drafting", "1", 0));
--- a/src/test/java/sycamorehill/logic/ticket/SnapshotSizeTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/SnapshotSizeTests.java
@@ -17,7 +17,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The snapshot against the size limit of the platform's objects.
+ * Tests that a snapshot stays within the size limit of platform objects.
  */
 class SnapshotSizeTests {
 
@@ -25,9 +25,9 @@
 
 	@Test
 	void largestAcceptedStateFitsIntoOneObject() throws Exception {
-		// If the validator let the truth grow past what one object holds, no snapshot
-		// could be written any more: the log would grow for ever, and later tickets
-		// could never be refused for it, because they are accepted already.
+		// If the validator let the desired state grow beyond the size of one object, no
+		// snapshot could be written any more and the log would grow without bound. The
+		// tickets responsible could not be refused, as they are accepted already.
 		List<AppliedItem> items = new ArrayList<>();
 		long bytes = 0;
 		while (bytes <= TicketValidator.MAXIMUM_STATE_BYTES) {
--- a/src/test/java/sycamorehill/logic/ticket/TicketHistoryTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/TicketHistoryTests.java
@@ -19,10 +19,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Concurrent filers through six nodes in three data centres, while calls and answers are
- * lost, late and doubled, nodes pause and restart, data centres are cut off and the
- * platform goes away. More seeds: {@code -Dsycamorehill.seeds=N
- * -Dsycamorehill.firstSeed=M}.
+ * Tests that concurrent filings through six nodes in three data centres form one log,
+ * while calls and answers are lost, delayed and duplicated, nodes pause and restart, data
+ * centres are partitioned and the platform is unavailable. The system properties
+ * {@code -Dsycamorehill.seeds=N -Dsycamorehill.firstSeed=M} select other seeds.
  */
 class TicketHistoryTests {
 
@@ -50,7 +50,7 @@
 
 	@Test
 	void someConcurrentFilingsAreAccepted() {
-		// Histories in which nothing is accepted would pass every check.
+		// A history without any accepted filing would pass every other check.
 		assertThat(run(1).accepted()).isGreaterThan(20);
 	}
 
--- a/src/test/java/sycamorehill/logic/ticket/TicketLogTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/TicketLogTests.java
@@ -13,7 +13,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The truth in force and its history.
+ * Tests the current desired state and its history.
  */
 class TicketLogTests {
 
@@ -27,8 +27,8 @@
 
 	@Test
 	void lowerSnapshotIsIgnored() {
-		// A peer's whole truth has been under way for long and comes after later
-		// tickets. A node that took it would put old state in force again.
+		// A delayed snapshot of a peer arrives after later tickets. A node that adopted
+		// it would revert to an older state.
 		assertThat(AT_FIVE.adopt(new DesiredStateSnapshot(4, List.of(), 1, 0, List.of()), KEPT).number()).isEqualTo(5);
 	}
 
--- a/src/test/java/sycamorehill/logic/ticket/TicketReplicationTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/TicketReplicationTests.java
@@ -21,7 +21,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * How tickets reach the nodes, and what is known of it.
+ * Tests the replication of tickets to the nodes and the reported rollout status.
  */
 class TicketReplicationTests {
 
@@ -54,8 +54,8 @@
 
 	@Test
 	void nodeRequestsLostTicketsAfterAHeartbeat() {
-		// All pushes of a ticket are lost and a node that is no delegate has nobody
-		// to tell it: callers there would be served by the old state for good.
+		// All pushes of a ticket are lost. Without heartbeats, nodes that are not
+		// delegates would never receive it and would serve callers by the old state.
 		for (int index = 1; index <= 8; index++) {
 			this.group.start("node-" + index, "fukuoka");
 		}
@@ -123,9 +123,9 @@
 
 	@Test
 	void filingIsRefusedWhileAPeerHasATicketThatThePlatformLacks() {
-		// The platform came back empty and a restarted node has read it so. A peer
-		// tells of ticket 3 and can't give it yet. If the restarted node filed now, a
-		// second ticket 1 would be accepted.
+		// The platform was restored empty, and a restarted node has read it. A peer
+		// reports ticket 3 but has not sent it yet. If the restarted node created a
+		// ticket now, a second ticket 1 would be accepted.
 		this.group.start("node-1", "fukuoka");
 		this.group.runFor(Duration.ofSeconds(5));
 		NodeIdentity peer = new NodeIdentity(NodeIncarnation.of(NodeName.of("node-2"), 77), FUKUOKA,
--- a/src/test/java/sycamorehill/logic/ticket/TicketValidatorTests.java
+++ b/src/test/java/sycamorehill/logic/ticket/TicketValidatorTests.java
@@ -19,7 +19,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Faults of tickets.
+ * Tests which faults the validator finds in a ticket.
  */
 class TicketValidatorTests {
 
