--- a/src/main/java/sycamorehill/logic/RandomSequence.java
+++ b/src/main/java/sycamorehill/logic/RandomSequence.java
@@ -3,22 +3,23 @@
 import java.time.Duration;
 
 /**
- * Random numbers as a value: the same seed gives the same numbers (SplitMix64).
+ * An immutable position in a sequence of pseudo-random numbers (SplitMix64). The same
+ * seed yields the same numbers.
  *
- * @param position where the sequence stands
+ * @param position the state of the generator
  */
 public record RandomSequence(long position) {
 
-	private static final long STEP = 0x9E3779B97F4A7C15L;
+	private static final long INCREMENT = 0x9E3779B97F4A7C15L;
 
 	private static final long FIRST_FACTOR = 0xBF58476D1CE4E5B9L;
 
 	private static final long SECOND_FACTOR = 0x94D049BB133111EBL;
 
-	private static final double FRACTION = 0x1.0p-53;
+	private static final double FRACTION_UNIT = 0x1.0p-53;
 
 	/**
-	 * Creates the sequence of a seed.
+	 * Creates the sequence for a seed.
 	 * @param seed the seed
 	 * @return the sequence
 	 */
@@ -27,32 +28,32 @@
 	}
 
 	/**
-	 * The sequence after its present number.
-	 * @return the rest of the sequence
+	 * Advances to the next number.
+	 * @return the sequence positioned at the next number
 	 */
 	public RandomSequence next() {
-		return new RandomSequence(this.position + STEP);
+		return new RandomSequence(this.position + INCREMENT);
 	}
 
 	/**
-	 * The present number as a fraction.
-	 * @return from 0 to below 1
+	 * Returns the current number as a fraction.
+	 * @return a number from 0 (inclusive) to 1 (exclusive)
 	 */
 	public double fraction() {
-		long mixed = this.position + STEP;
+		long mixed = this.position + INCREMENT;
 		mixed = (mixed ^ (mixed >>> 30)) * FIRST_FACTOR;
 		mixed = (mixed ^ (mixed >>> 27)) * SECOND_FACTOR;
 		mixed = mixed ^ (mixed >>> 31);
-		return (mixed >>> 11) * FRACTION;
+		return (mixed >>> 11) * FRACTION_UNIT;
 	}
 
 	/**
-	 * A random duration between half of one and the whole.
-	 * @param longest the longest
+	 * Returns a random duration between half the maximum and the maximum.
+	 * @param maximum the longest duration
 	 * @return the duration
 	 */
-	public Duration jittered(Duration longest) {
-		return Duration.ofNanos((long) (longest.toNanos() * (0.5 + 0.5 * fraction())));
+	public Duration jittered(Duration maximum) {
+		return Duration.ofNanos((long) (maximum.toNanos() * (0.5 + 0.5 * fraction())));
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/platform/CallBudget.java
+++ b/src/main/java/sycamorehill/logic/platform/CallBudget.java
@@ -4,88 +4,89 @@
 import java.time.Instant;
 
 /**
- * When one part may make its next platform call of one kind: a rate with a burst, and
- * after failures an exponential backoff with full jitter.
+ * Limits the platform calls of one kind: a token bucket bounds their rate and burst, and
+ * after failures an exponential backoff with full jitter applies.
  *
  * <p>
- * Guards against the herd after an outage: without jitter all nodes would come back in
- * the same moment and throttle the platform again. The wait is drawn anew from the whole
- * range after each failure, so that the first calls after an outage spread over the
- * longest backoff.
+ * The jitter prevents a thundering herd after an outage: without it all nodes would retry
+ * at the same moment and the platform would throttle them again. After each failure the
+ * delay is drawn from the whole range, so that the first calls after an outage are spread
+ * over the maximum backoff.
  *
- * @param perSecond the most calls a second over time
- * @param burst how many calls may come at once
- * @param firstBackoff the longest wait after the first failure
- * @param longestBackoff the longest wait after many failures
- * @param credit calls that may be made at {@code creditAt}
- * @param creditAt when the credit was counted
- * @param notBefore the end of the present backoff
- * @param failures failures since the last success
- * @param randomState state of the generator of jitter
+ * @param perSecond the sustained maximum of calls per second
+ * @param burst the maximum number of calls at once
+ * @param firstBackoff the upper limit of the random delay after the first failure
+ * @param longestBackoff the upper limit of the random delay after any number of failures
+ * @param credit the number of calls that were available at {@code creditAt}
+ * @param creditAt the time at which the credit was computed
+ * @param notBefore the end of the current backoff
+ * @param failures the number of failures since the last success
+ * @param randomState the state of the jitter generator
  */
 public record CallBudget(double perSecond, double burst, Duration firstBackoff, Duration longestBackoff, double credit,
 		Instant creditAt, Instant notBefore, int failures, long randomState) {
 
-	private static final int MOST_DOUBLINGS = 20;
+	private static final int MAXIMUM_DOUBLINGS = 20;
 
 	private static final double NANOS_PER_SECOND = 1e9;
 
 	/**
-	 * Creates a budget with its whole burst free.
-	 * @param perSecond the most calls a second over time
-	 * @param burst how many calls may come at once
-	 * @param firstBackoff the longest wait after the first failure
-	 * @param longestBackoff the longest wait after many failures
-	 * @param seed feeds the jitter, different for each node
+	 * Creates a budget with the full burst available.
+	 * @param perSecond the sustained maximum of calls per second
+	 * @param burst the maximum number of calls at once
+	 * @param firstBackoff the upper limit of the random delay after the first failure
+	 * @param longestBackoff the upper limit of the random delay after any number of
+	 * failures
+	 * @param seed the seed of the jitter, different for each node
 	 * @return the budget
 	 */
 	public static CallBudget create(double perSecond, double burst, Duration firstBackoff, Duration longestBackoff,
 			long seed) {
 		return new CallBudget(perSecond, burst, firstBackoff, longestBackoff, burst, Instant.MIN, Instant.MIN, 0,
-				Jitter.next(seed));
+				Jitter.nextState(seed));
 	}
 
 	/**
-	 * Whether a call may be made.
-	 * @param now own monotonic time
-	 * @return whether rate and backoff allow it
+	 * Returns whether a call may be made.
+	 * @param now the monotonic time of this node
+	 * @return whether rate and backoff allow a call
 	 */
 	public boolean allows(Instant now) {
-		return !now.isBefore(this.notBefore) && creditAt(now) >= 1;
+		return !now.isBefore(this.notBefore) && availableCredit(now) >= 1;
 	}
 
 	/**
-	 * Counts a call.
-	 * @param now own monotonic time
+	 * Records a call.
+	 * @param now the monotonic time of this node
 	 * @return the budget after the call
 	 */
-	public CallBudget called(Instant now) {
-		return new CallBudget(this.perSecond, this.burst, this.firstBackoff, this.longestBackoff, creditAt(now) - 1,
-				now, this.notBefore, this.failures, this.randomState);
+	public CallBudget recordCall(Instant now) {
+		return new CallBudget(this.perSecond, this.burst, this.firstBackoff, this.longestBackoff,
+				availableCredit(now) - 1, now, this.notBefore, this.failures, this.randomState);
 	}
 
 	/**
-	 * Takes in that a call failed.
-	 * @param now own monotonic time
-	 * @param retryAfter the platform's own word on when to come back, zero for none
-	 * @return the budget with a longer backoff
+	 * Records a failed call.
+	 * @param now the monotonic time of this node
+	 * @param retryAfter the minimum delay that the platform asked for, zero for none
+	 * @return the budget with a new backoff
 	 */
-	public CallBudget failed(Instant now, Duration retryAfter) {
-		int doublings = Math.min(this.failures, MOST_DOUBLINGS);
+	public CallBudget recordFailure(Instant now, Duration retryAfter) {
+		int doublings = Math.min(this.failures, MAXIMUM_DOUBLINGS);
 		Duration range = this.firstBackoff.multipliedBy(1L << doublings);
-		Duration bounded = (range.compareTo(this.longestBackoff) < 0) ? range : this.longestBackoff;
-		long next = Jitter.next(this.randomState);
-		Duration wait = Jitter.within(bounded, next);
-		Instant end = now.plus((wait.compareTo(retryAfter) > 0) ? wait : retryAfter.plus(wait));
+		Duration boundedRange = (range.compareTo(this.longestBackoff) < 0) ? range : this.longestBackoff;
+		long nextState = Jitter.nextState(this.randomState);
+		Duration delay = Jitter.randomDuration(boundedRange, nextState);
+		Instant backoffEnd = now.plus((delay.compareTo(retryAfter) > 0) ? delay : retryAfter.plus(delay));
 		return new CallBudget(this.perSecond, this.burst, this.firstBackoff, this.longestBackoff, this.credit,
-				this.creditAt, end, this.failures + 1, next);
+				this.creditAt, backoffEnd, this.failures + 1, nextState);
 	}
 
 	/**
-	 * Takes in that a call succeeded.
+	 * Records a successful call.
 	 * @return the budget without backoff
 	 */
-	public CallBudget succeeded() {
+	public CallBudget recordSuccess() {
 		if (this.failures == 0) {
 			return this;
 		}
@@ -93,7 +94,7 @@
 				this.creditAt, Instant.MIN, 0, this.randomState);
 	}
 
-	private double creditAt(Instant now) {
+	private double availableCredit(Instant now) {
 		if (this.creditAt.equals(Instant.MIN)) {
 			return this.burst;
 		}
--- a/src/main/java/sycamorehill/logic/platform/Jitter.java
+++ b/src/main/java/sycamorehill/logic/platform/Jitter.java
@@ -3,37 +3,37 @@
 import java.time.Duration;
 
 /**
- * Random waits from a generator whose state is kept by the caller (SplitMix64).
+ * Computes random delays. The caller keeps the state of the generator (SplitMix64).
  */
 public final class Jitter {
 
 	private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
 
-	private static final double UNIT = 0x1.0p-53;
+	private static final double FRACTION_UNIT = 0x1.0p-53;
 
-	private static final int UNUSED_BITS = 11;
+	private static final int DISCARDED_BITS = 11;
 
 	private Jitter() {
 	}
 
 	/**
-	 * The generator's next state.
-	 * @param state the state
-	 * @return the state after it
+	 * Advances the generator.
+	 * @param state the current state
+	 * @return the next state
 	 */
-	public static long next(long state) {
+	public static long nextState(long state) {
 		return state + GOLDEN_GAMMA;
 	}
 
 	/**
-	 * A part of a range, drawn from a state.
-	 * @param range the whole range
-	 * @param state the generator's state
-	 * @return a wait from zero up to the range
+	 * Returns a random duration within a range.
+	 * @param range the upper bound
+	 * @param state the state of the generator
+	 * @return a duration from zero to the range
 	 */
-	public static Duration within(Duration range, long state) {
-		double part = (mix(state) >>> UNUSED_BITS) * UNIT;
-		return Duration.ofNanos((long) (range.toNanos() * part));
+	public static Duration randomDuration(Duration range, long state) {
+		double fraction = (mix(state) >>> DISCARDED_BITS) * FRACTION_UNIT;
+		return Duration.ofNanos((long) (range.toNanos() * fraction));
 	}
 
 	private static long mix(long state) {
--- a/src/main/java/sycamorehill/logic/quarantine/CrashDetection.java
+++ b/src/main/java/sycamorehill/logic/quarantine/CrashDetection.java
@@ -202,7 +202,7 @@
 			.members()
 			.stream()
 			.allMatch((member) -> step.view()
-				.sight(member)
+				.observation(member)
 				.filter((observation) -> observation.seenAt().isAfter(crash.since())
 						&& isServing(observation, crash.target()))
 				.isPresent());
--- a/src/main/java/sycamorehill/logic/ticket/Filing.java
+++ b/src/main/java/sycamorehill/logic/ticket/Filing.java
@@ -6,39 +6,40 @@
 import sycamorehill.model.ticket.TicketDraft;
 
 /**
- * A filing that waits for its outcome.
+ * A ticket submitted by an operator (a filing) that waits for its outcome.
  *
- * @param call the waiting operator
- * @param draft what is filed
- * @param mark identifies this writer in the ticket's object
- * @param number the number of the last create, 0 before the first
- * @param doubtful whether the create under {@code number} may have taken effect or may
- * still do so: then the filing must not be called refused
- * @param attempts creates so far
- * @param until when the filer has waited long enough
- * @param synchronisation the first synchronisation that begins after the filing's last
- * change: its result decides
+ * @param call the operator call that waits for the outcome
+ * @param draft the submitted ticket
+ * @param mark identifies the writer of the ticket object on the platform
+ * @param number the ticket number of the last create call, 0 before the first
+ * @param doubtful whether the create call for {@code number} may have taken effect or may
+ * still do so. Such a filing must not be answered as refused
+ * @param attempts the number of create calls so far
+ * @param until the time at which the filing is answered at the latest
+ * @param synchronisation the number of the first synchronisation that starts after the
+ * last change of the filing. Its result decides how the filing continues
  */
 public record Filing(OperatorCallIdentifier call, TicketDraft draft, String mark, long number, boolean doubtful,
 		int attempts, Instant until, long synchronisation) {
 
-	static Filing of(OperatorCallIdentifier call, TicketDraft draft, String mark, Instant until, long begun) {
-		return new Filing(call, draft, mark, 0, false, 0, until, begun + 1);
+	static Filing of(OperatorCallIdentifier call, TicketDraft draft, String mark, Instant until,
+			long synchronisationsBegun) {
+		return new Filing(call, draft, mark, 0, false, 0, until, synchronisationsBegun + 1);
 	}
 
-	Filing creating(long ticketNumber) {
+	Filing startCreate(long ticketNumber) {
 		return new Filing(this.call, this.draft, this.mark, ticketNumber, true, this.attempts + 1, this.until,
 				Long.MAX_VALUE);
 	}
 
-	Filing certain() {
+	Filing withoutDoubt() {
 		return new Filing(this.call, this.draft, this.mark, this.number, false, this.attempts, this.until,
 				this.synchronisation);
 	}
 
-	Filing after(long begun) {
+	Filing awaitSynchronisationAfter(long synchronisationsBegun) {
 		return new Filing(this.call, this.draft, this.mark, this.number, this.doubtful, this.attempts, this.until,
-				begun + 1);
+				synchronisationsBegun + 1);
 	}
 
 }
--- a/src/test/java/sycamorehill/logic/layout/FakeFleet.java
+++ b/src/test/java/sycamorehill/logic/layout/FakeFleet.java
@@ -262,7 +262,7 @@
 		}
 
 		void checkMembers(String head) {
-			Effects effects = Effects.begin();
+			Effects effects = Effects.create();
 			this.control.checkMembers(TargetName.of(head), FakeFleet.this.now, effects);
 			executeAll(effects);
 		}
@@ -276,7 +276,7 @@
 			if (!this.partitionedFromStore) {
 				this.directory.replaceAll(entries(), FakeFleet.this.now);
 			}
-			Effects effects = Effects.begin();
+			Effects effects = Effects.create();
 			this.control.tick(
 					new GroupController.NodeStatus(Optional.of(ServingSamples.configuration(1)),
 							(head, now) -> FakeFleet.this.requestsPerGroup, false, storeUnreachableForAll()),
@@ -297,7 +297,7 @@
 
 		private void executeAll(Effects effects) {
 			for (EntryEffect effect : effects.all()) {
-				Effects next = Effects.begin();
+				Effects next = Effects.create();
 				if (effect instanceof EntryEffect.SendCommand command) {
 					send(command, next);
 				}
