--- a/src/main/java/sycamorehill/experiment/ControlNode.java
+++ b/src/main/java/sycamorehill/experiment/ControlNode.java
@@ -101,7 +101,7 @@
 
 	@Override
 	public boolean delegate() {
-		return this.membership.delegate();
+		return this.membership.hasDelegateRole();
 	}
 
 	@Override
--- a/src/main/java/sycamorehill/logic/group/GroupPublicationState.java
+++ b/src/main/java/sycamorehill/logic/group/GroupPublicationState.java
@@ -25,7 +25,7 @@
 		long spreads, int lastSent, int factsLeft, SenderClocks clocks, PMap<NodeIncarnation, Long> passedOn) {
 
 	static GroupPublicationState initial() {
-		return new GroupPublicationState(HashTreePMap.empty(), Instant.MIN, 0, 0, 0, 0, SenderClocks.none(),
+		return new GroupPublicationState(HashTreePMap.empty(), Instant.MIN, 0, 0, 0, 0, SenderClocks.empty(),
 				HashTreePMap.empty());
 	}
 
--- a/src/main/java/sycamorehill/logic/group/GroupPublisher.java
+++ b/src/main/java/sycamorehill/logic/group/GroupPublisher.java
@@ -14,7 +14,7 @@
 
 import sycamorehill.logic.observation.Rendezvous;
 import sycamorehill.logic.observation.SenderClocks;
-import sycamorehill.logic.observation.Standing;
+import sycamorehill.logic.observation.StateHash;
 import sycamorehill.model.effect.PeerEffect;
 import sycamorehill.model.group.Allocation;
 import sycamorehill.model.group.Fleet;
@@ -122,7 +122,7 @@
 			.toList();
 		return new GroupsSent(step.view().self().dataCentre(), step.view().self().incarnation(),
 				step.state().spread().round(), step.now().toEpochMilli(), step.state().allocation().version(),
-				Standing.of(fleet.entries().values()), columns, facts);
+				StateHash.of(fleet.entries().values()), columns, facts);
 	}
 
 	private static void sendToRemoteDataCentres(GroupStep step, GroupsSent message) {
@@ -143,7 +143,7 @@
 
 	static void handleMessage(GroupStep step, NodeIdentity from, GroupsSent message) {
 		GroupPublicationState publication = step.state().spread();
-		SenderClocks clocks = publication.clocks().received(from.incarnation(), step.now(), message.sentAt());
+		SenderClocks clocks = publication.clocks().withMessage(from.incarnation(), step.now(), message.sentAt());
 		long delay = clocks.delay(from.incarnation(), step.now(), message.sentAt());
 		Instant sentAt = step.now().minusMillis(delay);
 		PublishedGroups known = publication.groups().getOrDefault(message.dataCentre(), PublishedGroups.none());
@@ -185,7 +185,7 @@
 	private static void forward(GroupStep step, GroupsSent message) {
 		int fanOut = step.view().policy().observation().relayFanOut();
 		List<NodeIdentity> order = new ArrayList<>();
-		for (LiveNode node : Rendezvous.order(step.view().liveNodes().notStoppingIn(step.view().self().dataCentre()),
+		for (LiveNode node : Rendezvous.rank(step.view().liveNodes().notStoppingIn(step.view().self().dataCentre()),
 				message.root().toString())) {
 			if (!node.identity().incarnation().equals(message.root())) {
 				order.add(node.identity());
--- a/src/main/java/sycamorehill/logic/membership/DataCentreView.java
+++ b/src/main/java/sycamorehill/logic/membership/DataCentreView.java
@@ -38,7 +38,7 @@
 	 * Whether a delegate has ever given its word.
 	 * @return whether the members mean anything
 	 */
-	boolean known() {
+	boolean isConfirmed() {
 		return !this.vouchedAt.equals(Instant.MIN);
 	}
 
@@ -63,7 +63,7 @@
 				this.pushed, this.pushedHash, this.steps);
 	}
 
-	DataCentreView replaced(List<MemberEntry> entries) {
+	DataCentreView withMembers(List<MemberEntry> entries) {
 		DataCentreView view = new DataCentreView(TreePMap.empty(), 0, this.vouchedAt, this.askedAt, this.pushed,
 				this.pushedHash, this.steps);
 		for (MemberEntry entry : entries) {
@@ -72,21 +72,21 @@
 		return view;
 	}
 
-	DataCentreView vouched(Instant time) {
+	DataCentreView withConfirmation(Instant time) {
 		return new DataCentreView(this.members, this.hash, time, this.askedAt, this.pushed, this.pushedHash, 0);
 	}
 
-	DataCentreView asked(Instant time) {
+	DataCentreView withAskedAt(Instant time) {
 		return new DataCentreView(this.members, this.hash, this.vouchedAt, time, this.pushed, this.pushedHash,
 				this.steps);
 	}
 
-	DataCentreView stepped() {
+	DataCentreView withDelegatesSkipped() {
 		return new DataCentreView(this.members, this.hash, this.vouchedAt, this.askedAt, this.pushed, this.pushedHash,
 				this.steps + 1);
 	}
 
-	DataCentreView afterPush() {
+	DataCentreView withPushed() {
 		return new DataCentreView(this.members, this.hash, this.vouchedAt, this.askedAt, this.members, this.hash,
 				this.steps);
 	}
@@ -96,7 +96,7 @@
 	 * @param dataCentre the name of this data centre
 	 * @return the change from the pushed to the present members
 	 */
-	MembersChanged change(DataCentreName dataCentre) {
+	MembersChanged changeSincePush(DataCentreName dataCentre) {
 		List<MemberEntry> present = new ArrayList<>();
 		List<NodeName> gone = new ArrayList<>();
 		for (Map.Entry<NodeName, MemberEntry> entry : this.members.entrySet()) {
--- a/src/main/java/sycamorehill/logic/membership/DelegateWord.java
+++ b/src/main/java/sycamorehill/logic/membership/DelegateReport.java
@@ -11,12 +11,12 @@
  * @param heardAt own monotonic time of its word
  * @param unheard members that it has not heard itself
  */
-record DelegateWord(Instant heardAt, Set<NodeName> unheard) {
+record DelegateReport(Instant heardAt, Set<NodeName> unheard) {
 
 	/**
 	 * Takes a copy of the set.
 	 */
-	DelegateWord {
+	DelegateReport {
 		unheard = Set.copyOf(unheard);
 	}
 
--- a/src/main/java/sycamorehill/logic/membership/DirectContact.java
+++ b/src/main/java/sycamorehill/logic/membership/DirectContact.java
@@ -25,9 +25,9 @@
 	 * @param missedHeartbeats so many missed heartbeats are too many
 	 * @return whether it is to be taken for dead
 	 */
-	boolean silent(Instant now, int missedHeartbeats) {
-		Duration bound = this.interval.multipliedBy(missedHeartbeats).plus(this.interval.dividedBy(2));
-		return this.heardAt.plus(bound).isBefore(now);
+	boolean isSilent(Instant now, int missedHeartbeats) {
+		Duration timeout = this.interval.multipliedBy(missedHeartbeats).plus(this.interval.dividedBy(2));
+		return this.heardAt.plus(timeout).isBefore(now);
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/membership/Heartbeats.java
+++ b/src/main/java/sycamorehill/logic/membership/Heartbeats.java
@@ -26,72 +26,75 @@
 	private Heartbeats() {
 	}
 
-	static void beat(MembershipTurn turn) {
-		turn.set(turn.state()
-			.withTimers(turn.state().timers().beaten(turn.now().plus(turn.interval()), turn.ticketNumber())));
-		for (LiveNode delegate : delegates(turn, turn.ownDataCentre())) {
-			turn.send(delegate.identity(), turn.delegate() ? word(turn, delegate.identity()) : question(turn));
+	static void sendAll(MembershipStep step) {
+		step.set(step.state()
+			.withTimers(step.state()
+				.timers()
+				.withHeartbeatsSent(step.now().plus(step.heartbeatInterval()), step.ticketNumber())));
+		for (LiveNode delegate : otherDelegates(step, step.ownDataCentre())) {
+			step.send(delegate.identity(),
+					step.isDelegate() ? heartbeatWithReport(step, delegate.identity()) : heartbeatWithRequest(step));
 		}
-		if (turn.delegate()) {
-			beatAcross(turn);
+		if (step.isDelegate()) {
+			sendToOtherDataCentres(step);
 		}
-		probe(turn);
+		probe(step);
 	}
 
-	static void reply(MembershipTurn turn, NodeIdentity to) {
-		turn.send(to, word(turn, to));
+	static void reply(MembershipStep step, NodeIdentity to) {
+		step.send(to, heartbeatWithReport(step, to));
 	}
 
 	/**
 	 * The delegates of a data centre without this node.
-	 * @param turn the step under way
+	 * @param step the step under way
 	 * @param dataCentre the data centre
 	 * @return the delegates as this node sees them now
 	 */
-	static List<LiveNode> delegates(MembershipTurn turn, DataCentreName dataCentre) {
-		LiveNodes nodes = turn.state().liveNodes();
-		return Delegates.of(nodes.notStoppingIn(dataCentre), turn.policy().delegates())
+	static List<LiveNode> otherDelegates(MembershipStep step, DataCentreName dataCentre) {
+		LiveNodes nodes = step.state().liveNodes();
+		return Delegates.of(nodes.notStoppingIn(dataCentre), step.policy().delegates())
 			.stream()
-			.filter((node) -> !node.identity().equals(turn.self()))
+			.filter((node) -> !node.identity().equals(step.self()))
 			.toList();
 	}
 
-	static int ageMillis(MembershipTurn turn, DataCentreName dataCentre, DataCentreView view) {
-		if (turn.delegate() && dataCentre.equals(turn.ownDataCentre())) {
+	static int confirmationAgeMillis(MembershipStep step, DataCentreName dataCentre, DataCentreView view) {
+		if (step.isDelegate() && dataCentre.equals(step.ownDataCentre())) {
 			return 0;
 		}
-		long age = Duration.between(view.vouchedAt(), turn.now()).toMillis();
+		long age = Duration.between(view.vouchedAt(), step.now()).toMillis();
 		return (int) Math.max(1, Math.min(Integer.MAX_VALUE, age));
 	}
 
-	private static void beatAcross(MembershipTurn turn) {
-		for (DataCentreName dataCentre : turn.sightings().views().keySet()) {
-			if (!dataCentre.equals(turn.ownDataCentre())) {
-				for (LiveNode delegate : delegates(turn, dataCentre)) {
-					turn.send(delegate.identity(), word(turn, delegate.identity()));
+	private static void sendToOtherDataCentres(MembershipStep step) {
+		for (DataCentreName dataCentre : step.observations().views().keySet()) {
+			if (!dataCentre.equals(step.ownDataCentre())) {
+				for (LiveNode delegate : otherDelegates(step, dataCentre)) {
+					step.send(delegate.identity(), heartbeatWithReport(step, delegate.identity()));
 				}
 			}
 		}
 	}
 
-	private static void probe(MembershipTurn turn) {
-		boolean alone = turn.state().liveNodes().nodes().size() <= 1;
-		List<NodeIdentity> silent = silentContacts(turn);
-		int probes = Math.min(silent.size(), alone ? PROBES_WHEN_ALONE : 1);
+	private static void probe(MembershipStep step) {
+		boolean alone = step.state().liveNodes().nodes().size() <= 1;
+		List<NodeIdentity> contacts = contactsToProbe(step);
+		int probes = Math.min(contacts.size(), alone ? PROBES_WHEN_ALONE : 1);
 		for (int index = 0; index < probes; index++) {
-			NodeIdentity contact = silent.get(index);
-			turn.send(contact, question(turn));
-			turn.set(turn.state().withTimers(turn.state().timers().probed(contact.incarnation().node())));
+			NodeIdentity contact = contacts.get(index);
+			step.send(contact, heartbeatWithRequest(step));
+			step.set(step.state().withTimers(step.state().timers().withLastProbe(contact.incarnation().node())));
 		}
 	}
 
 	// The known nodes that are not alive, beginning behind the one that was probed last.
-	private static List<NodeIdentity> silentContacts(MembershipTurn turn) {
-		Map<NodeName, LiveNode> live = turn.state().liveNodes().nodes();
-		NodeName last = turn.state().timers().lastProbe();
+	private static List<NodeIdentity> contactsToProbe(MembershipStep step) {
+		Map<NodeName, LiveNode> live = step.state().liveNodes().nodes();
+		NodeName last = step.state().timers().lastProbe();
 		List<NodeIdentity> later = new ArrayList<>();
 		List<NodeIdentity> earlier = new ArrayList<>();
-		for (Map.Entry<NodeName, NodeIdentity> entry : turn.sightings().contacts().entrySet()) {
+		for (Map.Entry<NodeName, NodeIdentity> entry : step.observations().contacts().entrySet()) {
 			if (!live.containsKey(entry.getKey())) {
 				((entry.getKey().compareTo(last) > 0) ? later : earlier).add(entry.getValue());
 			}
@@ -100,49 +103,49 @@
 		return later;
 	}
 
-	private static Heartbeat question(MembershipTurn turn) {
-		return new Heartbeat(turn.state().stopping(), turn.ticketNumber(), (int) turn.interval().toMillis(), true,
-				turn.sightings().hash(), List.of(), List.of(), List.of());
+	private static Heartbeat heartbeatWithRequest(MembershipStep step) {
+		return new Heartbeat(step.state().stopping(), step.ticketNumber(), (int) step.heartbeatInterval().toMillis(),
+				true, step.observations().hash(), List.of(), List.of(), List.of());
 	}
 
 	// What this node knows: in full only for a receiver that last showed another hash.
-	private static Heartbeat word(MembershipTurn turn, NodeIdentity to) {
-		long hash = turn.sightings().hash();
-		DirectContact contact = turn.sightings().direct().get(to.incarnation().node());
+	private static Heartbeat heartbeatWithReport(MembershipStep step, NodeIdentity to) {
+		long hash = step.observations().hash();
+		DirectContact contact = step.observations().direct().get(to.incarnation().node());
 		boolean same = contact != null && contact.viewHash() == hash;
 		List<Integer> ages = new ArrayList<>();
-		List<DataCentreConfirmation> vouches = new ArrayList<>();
-		for (Map.Entry<DataCentreName, DataCentreView> entry : turn.sightings().known().entrySet()) {
-			int age = ageMillis(turn, entry.getKey(), entry.getValue());
+		List<DataCentreConfirmation> confirmations = new ArrayList<>();
+		for (Map.Entry<DataCentreName, DataCentreView> entry : step.observations().confirmedViews().entrySet()) {
+			int age = confirmationAgeMillis(step, entry.getKey(), entry.getValue());
 			ages.add(age);
-			vouches.add(new DataCentreConfirmation(entry.getKey(), entry.getValue().hash(), age));
+			confirmations.add(new DataCentreConfirmation(entry.getKey(), entry.getValue().hash(), age));
 		}
-		boolean betweenDelegates = turn.delegate() && to.dataCentre().equals(turn.ownDataCentre());
-		return new Heartbeat(turn.state().stopping(), turn.ticketNumber(), (int) turn.interval().toMillis(), false,
-				hash, same ? ages : List.of(), betweenDelegates ? unheard(turn) : List.of(),
-				same ? List.of() : vouches);
+		boolean betweenDelegates = step.isDelegate() && to.dataCentre().equals(step.ownDataCentre());
+		return new Heartbeat(step.state().stopping(), step.ticketNumber(), (int) step.heartbeatInterval().toMillis(),
+				false, hash, same ? ages : List.of(), betweenDelegates ? membersWithoutHeartbeat(step) : List.of(),
+				same ? List.of() : confirmations);
 	}
 
-	private static List<NodeName> unheard(MembershipTurn turn) {
+	private static List<NodeName> membersWithoutHeartbeat(MembershipStep step) {
 		List<NodeName> names = new ArrayList<>();
-		for (NodeName name : turn.ownView().members().keySet()) {
-			if (!heard(turn, name)) {
+		for (NodeName name : step.ownView().members().keySet()) {
+			if (!hasRecentHeartbeat(step, name)) {
 				names.add(name);
 			}
 		}
 		return names;
 	}
 
-	static boolean heard(MembershipTurn turn, NodeName name) {
-		if (name.equals(turn.self().incarnation().node())) {
+	static boolean hasRecentHeartbeat(MembershipStep step, NodeName name) {
+		if (name.equals(step.self().incarnation().node())) {
 			return true;
 		}
-		DirectContact contact = turn.sightings().direct().get(name);
-		return contact != null && !silent(turn, contact, turn.now());
+		DirectContact contact = step.observations().direct().get(name);
+		return contact != null && !isSilent(step, contact, step.now());
 	}
 
-	static boolean silent(MembershipTurn turn, DirectContact contact, Instant now) {
-		return contact.silent(now, turn.policy().missedHeartbeats());
+	static boolean isSilent(MembershipStep step, DirectContact contact, Instant now) {
+		return contact.isSilent(now, step.policy().missedHeartbeats());
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/membership/Liveness.java
+++ b/src/main/java/sycamorehill/logic/membership/Liveness.java
@@ -26,57 +26,57 @@
 
 	private static final Duration PUSH_INTERVAL = Duration.ofSeconds(1);
 
-	private static final Duration LOST_KEPT = Duration.ofMinutes(10);
+	private static final Duration LOST_NODE_RETENTION = Duration.ofMinutes(10);
 
-	private static final Duration LONGEST_UNDRAWN = Duration.ofSeconds(10);
+	private static final Duration MAXIMUM_REFRESH_INTERVAL = Duration.ofSeconds(10);
 
 	private static final long STOPPING_FACTOR = 31;
 
-	private static final int MOST_STEPS = 2;
+	private static final int MAXIMUM_DELEGATE_SKIPS = 2;
 
-	private static final int FORGOTTEN_AFTER_BOUNDS = 20;
+	private static final int CONTACT_RETENTION_INTERVALS = 20;
 
 	private Liveness() {
 	}
 
-	static void ticked(MembershipTurn turn) {
-		if (turn.now().isBefore(turn.state().timers().nextPush())) {
+	static void handleTick(MembershipStep step) {
+		if (step.now().isBefore(step.state().timers().nextPush())) {
 			return;
 		}
-		turn.set(turn.state().withTimers(turn.state().timers().pushed(turn.now().plus(PUSH_INTERVAL))));
-		if (turn.delegate()) {
-			dropSilentMembers(turn);
+		step.set(step.state().withTimers(step.state().timers().withNextPush(step.now().plus(PUSH_INTERVAL))));
+		if (step.isDelegate()) {
+			removeSilentMembers(step);
 		}
 		else {
-			passOverSilentDelegates(turn);
+			skipSilentDelegates(step);
 		}
-		dropSilentDataCentres(turn);
-		forgetSilentContacts(turn);
-		refreshIfChanged(turn);
-		if (turn.delegate()) {
-			push(turn);
-			ForceSteps.measure(turn);
+		removeSilentDataCentres(step);
+		removeSilentContacts(step);
+		refreshIfChanged(step);
+		if (step.isDelegate()) {
+			pushChanges(step);
+			RolloutQueryHandler.recordProgress(step);
 		}
 	}
 
 	// Drawing anew costs as much as there are nodes: once a second it would be the
 	// largest part of this reducer's processor time.
-	private static void refreshIfChanged(MembershipTurn turn) {
-		MembershipTimers timers = turn.state().timers();
-		long from = signature(turn);
-		if (from != timers.drawnFrom() || !timers.drawnAt().plus(LONGEST_UNDRAWN).isAfter(turn.now())) {
-			refresh(turn);
-			turn.set(turn.state().withTimers(turn.state().timers().drawn(from, turn.now())));
+	private static void refreshIfChanged(MembershipStep step) {
+		MembershipTimers timers = step.state().timers();
+		long from = signature(step);
+		if (from != timers.drawnFrom() || !timers.drawnAt().plus(MAXIMUM_REFRESH_INTERVAL).isAfter(step.now())) {
+			refresh(step);
+			step.set(step.state().withTimers(step.state().timers().withLiveNodesRefreshed(from, step.now())));
 		}
 	}
 
-	private static long signature(MembershipTurn turn) {
-		long signature = turn.state().stopping() ? 1 : 0;
-		for (DataCentreView view : turn.sightings().views().values()) {
+	private static long signature(MembershipStep step) {
+		long signature = step.state().stopping() ? 1 : 0;
+		for (DataCentreView view : step.observations().views().values()) {
 			signature ^= view.hash();
 		}
-		for (DirectContact contact : turn.sightings().direct().values()) {
-			if (!Heartbeats.silent(turn, contact, turn.now())) {
+		for (DirectContact contact : step.observations().direct().values()) {
+			if (!Heartbeats.isSilent(step, contact, step.now())) {
 				signature += contact.identity().incarnation().hashCode() * (contact.stopping() ? STOPPING_FACTOR : 1L);
 			}
 		}
@@ -85,154 +85,156 @@
 
 	/**
 	 * Draws the live nodes anew and sees whether this node is a delegate.
-	 * @param turn the step under way
+	 * @param step the step under way
 	 */
-	static void refresh(MembershipTurn turn) {
+	static void refresh(MembershipStep step) {
 		PMap<NodeName, LiveNode> nodes = TreePMap.empty();
-		for (DataCentreView view : turn.sightings().views().values()) {
+		for (DataCentreView view : step.observations().views().values()) {
 			for (Map.Entry<NodeName, MemberEntry> entry : view.members().entrySet()) {
 				MemberEntry member = entry.getValue();
 				nodes = nodes.plus(entry.getKey(),
 						new LiveNode(member.identity(), member.stopping(), view.vouchedAt()));
 			}
 		}
-		for (Map.Entry<NodeName, DirectContact> entry : turn.sightings().direct().entrySet()) {
+		for (Map.Entry<NodeName, DirectContact> entry : step.observations().direct().entrySet()) {
 			DirectContact contact = entry.getValue();
-			if (!Heartbeats.silent(turn, contact, turn.now())) {
+			if (!Heartbeats.isSilent(step, contact, step.now())) {
 				nodes = nodes.plus(entry.getKey(),
 						new LiveNode(contact.identity(), contact.stopping(), contact.heardAt()));
 			}
 		}
-		NodeIdentity self = turn.self();
-		nodes = nodes.plus(self.incarnation().node(), new LiveNode(self, turn.state().stopping(), turn.now()));
-		turn.set(turn.state().withLiveNodes(new LiveNodes(nodes)));
-		takeOrLeaveDuty(turn);
+		NodeIdentity self = step.self();
+		nodes = nodes.plus(self.incarnation().node(), new LiveNode(self, step.state().stopping(), step.now()));
+		step.set(step.state().withLiveNodes(new LiveNodes(nodes)));
+		updateDelegateRole(step);
 	}
 
-	private static void takeOrLeaveDuty(MembershipTurn turn) {
-		boolean chosen = Delegates
-			.of(turn.state().liveNodes().notStoppingIn(turn.ownDataCentre()), turn.policy().delegates())
+	private static void updateDelegateRole(MembershipStep step) {
+		boolean selected = Delegates
+			.of(step.state().liveNodes().notStoppingIn(step.ownDataCentre()), step.policy().delegates())
 			.stream()
-			.anyMatch((node) -> node.identity().equals(turn.self()));
+			.anyMatch((node) -> node.identity().equals(step.self()));
 		// A stopping delegate without a successor goes on, or nobody would hear its data
 		// centre.
-		boolean last = turn.state().stopping() && turn.delegate()
-				&& turn.state().liveNodes().notStoppingIn(turn.ownDataCentre()).isEmpty();
-		if ((chosen || last) == turn.delegate()) {
+		boolean lastDelegate = step.state().stopping() && step.isDelegate()
+				&& step.state().liveNodes().notStoppingIn(step.ownDataCentre()).isEmpty();
+		if ((selected || lastDelegate) == step.isDelegate()) {
 			return;
 		}
-		if (!chosen) {
-			turn.set(turn.sightings().delegateSince(Instant.MIN));
+		if (!selected) {
+			step.set(step.observations().withDelegateSince(Instant.MIN));
 			return;
 		}
-		Sightings sightings = turn.sightings().delegateSince(turn.now());
-		for (Map.Entry<DataCentreName, DataCentreView> entry : turn.sightings().views().entrySet()) {
-			sightings = sightings.withView(entry.getKey(), entry.getValue().afterPush());
-		}
-		turn.set(sightings);
-		DataCentreView view = turn.ownView();
-		DataCentreView grown = view.with(new MemberEntry(turn.self(), turn.state().stopping(), true));
-		for (DirectContact contact : turn.sightings().direct().values()) {
-			if (contact.identity().dataCentre().equals(turn.ownDataCentre())
-					&& !Heartbeats.silent(turn, contact, turn.now())) {
-				grown = grown.with(new MemberEntry(contact.identity(), contact.stopping(), true));
+		PeerObservations observations = step.observations().withDelegateSince(step.now());
+		for (Map.Entry<DataCentreName, DataCentreView> entry : step.observations().views().entrySet()) {
+			observations = observations.withView(entry.getKey(), entry.getValue().withPushed());
+		}
+		step.set(observations);
+		DataCentreView view = step.ownView();
+		DataCentreView extended = view.with(new MemberEntry(step.self(), step.state().stopping(), true));
+		for (DirectContact contact : step.observations().direct().values()) {
+			if (contact.identity().dataCentre().equals(step.ownDataCentre())
+					&& !Heartbeats.isSilent(step, contact, step.now())) {
+				extended = extended.with(new MemberEntry(contact.identity(), contact.stopping(), true));
 			}
 		}
-		turn.set(turn.sightings().withView(turn.ownDataCentre(), grown.vouched(turn.now())));
+		step.set(step.observations().withView(step.ownDataCentre(), extended.withConfirmation(step.now())));
 	}
 
-	private static void dropSilentMembers(MembershipTurn turn) {
-		DataCentreView before = turn.ownView();
-		DataCentreView view = before.with(new MemberEntry(turn.self(), turn.state().stopping(), true))
-			.vouched(turn.now());
-		Duration bound = turn.bound();
-		boolean grace = turn.sightings().delegateSince().plus(bound).isAfter(turn.now());
-		PMap<NodeName, Instant> lost = turn.progress().lost();
+	private static void removeSilentMembers(MembershipStep step) {
+		DataCentreView before = step.ownView();
+		DataCentreView view = before.with(new MemberEntry(step.self(), step.state().stopping(), true))
+			.withConfirmation(step.now());
+		Duration timeout = step.silenceTimeout();
+		boolean inGracePeriod = step.observations().delegateSince().plus(timeout).isAfter(step.now());
+		PMap<NodeName, Instant> lost = step.progress().lost();
 		for (NodeName name : before.members().keySet()) {
-			if (!grace && !Heartbeats.heard(turn, name) && !heardByOthers(turn, name, bound)) {
+			if (!inGracePeriod && !Heartbeats.hasRecentHeartbeat(step, name)
+					&& !hasHeartbeatAtOtherDelegate(step, name, timeout)) {
 				view = view.without(name);
-				lost = lost.plus(name, turn.now());
+				lost = lost.plus(name, step.now());
 			}
 		}
 		for (Map.Entry<NodeName, Instant> entry : lost.entrySet()) {
-			boolean back = view.members().containsKey(entry.getKey());
-			if (back || entry.getValue().plus(LOST_KEPT).isBefore(turn.now())) {
+			boolean rejoined = view.members().containsKey(entry.getKey());
+			if (rejoined || entry.getValue().plus(LOST_NODE_RETENTION).isBefore(step.now())) {
 				lost = lost.minus(entry.getKey());
 			}
 		}
-		turn.set(turn.progress().withLost(lost));
-		Hearing.set(turn, turn.ownDataCentre(), before, view);
+		step.set(step.progress().withLost(lost));
+		MembershipMessageHandler.replaceView(step, step.ownDataCentre(), before, view);
 	}
 
-	private static boolean heardByOthers(MembershipTurn turn, NodeName name, Duration bound) {
-		return turn.sightings()
+	private static boolean hasHeartbeatAtOtherDelegate(MembershipStep step, NodeName name, Duration timeout) {
+		return step.observations()
 			.words()
 			.values()
 			.stream()
-			.anyMatch((word) -> word.heardAt().plus(bound).isAfter(turn.now()) && !word.unheard().contains(name));
+			.anyMatch(
+					(report) -> report.heardAt().plus(timeout).isAfter(step.now()) && !report.unheard().contains(name));
 	}
 
 	// A node that hears no delegate any more turns to those that come next, and in
 	// the end counts on nobody that it doesn't hear itself.
-	private static void passOverSilentDelegates(MembershipTurn turn) {
-		DataCentreView view = turn.ownView();
-		Instant due = view.vouchedAt().plus(turn.bound().multipliedBy(view.steps() + 1L));
-		if (view.members().isEmpty() || turn.now().isBefore(due)) {
+	private static void skipSilentDelegates(MembershipStep step) {
+		DataCentreView view = step.ownView();
+		Instant due = view.vouchedAt().plus(step.silenceTimeout().multipliedBy(view.steps() + 1L));
+		if (view.members().isEmpty() || step.now().isBefore(due)) {
 			return;
 		}
-		DataCentreView next = view.stepped();
-		if (view.steps() >= MOST_STEPS) {
-			next = next.replaced(List.of());
+		DataCentreView next = view.withDelegatesSkipped();
+		if (view.steps() >= MAXIMUM_DELEGATE_SKIPS) {
+			next = next.withMembers(List.of());
 		}
 		else {
-			for (LiveNode delegate : Heartbeats.delegates(turn, turn.ownDataCentre())) {
+			for (LiveNode delegate : Heartbeats.otherDelegates(step, step.ownDataCentre())) {
 				next = next.without(delegate.identity().incarnation().node());
 			}
 		}
-		Hearing.set(turn, turn.ownDataCentre(), view, next);
+		MembershipMessageHandler.replaceView(step, step.ownDataCentre(), view, next);
 	}
 
-	private static void dropSilentDataCentres(MembershipTurn turn) {
-		Duration bound = turn.bound().multipliedBy(2);
-		for (Map.Entry<DataCentreName, DataCentreView> entry : turn.sightings().views().entrySet()) {
+	private static void removeSilentDataCentres(MembershipStep step) {
+		Duration timeout = step.silenceTimeout().multipliedBy(2);
+		for (Map.Entry<DataCentreName, DataCentreView> entry : step.observations().views().entrySet()) {
 			DataCentreView view = entry.getValue();
-			boolean own = entry.getKey().equals(turn.ownDataCentre());
-			if (!own && !view.members().isEmpty() && view.vouchedAt().plus(bound).isBefore(turn.now())) {
-				Hearing.set(turn, entry.getKey(), view, view.replaced(List.of()));
+			boolean own = entry.getKey().equals(step.ownDataCentre());
+			if (!own && !view.members().isEmpty() && view.vouchedAt().plus(timeout).isBefore(step.now())) {
+				MembershipMessageHandler.replaceView(step, entry.getKey(), view, view.withMembers(List.of()));
 			}
 		}
 	}
 
-	private static void forgetSilentContacts(MembershipTurn turn) {
-		PMap<NodeName, DirectContact> direct = turn.sightings().direct();
-		for (DirectContact contact : turn.sightings().direct().values()) {
-			Duration bound = contact.interval().multipliedBy(FORGOTTEN_AFTER_BOUNDS);
-			if (contact.heardAt().plus(bound).isBefore(turn.now())) {
+	private static void removeSilentContacts(MembershipStep step) {
+		PMap<NodeName, DirectContact> direct = step.observations().direct();
+		for (DirectContact contact : step.observations().direct().values()) {
+			Duration timeout = contact.interval().multipliedBy(CONTACT_RETENTION_INTERVALS);
+			if (contact.heardAt().plus(timeout).isBefore(step.now())) {
 				direct = direct.minus(contact.identity().incarnation().node());
 			}
 		}
-		turn.set(turn.sightings().withDirect(direct));
+		step.set(step.observations().withDirect(direct));
 	}
 
-	private static void push(MembershipTurn turn) {
-		for (Map.Entry<DataCentreName, DataCentreView> entry : turn.sightings().views().entrySet()) {
+	private static void pushChanges(MembershipStep step) {
+		for (Map.Entry<DataCentreName, DataCentreView> entry : step.observations().views().entrySet()) {
 			DataCentreView view = entry.getValue();
 			if (view.hash() != view.pushedHash()) {
-				MembersChanged change = view.change(entry.getKey());
-				receivers(turn, entry.getKey()).forEach((node) -> turn.send(node.identity(), change));
-				turn.set(turn.sightings().withView(entry.getKey(), view.afterPush()));
+				MembersChanged change = view.changeSincePush(entry.getKey());
+				receivers(step, entry.getKey()).forEach((node) -> step.send(node.identity(), change));
+				step.set(step.observations().withView(entry.getKey(), view.withPushed()));
 			}
 		}
 	}
 
-	private static List<LiveNode> receivers(MembershipTurn turn, DataCentreName changed) {
-		DataCentreName own = turn.ownDataCentre();
-		List<LiveNode> receivers = new ArrayList<>(turn.state().liveNodes().in(own));
-		receivers.removeIf((node) -> node.identity().equals(turn.self()));
+	private static List<LiveNode> receivers(MembershipStep step, DataCentreName changed) {
+		DataCentreName own = step.ownDataCentre();
+		List<LiveNode> receivers = new ArrayList<>(step.state().liveNodes().in(own));
+		receivers.removeIf((node) -> node.identity().equals(step.self()));
 		if (changed.equals(own)) {
-			for (DataCentreName other : turn.sightings().views().keySet()) {
+			for (DataCentreName other : step.observations().views().keySet()) {
 				if (!other.equals(own)) {
-					receivers.addAll(Heartbeats.delegates(turn, other));
+					receivers.addAll(Heartbeats.otherDelegates(step, other));
 				}
 			}
 		}
--- a/src/main/java/sycamorehill/logic/membership/MembershipReducer.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipReducer.java
@@ -44,77 +44,77 @@
 
 	@Override
 	public Step<MembershipState> reduce(MembershipState state, Instant now, Event event, NodeView view) {
-		MembershipTurn turn = MembershipTurn.of(state, now, view);
+		MembershipStep step = MembershipStep.of(state, now, view);
 		if (event instanceof NodeEvent.Started started) {
-			started(turn, started.seed());
+			handleStart(step, started.seed());
 		}
 		else if (event instanceof NodeEvent.Ticked ticked) {
-			turn.set(turn.state().withWallClock(ticked.wallClock()));
-			ticked(turn);
+			step.set(step.state().withWallClock(ticked.wallClock()));
+			handleTick(step);
 		}
 		else if (event instanceof NodeEvent.StopRequested) {
-			turn.set(turn.state().stop());
-			Heartbeats.beat(turn);
-			Liveness.refresh(turn);
+			step.set(step.state().withStopping());
+			Heartbeats.sendAll(step);
+			Liveness.refresh(step);
 		}
 		else if (event instanceof PeerEvent.MessageReceived received) {
-			received(turn, received);
+			handleMessage(step, received);
 		}
 		else if (event instanceof OperatorEvent.TicketForceAsked asked) {
-			ForceSteps.asked(turn, asked);
+			RolloutQueryHandler.handleOperatorQuery(step, asked);
 		}
 		else if (event instanceof PlatformEvent.Answered answered && answered.call().owner() == CallOwner.MEMBERSHIP) {
-			MembershipCall purpose = turn.close(answered.call().number());
+			MembershipCall purpose = step.closeCall(answered.call().number());
 			if (purpose != null) {
-				Introduction.answered(turn, purpose, answered.answer());
+				PeerDiscovery.handleAnswer(step, purpose, answered.answer());
 			}
 		}
-		return turn.end();
+		return step.end();
 	}
 
-	private static void started(MembershipTurn turn, long seed) {
-		MembershipPolicy policy = turn.policy();
+	private static void handleStart(MembershipStep step, long seed) {
+		MembershipPolicy policy = step.policy();
 		CallBudget budget = CallBudget.create(CALLS_PER_SECOND, CALL_BURST, policy.firstBackoff(),
 				policy.longestBackoff(), seed + 1);
-		turn.set(turn.state().withIntroduction(turn.state().introduction().withBudget(budget)));
+		step.set(step.state().withIntroduction(step.state().introduction().withBudget(budget)));
 		for (NodeContact contact : policy.contacts()) {
-			if (!contact.node().equals(turn.self().incarnation().node())) {
-				turn.set(turn.sightings().withContact(contact.identityOfUnknownIncarnation()));
+			if (!contact.node().equals(step.self().incarnation().node())) {
+				step.set(step.observations().withContact(contact.identityOfUnknownIncarnation()));
 			}
 		}
-		Liveness.refresh(turn);
-		Introduction.ticked(turn);
+		Liveness.refresh(step);
+		PeerDiscovery.handleTick(step);
 	}
 
-	private static void ticked(MembershipTurn turn) {
-		Introduction.ticked(turn);
-		Liveness.ticked(turn);
-		ForceSteps.ticked(turn);
-		boolean advanced = turn.ticketNumber() != turn.state().timers().toldNumber();
-		if (advanced || !turn.now().isBefore(turn.state().timers().nextHeartbeat())) {
-			Heartbeats.beat(turn);
+	private static void handleTick(MembershipStep step) {
+		PeerDiscovery.handleTick(step);
+		Liveness.handleTick(step);
+		RolloutQueryHandler.handleTick(step);
+		boolean advanced = step.ticketNumber() != step.state().timers().toldNumber();
+		if (advanced || !step.now().isBefore(step.state().timers().nextHeartbeat())) {
+			Heartbeats.sendAll(step);
 		}
 	}
 
-	private static void received(MembershipTurn turn, PeerEvent.MessageReceived received) {
+	private static void handleMessage(MembershipStep step, PeerEvent.MessageReceived received) {
 		PeerMessage message = received.message();
 		if (message instanceof Heartbeat heartbeat) {
-			Hearing.heartbeat(turn, received.from(), heartbeat);
+			MembershipMessageHandler.handleHeartbeat(step, received.from(), heartbeat);
 		}
 		else if (message instanceof MembersAsked asked) {
-			Hearing.asked(turn, received.from(), asked);
+			MembershipMessageHandler.handleMembersAsked(step, received.from(), asked);
 		}
 		else if (message instanceof MembersSent sent) {
-			Hearing.sent(turn, received.from(), sent);
+			MembershipMessageHandler.handleMembersSent(step, received.from(), sent);
 		}
 		else if (message instanceof MembersChanged changed) {
-			Hearing.changed(turn, changed);
+			MembershipMessageHandler.handleMembersChanged(step, changed);
 		}
 		else if (message instanceof ForceAsked asked) {
-			ForceSteps.questionReceived(turn, received.from(), asked);
+			RolloutQueryHandler.handlePeerQuery(step, received.from(), asked);
 		}
 		else if (message instanceof ForceSent sent) {
-			ForceSteps.answerReceived(turn, sent);
+			RolloutQueryHandler.handleAnswer(step, sent);
 		}
 	}
 
--- a/src/main/java/sycamorehill/logic/membership/MembershipState.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipState.java
@@ -21,8 +21,8 @@
  * @param wallClock the last wall clock time, for records that people read
  * @param stopping whether this node has been told to stop
  */
-public record MembershipState(LiveNodes liveNodes, Sightings sightings, Progress progress,
-		IntroductionState introduction, MembershipTimers timers, Instant wallClock, boolean stopping) {
+public record MembershipState(LiveNodes liveNodes, PeerObservations sightings, TicketProgress progress,
+		DiscoveryState introduction, MembershipTimers timers, Instant wallClock, boolean stopping) {
 
 	/**
 	 * The state of a fresh node.
@@ -30,8 +30,8 @@
 	 */
 	public static MembershipState initial() {
 		CallBudget none = CallBudget.create(0, 0, Duration.ZERO, Duration.ZERO, 0);
-		return new MembershipState(LiveNodes.empty(), Sightings.none(), Progress.none(),
-				new IntroductionState(HashTreePMap.empty(), 1, none, Instant.MIN, Instant.MIN, Instant.MIN),
+		return new MembershipState(LiveNodes.empty(), PeerObservations.empty(), TicketProgress.empty(),
+				new DiscoveryState(HashTreePMap.empty(), 1, none, Instant.MIN, Instant.MIN, Instant.MIN),
 				new MembershipTimers(Instant.MIN, Instant.MIN, -1, NodeName.of("-"), 0, Instant.MIN), Instant.EPOCH,
 				false);
 	}
@@ -40,7 +40,7 @@
 	 * Whether this node is a delegate of its data centre.
 	 * @return whether it speaks for it
 	 */
-	public boolean delegate() {
+	public boolean hasDelegateRole() {
 		return !this.sightings.delegateSince().equals(Instant.MIN);
 	}
 
@@ -49,17 +49,17 @@
 				this.wallClock, this.stopping);
 	}
 
-	MembershipState withSightings(Sightings changed) {
+	MembershipState withObservations(PeerObservations changed) {
 		return new MembershipState(this.liveNodes, changed, this.progress, this.introduction, this.timers,
 				this.wallClock, this.stopping);
 	}
 
-	MembershipState withProgress(Progress changed) {
+	MembershipState withProgress(TicketProgress changed) {
 		return new MembershipState(this.liveNodes, this.sightings, changed, this.introduction, this.timers,
 				this.wallClock, this.stopping);
 	}
 
-	MembershipState withIntroduction(IntroductionState changed) {
+	MembershipState withIntroduction(DiscoveryState changed) {
 		return new MembershipState(this.liveNodes, this.sightings, this.progress, changed, this.timers, this.wallClock,
 				this.stopping);
 	}
@@ -74,7 +74,7 @@
 				this.stopping);
 	}
 
-	MembershipState stop() {
+	MembershipState withStopping() {
 		return new MembershipState(this.liveNodes, this.sightings, this.progress, this.introduction, this.timers,
 				this.wallClock, true);
 	}
@@ -89,27 +89,26 @@
 	 * @param announceFrom the earliest time of the own announcement
 	 * @param introducedAt when the announcements were last read
 	 */
-	record IntroductionState(PMap<Long, MembershipCall> calls, long nextCall, CallBudget budget, Instant announcedAt,
+	record DiscoveryState(PMap<Long, MembershipCall> calls, long nextCall, CallBudget budget, Instant announcedAt,
 			Instant announceFrom, Instant introducedAt) {
 
-		IntroductionState withCalls(PMap<Long, MembershipCall> changed, long next) {
-			return new IntroductionState(changed, next, this.budget, this.announcedAt, this.announceFrom,
+		DiscoveryState withCalls(PMap<Long, MembershipCall> changed, long next) {
+			return new DiscoveryState(changed, next, this.budget, this.announcedAt, this.announceFrom,
 					this.introducedAt);
 		}
 
-		IntroductionState withBudget(CallBudget changed) {
-			return new IntroductionState(this.calls, this.nextCall, changed, this.announcedAt, this.announceFrom,
+		DiscoveryState withBudget(CallBudget changed) {
+			return new DiscoveryState(this.calls, this.nextCall, changed, this.announcedAt, this.announceFrom,
 					this.introducedAt);
 		}
 
-		IntroductionState announced(Instant time) {
-			return new IntroductionState(this.calls, this.nextCall, this.budget, time, this.announceFrom,
+		DiscoveryState withAnnouncementConfirmed(Instant time) {
+			return new DiscoveryState(this.calls, this.nextCall, this.budget, time, this.announceFrom,
 					this.introducedAt);
 		}
 
-		IntroductionState introduced(Instant time, Instant announcementFrom) {
-			return new IntroductionState(this.calls, this.nextCall, this.budget, this.announcedAt, announcementFrom,
-					time);
+		DiscoveryState withAnnouncementsListed(Instant time, Instant announcementFrom) {
+			return new DiscoveryState(this.calls, this.nextCall, this.budget, this.announcedAt, announcementFrom, time);
 		}
 
 	}
@@ -127,20 +126,20 @@
 	record MembershipTimers(Instant nextHeartbeat, Instant nextPush, long toldNumber, NodeName lastProbe,
 			long drawnFrom, Instant drawnAt) {
 
-		MembershipTimers beaten(Instant next, long number) {
+		MembershipTimers withHeartbeatsSent(Instant next, long number) {
 			return new MembershipTimers(next, this.nextPush, number, this.lastProbe, this.drawnFrom, this.drawnAt);
 		}
 
-		MembershipTimers pushed(Instant next) {
+		MembershipTimers withNextPush(Instant next) {
 			return new MembershipTimers(this.nextHeartbeat, next, this.toldNumber, this.lastProbe, this.drawnFrom,
 					this.drawnAt);
 		}
 
-		MembershipTimers drawn(long from, Instant at) {
+		MembershipTimers withLiveNodesRefreshed(long from, Instant at) {
 			return new MembershipTimers(this.nextHeartbeat, this.nextPush, this.toldNumber, this.lastProbe, from, at);
 		}
 
-		MembershipTimers probed(NodeName node) {
+		MembershipTimers withLastProbe(NodeName node) {
 			return new MembershipTimers(this.nextHeartbeat, this.nextPush, this.toldNumber, node, this.drawnFrom,
 					this.drawnAt);
 		}
--- a/src/main/java/sycamorehill/logic/membership/MembershipTurn.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipStep.java
@@ -26,7 +26,7 @@
  * One step under way: the state as changed so far and the effects gathered. It lives no
  * longer than the step.
  */
-final class MembershipTurn {
+final class MembershipStep {
 
 	private final Instant now;
 
@@ -36,14 +36,14 @@
 
 	private MembershipState state;
 
-	private MembershipTurn(MembershipState state, Instant now, NodeView view) {
+	private MembershipStep(MembershipState state, Instant now, NodeView view) {
 		this.state = state;
 		this.now = now;
 		this.view = view;
 	}
 
-	static MembershipTurn of(MembershipState state, Instant now, NodeView view) {
-		return new MembershipTurn(state, now, view);
+	static MembershipStep of(MembershipState state, Instant now, NodeView view) {
+		return new MembershipStep(state, now, view);
 	}
 
 	Step<MembershipState> end() {
@@ -82,19 +82,19 @@
 		this.effects.add(new PeerEffect.Send(to, message));
 	}
 
-	void set(Sightings changed) {
-		this.state = this.state.withSightings(changed);
+	void set(PeerObservations changed) {
+		this.state = this.state.withObservations(changed);
 	}
 
-	void set(Progress changed) {
+	void set(TicketProgress changed) {
 		this.state = this.state.withProgress(changed);
 	}
 
-	Sightings sightings() {
+	PeerObservations observations() {
 		return this.state.sightings();
 	}
 
-	Progress progress() {
+	TicketProgress progress() {
 		return this.state.progress();
 	}
 
@@ -106,8 +106,8 @@
 		return this.state.sightings().view(ownDataCentre(), this.now);
 	}
 
-	boolean delegate() {
-		return this.state.delegate();
+	boolean isDelegate() {
+		return this.state.hasDelegateRole();
 	}
 
 	/**
@@ -115,19 +115,19 @@
 	 * receives no more of them than the policy says.
 	 * @return the interval
 	 */
-	Duration interval() {
-		Duration grown = Duration.ofSeconds(1)
+	Duration heartbeatInterval() {
+		Duration scaled = Duration.ofSeconds(1)
 			.multipliedBy(ownView().members().size())
 			.dividedBy(policy().heartbeatsPerSecond());
-		return (grown.compareTo(policy().shortestInterval()) > 0) ? grown : policy().shortestInterval();
+		return (scaled.compareTo(policy().shortestInterval()) > 0) ? scaled : policy().shortestInterval();
 	}
 
 	/**
 	 * How long silence is borne.
 	 * @return the bound
 	 */
-	Duration bound() {
-		Duration interval = interval();
+	Duration silenceTimeout() {
+		Duration interval = heartbeatInterval();
 		return interval.multipliedBy(policy().missedHeartbeats()).plus(interval.dividedBy(2));
 	}
 
@@ -140,7 +140,7 @@
 	}
 
 	void call(MembershipCall purpose, PlatformRequest request) {
-		MembershipState.IntroductionState introduction = this.state.introduction();
+		MembershipState.DiscoveryState introduction = this.state.introduction();
 		long number = introduction.nextCall();
 		this.state = this.state
 			.withIntroduction(introduction.withCalls(introduction.calls().plus(number, purpose), number + 1)
@@ -154,8 +154,8 @@
 	 * @param number the call
 	 * @return what it was made for, or null if it is not open
 	 */
-	MembershipCall close(long number) {
-		MembershipState.IntroductionState introduction = this.state.introduction();
+	MembershipCall closeCall(long number) {
+		MembershipState.DiscoveryState introduction = this.state.introduction();
 		MembershipCall purpose = introduction.calls().get(number);
 		if (purpose != null) {
 			this.state = this.state
--- a/src/main/java/sycamorehill/logic/membership/Sightings.java
+++ b/src/main/java/sycamorehill/logic/membership/PeerObservations.java
@@ -25,36 +25,36 @@
  * none
  * @param contacts where nodes may be met, alive or not
  */
-record Sightings(PMap<NodeName, DirectContact> direct, PMap<DataCentreName, DataCentreView> views,
-		PMap<NodeName, DelegateWord> words, Instant delegateSince, TreePMap<NodeName, NodeIdentity> contacts) {
+record PeerObservations(PMap<NodeName, DirectContact> direct, PMap<DataCentreName, DataCentreView> views,
+		PMap<NodeName, DelegateReport> words, Instant delegateSince, TreePMap<NodeName, NodeIdentity> contacts) {
 
-	static Sightings none() {
-		return new Sightings(HashTreePMap.empty(), TreePMap.empty(), HashTreePMap.empty(), Instant.MIN,
+	static PeerObservations empty() {
+		return new PeerObservations(HashTreePMap.empty(), TreePMap.empty(), HashTreePMap.empty(), Instant.MIN,
 				TreePMap.empty());
 	}
 
-	Sightings withDirect(PMap<NodeName, DirectContact> changed) {
-		return new Sightings(changed, this.views, this.words, this.delegateSince, this.contacts);
+	PeerObservations withDirect(PMap<NodeName, DirectContact> changed) {
+		return new PeerObservations(changed, this.views, this.words, this.delegateSince, this.contacts);
 	}
 
-	Sightings withView(DataCentreName dataCentre, DataCentreView changed) {
-		return new Sightings(this.direct, this.views.plus(dataCentre, changed), this.words, this.delegateSince,
+	PeerObservations withView(DataCentreName dataCentre, DataCentreView changed) {
+		return new PeerObservations(this.direct, this.views.plus(dataCentre, changed), this.words, this.delegateSince,
 				this.contacts);
 	}
 
-	Sightings withWord(NodeName delegate, DelegateWord word) {
-		return new Sightings(this.direct, this.views, this.words.plus(delegate, word), this.delegateSince,
+	PeerObservations withReport(NodeName delegate, DelegateReport report) {
+		return new PeerObservations(this.direct, this.views, this.words.plus(delegate, report), this.delegateSince,
 				this.contacts);
 	}
 
-	Sightings delegateSince(Instant time) {
-		return new Sightings(this.direct, this.views, this.words, time, this.contacts);
+	PeerObservations withDelegateSince(Instant time) {
+		return new PeerObservations(this.direct, this.views, this.words, time, this.contacts);
 	}
 
-	Sightings withContact(NodeIdentity identity) {
+	PeerObservations withContact(NodeIdentity identity) {
 		NodeName name = identity.incarnation().node();
-		return identity.equals(this.contacts.get(name)) ? this : new Sightings(this.direct, this.views, this.words,
-				this.delegateSince, this.contacts.plus(name, identity));
+		return identity.equals(this.contacts.get(name)) ? this : new PeerObservations(this.direct, this.views,
+				this.words, this.delegateSince, this.contacts.plus(name, identity));
 	}
 
 	/**
@@ -63,7 +63,7 @@
 	 */
 	long hash() {
 		HashStream64 stream = Hashing.komihash5_0().hashStream();
-		known().forEach((name, view) -> stream.putString(name.value()).putLong(view.hash()));
+		confirmedViews().forEach((name, view) -> stream.putString(name.value()).putLong(view.hash()));
 		return stream.getAsLong();
 	}
 
@@ -71,14 +71,14 @@
 	 * The data centres of which a delegate's word has come.
 	 * @return the views, by name
 	 */
-	SortedMap<DataCentreName, DataCentreView> known() {
-		SortedMap<DataCentreName, DataCentreView> known = new TreeMap<>();
+	SortedMap<DataCentreName, DataCentreView> confirmedViews() {
+		SortedMap<DataCentreName, DataCentreView> views = new TreeMap<>();
 		for (Map.Entry<DataCentreName, DataCentreView> entry : this.views.entrySet()) {
-			if (entry.getValue().known()) {
-				known.put(entry.getKey(), entry.getValue());
+			if (entry.getValue().isConfirmed()) {
+				views.put(entry.getKey(), entry.getValue());
 			}
 		}
-		return known;
+		return views;
 	}
 
 	DataCentreView view(DataCentreName dataCentre, Instant now) {
--- a/src/main/java/sycamorehill/logic/membership/ForceQuestion.java
+++ b/src/main/java/sycamorehill/logic/membership/RolloutQuery.java
@@ -16,11 +16,11 @@
  * @param until when the answer goes out with what has come in
  * @param answers what each data centre has said
  */
-record ForceQuestion(OperatorCallIdentifier call, long number, Instant until,
+record RolloutQuery(OperatorCallIdentifier call, long number, Instant until,
 		PMap<DataCentreName, DataCentreRollout> answers) {
 
-	ForceQuestion with(DataCentreRollout force) {
-		return new ForceQuestion(this.call, this.number, this.until, this.answers.plus(force.dataCentre(), force));
+	RolloutQuery with(DataCentreRollout rollout) {
+		return new RolloutQuery(this.call, this.number, this.until, this.answers.plus(rollout.dataCentre(), rollout));
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/membership/Progress.java
+++ b/src/main/java/sycamorehill/logic/membership/TicketProgress.java
@@ -19,36 +19,37 @@
  * @param lost nodes that were taken for dead, with when
  * @param questions operators' questions that wait for other data centres
  */
-record Progress(TreePMap<Long, Instant> reached, PMap<NodeName, Instant> lost, PMap<Long, ForceQuestion> questions) {
+record TicketProgress(TreePMap<Long, Instant> reached, PMap<NodeName, Instant> lost,
+		PMap<Long, RolloutQuery> questions) {
 
-	private static final int MOST_REACHED = 500;
+	private static final int MAXIMUM_REACHED_TICKETS = 500;
 
-	static Progress none() {
-		return new Progress(TreePMap.empty(), HashTreePMap.empty(), HashTreePMap.empty());
+	static TicketProgress empty() {
+		return new TicketProgress(TreePMap.empty(), HashTreePMap.empty(), HashTreePMap.empty());
 	}
 
-	Progress reached(long number, Instant wallClock) {
+	TicketProgress withReached(long number, Instant wallClock) {
 		if (number < 0 || (!this.reached.isEmpty() && this.reached.lastKey() >= number)) {
 			return this;
 		}
 		TreePMap<Long, Instant> changed = this.reached.plus(number, wallClock);
-		if (changed.size() > MOST_REACHED) {
+		if (changed.size() > MAXIMUM_REACHED_TICKETS) {
 			changed = changed.minus(changed.firstKey());
 		}
-		return new Progress(changed, this.lost, this.questions);
+		return new TicketProgress(changed, this.lost, this.questions);
 	}
 
-	Optional<Instant> since(long number) {
+	Optional<Instant> reachedAt(long number) {
 		Map.Entry<Long, Instant> entry = this.reached.ceilingEntry(number);
 		return Optional.ofNullable(entry).map(Map.Entry::getValue);
 	}
 
-	Progress withLost(PMap<NodeName, Instant> changed) {
-		return new Progress(this.reached, changed, this.questions);
+	TicketProgress withLost(PMap<NodeName, Instant> changed) {
+		return new TicketProgress(this.reached, changed, this.questions);
 	}
 
-	Progress withQuestions(PMap<Long, ForceQuestion> changed) {
-		return new Progress(this.reached, this.lost, changed);
+	TicketProgress withQuestions(PMap<Long, RolloutQuery> changed) {
+		return new TicketProgress(this.reached, this.lost, changed);
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/membership/ViewDifference.java
+++ b/src/main/java/sycamorehill/logic/membership/ViewDifference.java
@@ -12,7 +12,7 @@
  */
 final class ViewDifference {
 
-	private static final int MOST_NAMES = 8;
+	private static final int MAXIMUM_NAMES = 8;
 
 	private ViewDifference() {
 	}
@@ -33,8 +33,8 @@
 				parts.add("-" + name);
 			}
 		}
-		String names = String.join(" ", parts.subList(0, Math.min(parts.size(), MOST_NAMES)));
-		String more = (parts.size() > MOST_NAMES) ? " and " + (parts.size() - MOST_NAMES) + " more" : "";
+		String names = String.join(" ", parts.subList(0, Math.min(parts.size(), MAXIMUM_NAMES)));
+		String more = (parts.size() > MAXIMUM_NAMES) ? " and " + (parts.size() - MAXIMUM_NAMES) + " more" : "";
 		return names + more + ", " + after.members().size() + " alive";
 	}
 
--- a/src/main/java/sycamorehill/logic/node/StateView.java
+++ b/src/main/java/sycamorehill/logic/node/StateView.java
@@ -67,7 +67,7 @@
 
 	@Override
 	public boolean delegate() {
-		return this.state.membership().delegate();
+		return this.state.membership().hasDelegateRole();
 	}
 
 	@Override
--- a/src/main/java/sycamorehill/logic/observation/AskTurns.java
+++ b/src/main/java/sycamorehill/logic/observation/EnginePolling.java
@@ -19,11 +19,11 @@
 /**
  * Asks the observed engines in turn.
  */
-final class AskTurns {
+final class EnginePolling {
 
-	private static final Duration DUTY_INTERVAL = Duration.ofSeconds(1);
+	private static final Duration ASSIGNMENT_INTERVAL = Duration.ofSeconds(1);
 
-	private AskTurns() {
+	private EnginePolling() {
 	}
 
 	/**
@@ -33,28 +33,29 @@
 	 * @param view the node's view
 	 * @return the state with its duty
 	 */
-	static ObservationState assign(ObservationState state, Instant now, NodeView view) {
+	static ObservationState updateAssignment(ObservationState state, Instant now, NodeView view) {
 		if (now.isBefore(state.nextDutyAt())) {
 			return state;
 		}
-		PSet<VmName> observed = ObserverDuty.of(state.fleet().entries().keySet(), state.fleet().entries().size(), view);
-		ObservationState changed = forget(state.withDuty(observed, now.plus(DUTY_INTERVAL)));
-		PSortedSet<AskTurn> turns = state.turns();
+		PSet<VmName> observed = ObserverAssignment.observedVms(state.fleet().entries().keySet(),
+				state.fleet().entries().size(), view);
+		ObservationState changed = removeUnobserved(state.withObserved(observed, now.plus(ASSIGNMENT_INTERVAL)));
+		PSortedSet<ScheduledPoll> polls = state.turns();
 		PSet<VmName> scheduled = state.scheduled();
-		int place = 0;
+		int index = 0;
 		for (VmName vm : observed) {
 			if (!scheduled.contains(vm)) {
 				// Spreads the first questions over the interval.
 				Duration interval = view.policy().observation().reportInterval();
-				Duration delay = interval.multipliedBy(place++).dividedBy(observed.size());
-				turns = turns.plus(new AskTurn(now.plus(delay), vm));
+				Duration delay = interval.multipliedBy(index++).dividedBy(observed.size());
+				polls = polls.plus(new ScheduledPoll(now.plus(delay), vm));
 				scheduled = scheduled.plus(vm);
 			}
 		}
-		return changed.withTurns(turns, scheduled);
+		return changed.withTurns(polls, scheduled);
 	}
 
-	private static ObservationState forget(ObservationState state) {
+	private static ObservationState removeUnobserved(ObservationState state) {
 		PMap<VmName, VmObservation> own = state.sharing().own();
 		if (own.size() <= state.observed().size()) {
 			return state;
@@ -73,22 +74,23 @@
 	 * @param effects takes the questions
 	 * @return the state after them
 	 */
-	static ObservationState ask(ObservationState state, Instant now, ObservationPolicy policy, List<Effect> effects) {
-		PSortedSet<AskTurn> turns = state.turns();
+	static ObservationState requestDueReports(ObservationState state, Instant now, ObservationPolicy policy,
+			List<Effect> effects) {
+		PSortedSet<ScheduledPoll> polls = state.turns();
 		PSet<VmName> scheduled = state.scheduled();
-		while (!turns.isEmpty() && !turns.first().at().isAfter(now)) {
-			AskTurn turn = turns.first();
-			turns = turns.minus(turn);
-			VmEntry entry = state.fleet().entries().get(turn.vm());
-			if (entry != null && state.observed().contains(turn.vm())) {
+		while (!polls.isEmpty() && !polls.first().at().isAfter(now)) {
+			ScheduledPoll poll = polls.first();
+			polls = polls.minus(poll);
+			VmEntry entry = state.fleet().entries().get(poll.vm());
+			if (entry != null && state.observed().contains(poll.vm())) {
 				effects.add(new TargetEffect.AskReport(entry.name(), entry.address()));
-				turns = turns.plus(new AskTurn(now.plus(policy.reportInterval()), turn.vm()));
+				polls = polls.plus(new ScheduledPoll(now.plus(policy.reportInterval()), poll.vm()));
 			}
 			else {
-				scheduled = scheduled.minus(turn.vm());
+				scheduled = scheduled.minus(poll.vm());
 			}
 		}
-		return state.withTurns(turns, scheduled);
+		return state.withTurns(polls, scheduled);
 	}
 
 }
--- a/src/main/java/sycamorehill/logic/observation/FleetUpdates.java
+++ b/src/main/java/sycamorehill/logic/observation/FleetUpdates.java
@@ -35,87 +35,89 @@
 	 * @param leavingMemory how long a VM counts as leaving after the last sign of it
 	 * @return what is known now
 	 */
-	static Fleet list(Fleet fleet, List<VmEntry> list, DataCentreName dataCentre, Instant now, Duration leavingMemory) {
+	static Fleet applyList(Fleet fleet, List<VmEntry> list, DataCentreName dataCentre, Instant now,
+			Duration leavingMemory) {
 		PMap<VmName, VmEntry> entries = HashTreePMap.empty();
 		PMap<VmName, VmLeavingNotice> leaving = fleet.leaving();
-		PMap<VmName, VmObservation> sights = fleet.sights();
+		PMap<VmName, VmObservation> observations = fleet.sights();
 		for (VmEntry entry : list) {
 			if (!entry.dataCentre().equals(dataCentre)) {
 				continue;
 			}
-			VmEntry before = fleet.entries().get(entry.name());
+			VmEntry previous = fleet.entries().get(entry.name());
 			entries = entries.plus(entry.name(), entry);
-			if (before != null && !before.instance().equals(entry.instance())) {
-				sights = sights.minus(entry.name());
+			if (previous != null && !previous.instance().equals(entry.instance())) {
+				observations = observations.minus(entry.name());
 			}
-			leaving = mark(leaving, entry, now, leavingMemory);
+			leaving = updateLeavingNotice(leaving, entry, now, leavingMemory);
 		}
-		return new Fleet(entries, Optional.of(now), sights, leaving, fleet.refusals());
+		return new Fleet(entries, Optional.of(now), observations, leaving, fleet.refusals());
 	}
 
 	// Failure: a lagging list shows a VM live again that has already said that it leaves,
 	// and work goes to a VM about to vanish. It shows as streams cut off at its stop. The
 	// mark outlives the list until the VM was replaced, or every sign has said for
 	// longer than any lag that it stays.
-	private static PMap<VmName, VmLeavingNotice> mark(PMap<VmName, VmLeavingNotice> leaving, VmEntry entry, Instant now,
-			Duration leavingMemory) {
+	private static PMap<VmName, VmLeavingNotice> updateLeavingNotice(PMap<VmName, VmLeavingNotice> leaving,
+			VmEntry entry, Instant now, Duration leavingMemory) {
 		if (entry.status() == VmStatus.LEAVING) {
 			return leaving.plus(entry.name(), new VmLeavingNotice(entry.instance(), now));
 		}
-		VmLeavingNotice mark = leaving.get(entry.name());
-		if (mark == null) {
+		VmLeavingNotice notice = leaving.get(entry.name());
+		if (notice == null) {
 			return leaving;
 		}
-		boolean replaced = !mark.instance().isEmpty() && !mark.instance().equals(entry.instance());
-		boolean stays = mark.lastSign().plus(leavingMemory).isBefore(now);
+		boolean replaced = !notice.instance().isEmpty() && !notice.instance().equals(entry.instance());
+		boolean stays = notice.lastSign().plus(leavingMemory).isBefore(now);
 		return (replaced || stays) ? leaving.minus(entry.name()) : leaving;
 	}
 
 	/**
 	 * Takes in a report, own or passed on by a peer.
 	 * @param fleet what was known
-	 * @param sight the sight
+	 * @param observation the observation
 	 * @return what is known now
 	 */
-	static Fleet report(Fleet fleet, VmObservation sight) {
-		VmReport report = sight.report();
+	static Fleet applyReport(Fleet fleet, VmObservation observation) {
+		VmReport report = observation.report();
 		VmName vm = report.vm();
-		Fleet marked = report.leaving() ? leaving(fleet, vm, sight.seenAt()) : fleet;
-		VmObservation before = fleet.sights().get(vm);
-		if (before != null && !supersedes(sight, before)) {
-			return marked;
+		Fleet updated = report.leaving() ? recordLeavingNotice(fleet, vm, observation.seenAt()) : fleet;
+		VmObservation previous = fleet.sights().get(vm);
+		if (previous != null && !supersedes(observation, previous)) {
+			return updated;
 		}
-		PMap<VmName, Instant> refusals = marked.refusals();
-		return new Fleet(marked.entries(), marked.listedAt(), marked.sights().plus(vm, sight), marked.leaving(),
-				refusals.containsKey(vm) ? refusals.minus(vm) : refusals);
+		PMap<VmName, Instant> refusals = updated.refusals();
+		return new Fleet(updated.entries(), updated.listedAt(), updated.sights().plus(vm, observation),
+				updated.leaving(), refusals.containsKey(vm) ? refusals.minus(vm) : refusals);
 	}
 
 	// Failure: an answer that was delayed on its way arrives after a later one and shows
 	// a member in a generation that it has left. The engine's own sequence orders the
 	// reports of one life; between lives the time of asking does.
-	static boolean supersedes(VmObservation sight, VmObservation before) {
-		if (sight.report().instance().equals(before.report().instance())) {
-			return sight.report().sequence() > before.report().sequence()
-					|| (sight.report().sequence() == before.report().sequence()
-							&& sight.seenAt().isAfter(before.seenAt()));
+	static boolean supersedes(VmObservation observation, VmObservation previous) {
+		if (observation.report().instance().equals(previous.report().instance())) {
+			return observation.report().sequence() > previous.report().sequence()
+					|| (observation.report().sequence() == previous.report().sequence()
+							&& observation.seenAt().isAfter(previous.seenAt()));
 		}
-		return sight.seenAt().isAfter(before.seenAt());
+		return observation.seenAt().isAfter(previous.seenAt());
 	}
 
 	/**
 	 * Takes in that a VM was seen again as it was.
 	 * @param fleet what was known
 	 * @param vm the VM
-	 * @param seenAt own monotonic time of the sight
+	 * @param seenAt own monotonic time of the observation
 	 * @return what is known now
 	 */
-	static Fleet refresh(Fleet fleet, VmName vm, Instant seenAt) {
-		VmObservation before = fleet.sights().get(vm);
-		if (before == null || !seenAt.isAfter(before.seenAt())) {
+	static Fleet refreshObservation(Fleet fleet, VmName vm, Instant seenAt) {
+		VmObservation previous = fleet.sights().get(vm);
+		if (previous == null || !seenAt.isAfter(previous.seenAt())) {
 			return fleet;
 		}
 		return new Fleet(fleet.entries(), fleet.listedAt(),
-				fleet.sights().plus(vm, new VmObservation(before.report(), seenAt)), fleet.leaving(), fleet.refusals());
+				fleet.sights().plus(vm, new VmObservation(previous.report(), seenAt)), fleet.leaving(),
+				fleet.refusals());
 	}
 
 	/**
@@ -125,11 +127,11 @@
 	 * @param sign own monotonic time of the sign
 	 * @return what is known now
 	 */
-	static Fleet leaving(Fleet fleet, VmName vm, Instant sign) {
-		VmLeavingNotice before = fleet.leaving().get(vm);
+	static Fleet recordLeavingNotice(Fleet fleet, VmName vm, Instant sign) {
+		VmLeavingNotice previous = fleet.leaving().get(vm);
 		VmEntry entry = fleet.entries().get(vm);
 		String instance = (entry != null) ? entry.instance() : "";
-		if (before != null && before.lastSign().isAfter(sign)) {
+		if (previous != null && previous.lastSign().isAfter(sign)) {
 			return fleet;
 		}
 		return new Fleet(fleet.entries(), fleet.listedAt(), fleet.sights(),
@@ -143,7 +145,7 @@
 	 * @param now own monotonic time
 	 * @return what is known now
 	 */
-	static Fleet refused(Fleet fleet, VmName vm, Instant now) {
+	static Fleet recordRefusal(Fleet fleet, VmName vm, Instant now) {
 		if (fleet.refusals().containsKey(vm)) {
 			return fleet;
 		}
--- a/src/main/java/sycamorehill/logic/observation/ObservationReducer.java
+++ b/src/main/java/sycamorehill/logic/observation/ObservationReducer.java
@@ -27,7 +27,7 @@
  */
 public final class ObservationReducer implements Reducer<ObservationState> {
 
-	private static final int LIST_READ_SELDOM = 15;
+	private static final int NON_STEWARD_LIST_INTERVAL_FACTOR = 15;
 
 	private ObservationReducer() {
 	}
@@ -43,65 +43,66 @@
 	@Override
 	public Step<ObservationState> reduce(ObservationState state, Instant now, Event event, NodeView view) {
 		if (event instanceof NodeEvent.Ticked) {
-			return tick(state, now, view);
+			return handleTick(state, now, view);
 		}
 		if (event instanceof TargetEvent.ReportReceived received) {
-			return Step.of(reported(state, new VmObservation(received.report(), received.askedAt())));
+			return Step.of(handleReport(state, new VmObservation(received.report(), received.askedAt())));
 		}
 		if (event instanceof TargetEvent.ReportFailed failed && failed.refused()) {
-			return Step.of(state.withFleet(FleetUpdates.refused(state.fleet(), failed.vm(), now)));
+			return Step.of(state.withFleet(FleetUpdates.recordRefusal(state.fleet(), failed.vm(), now)));
 		}
 		DataCentreName own = view.self().dataCentre();
 		if (event instanceof TargetEvent.VmListRead read && read.dataCentre().equals(own)) {
 			Duration memory = view.policy().observation().leavingMemory();
 			ObservationState listed = state
-				.withFleet(FleetUpdates.list(state.fleet(), read.entries(), own, now, memory));
-			return Step.of(listed.withDuty(listed.observed(), now));
+				.withFleet(FleetUpdates.applyList(state.fleet(), read.entries(), own, now, memory));
+			return Step.of(listed.withObserved(listed.observed(), now));
 		}
 		if (event instanceof PeerEvent.MessageReceived received && received.from().dataCentre().equals(own)) {
-			if (received.message() instanceof VmSightsSent sights) {
-				return Step.of(SightSharing.received(state, now, received.from(), sights));
+			if (received.message() instanceof VmSightsSent message) {
+				return Step.of(ObservationSharing.handleMessage(state, now, received.from(), message));
 			}
 			if (received.message() instanceof GroupsSent groups && groups.dataCentre().equals(own)) {
-				return Step.of(compareList(state, now, groups.listHash(), view.policy().observation()));
+				return Step.of(handleListHash(state, now, groups.listHash(), view.policy().observation()));
 			}
 		}
 		return Step.of(state);
 	}
 
-	private static ObservationState reported(ObservationState state, VmObservation sight) {
-		VmName vm = sight.report().vm();
-		ObservationState seen = state.withFleet(FleetUpdates.report(state.fleet(), sight));
-		VmObservation before = state.sharing().own().get(vm);
-		boolean newer = before == null || FleetUpdates.supersedes(sight, before);
+	private static ObservationState handleReport(ObservationState state, VmObservation observation) {
+		VmName vm = observation.report().vm();
+		ObservationState updated = state.withFleet(FleetUpdates.applyReport(state.fleet(), observation));
+		VmObservation previous = state.sharing().own().get(vm);
+		boolean newer = previous == null || FleetUpdates.supersedes(observation, previous);
 		if (!newer || !state.observed().contains(vm)) {
-			return seen;
+			return updated;
 		}
-		return seen.withSharing(seen.sharing().withOwn(seen.sharing().own().plus(vm, sight)));
+		return updated.withSharing(updated.sharing().withOwn(updated.sharing().own().plus(vm, observation)));
 	}
 
 	// A node that is no steward reads the list only when a steward knows another one, and
 	// seldom otherwise: the reads must not grow with the nodes.
-	private static ObservationState compareList(ObservationState state, Instant now, long listHash,
+	private static ObservationState handleListHash(ObservationState state, Instant now, long listHash,
 			ObservationPolicy policy) {
 		Instant soon = now.plus(policy.listInterval());
-		boolean same = Standing.of(state.fleet().entries().values()) == listHash;
+		boolean same = StateHash.of(state.fleet().entries().values()) == listHash;
 		return (same || !state.nextListAt().isAfter(soon)) ? state : state.withNextListAt(now);
 	}
 
-	private static Step<ObservationState> tick(ObservationState state, Instant now, NodeView view) {
+	private static Step<ObservationState> handleTick(ObservationState state, Instant now, NodeView view) {
 		ObservationPolicy policy = view.policy().observation();
 		List<Effect> effects = new ArrayList<>();
 		ObservationState changed = state;
 		if (!state.nextListAt().isAfter(now)) {
 			effects.add(new TargetEffect.ReadVmList(view.self().dataCentre()));
-			boolean often = Rendezvous.isSteward(view) || state.fleet().listedAt().isEmpty();
-			Duration wait = often ? policy.listInterval() : policy.listInterval().multipliedBy(LIST_READ_SELDOM);
+			boolean frequent = Rendezvous.isSteward(view) || state.fleet().listedAt().isEmpty();
+			Duration wait = frequent ? policy.listInterval()
+					: policy.listInterval().multipliedBy(NON_STEWARD_LIST_INTERVAL_FACTOR);
 			changed = changed.withNextListAt(now.plus(wait));
 		}
-		changed = AskTurns.assign(changed, now, view);
-		changed = AskTurns.ask(changed, now, policy, effects);
-		changed = SightSharing.send(changed, now, view, effects);
+		changed = EnginePolling.updateAssignment(changed, now, view);
+		changed = EnginePolling.requestDueReports(changed, now, policy, effects);
+		changed = ObservationSharing.send(changed, now, view, effects);
 		return Step.of(changed, effects);
 	}
 
--- a/src/main/java/sycamorehill/logic/observation/SightSharing.java
+++ b/src/main/java/sycamorehill/logic/observation/ObservationSharing.java
@@ -24,83 +24,85 @@
  * message carries whole reports only where something has changed; a hash over the rest
  * tells the reader whether it knows the same.
  */
-final class SightSharing {
+final class ObservationSharing {
 
-	private static final int WHOLES_AFTER_CHANGE = 2;
+	private static final int FULL_MESSAGES_AFTER_CHANGE = 2;
 
-	private static final int WHOLE_EACH = 8;
+	private static final int FULL_MESSAGE_PERIOD = 8;
 
-	private SightSharing() {
+	private ObservationSharing() {
 	}
 
 	static ObservationState send(ObservationState state, Instant now, NodeView view, List<Effect> effects) {
 		ObservationPolicy policy = view.policy().observation();
 		SharingState sharing = state.sharing();
-		List<VmObservation> seen = seen(state, now, policy);
-		long hash = hash(seen);
+		List<VmObservation> observations = freshObservations(state, now, policy);
+		long hash = hash(observations);
 		boolean changed = hash != sharing.lastHash();
 		if (!changed && now.isBefore(sharing.nextAt())) {
 			return state;
 		}
-		int wholes = changed ? WHOLES_AFTER_CHANGE : Math.max(0, sharing.wholesLeft() - 1);
-		boolean whole = changed || sharing.wholesLeft() > 0 || sharing.round() % WHOLE_EACH == 0;
-		VmSightsSent message = message(seen, now, hash, whole);
+		int fullMessages = changed ? FULL_MESSAGES_AFTER_CHANGE : Math.max(0, sharing.wholesLeft() - 1);
+		boolean full = changed || sharing.wholesLeft() > 0 || sharing.round() % FULL_MESSAGE_PERIOD == 0;
+		VmSightsSent message = message(observations, now, hash, full);
 		for (NodeIdentity steward : Rendezvous.stewards(view, view.self().dataCentre())) {
 			if (!steward.equals(view.self())) {
 				effects.add(new PeerEffect.Send(steward, message));
 			}
 		}
-		return state.withSharing(sharing.sent(now.plus(policy.digestInterval()), hash, wholes));
+		return state.withSharing(sharing.withMessageSent(now.plus(policy.digestInterval()), hash, fullMessages));
 	}
 
-	private static List<VmObservation> seen(ObservationState state, Instant now, ObservationPolicy policy) {
+	private static List<VmObservation> freshObservations(ObservationState state, Instant now,
+			ObservationPolicy policy) {
 		Instant oldest = now.minus(policy.freshness());
-		List<VmObservation> seen = new ArrayList<>();
+		List<VmObservation> observations = new ArrayList<>();
 		for (VmName vm : state.observed()) {
-			VmObservation sight = state.sharing().own().get(vm);
-			if (sight != null && sight.seenAt().isAfter(oldest)) {
-				seen.add(sight);
+			VmObservation observation = state.sharing().own().get(vm);
+			if (observation != null && observation.seenAt().isAfter(oldest)) {
+				observations.add(observation);
 			}
 		}
-		return seen;
+		return observations;
 	}
 
-	private static VmSightsSent message(List<VmObservation> seen, Instant now, long hash, boolean whole) {
+	private static VmSightsSent message(List<VmObservation> observations, Instant now, long hash, boolean full) {
 		List<VmReport> reports = new ArrayList<>();
 		List<Integer> ages = new ArrayList<>();
 		int oldest = 0;
-		for (VmObservation sight : seen) {
-			int age = (int) Duration.between(sight.seenAt(), now).toMillis();
+		for (VmObservation observation : observations) {
+			int age = (int) Duration.between(observation.seenAt(), now).toMillis();
 			oldest = Math.max(oldest, age);
-			if (whole || isLoaded(sight.report())) {
-				reports.add(sight.report());
+			if (full || isLoaded(observation.report())) {
+				reports.add(observation.report());
 				ages.add(age);
 			}
 		}
-		return new VmSightsSent(now.toEpochMilli(), whole, reports, ages, hash, oldest);
+		return new VmSightsSent(now.toEpochMilli(), full, reports, ages, hash, oldest);
 	}
 
 	private static boolean isLoaded(VmReport report) {
 		return report.running() + report.queued() > 0 || report.tokensPerSecond() > 0;
 	}
 
-	private static long hash(List<VmObservation> sights) {
+	private static long hash(List<VmObservation> observations) {
 		long hash = 0;
-		for (VmObservation sight : sights) {
-			hash += Standing.of(sight.report());
+		for (VmObservation observation : observations) {
+			hash += StateHash.of(observation.report());
 		}
 		return hash;
 	}
 
-	static ObservationState received(ObservationState state, Instant now, NodeIdentity from, VmSightsSent message) {
-		SenderClocks clocks = state.sharing().clocks().received(from.incarnation(), now, message.sentAt());
+	static ObservationState handleMessage(ObservationState state, Instant now, NodeIdentity from,
+			VmSightsSent message) {
+		SenderClocks clocks = state.sharing().clocks().withMessage(from.incarnation(), now, message.sentAt());
 		long delay = clocks.delay(from.incarnation(), now, message.sentAt());
 		Fleet fleet = state.fleet();
 		PSet<VmName> vms = HashTreePSet.empty();
 		for (int index = 0; index < message.reports().size(); index++) {
 			VmReport report = message.reports().get(index);
 			Instant seenAt = now.minusMillis(delay + message.ages().get(index));
-			fleet = FleetUpdates.report(fleet, new VmObservation(report, seenAt));
+			fleet = FleetUpdates.applyReport(fleet, new VmObservation(report, seenAt));
 			vms = vms.plus(report.vm());
 		}
 		SharingState sharing = state.sharing().withClocks(clocks);
@@ -109,25 +111,25 @@
 		}
 		Instant seenAt = now.minusMillis(delay + message.oldest());
 		PSet<VmName> unchanged = sharing.observers().getOrDefault(from.incarnation().node(), HashTreePSet.empty());
-		return state.withFleet(refresh(fleet, unchanged, message.hash(), seenAt)).withSharing(sharing);
+		return state.withFleet(refreshUnchanged(fleet, unchanged, message.hash(), seenAt)).withSharing(sharing);
 	}
 
 	// Failure: the message that told of a change is lost, and the next one, which says
 	// "unchanged", makes the old sight fresh: a group would serve with a member missing.
 	// The hash over what the sender sees must match what this node knows of just these
 	// VMs; if not, nothing is made fresher and the next whole message settles it.
-	private static Fleet refresh(Fleet fleet, PSet<VmName> vms, long hash, Instant seenAt) {
+	private static Fleet refreshUnchanged(Fleet fleet, PSet<VmName> vms, long hash, Instant seenAt) {
 		long known = 0;
 		for (VmName vm : vms) {
-			VmObservation sight = fleet.sights().get(vm);
-			known += (sight != null) ? Standing.of(sight.report()) : 0;
+			VmObservation observation = fleet.sights().get(vm);
+			known += (observation != null) ? StateHash.of(observation.report()) : 0;
 		}
 		if (known != hash) {
 			return fleet;
 		}
 		Fleet refreshed = fleet;
 		for (VmName vm : vms) {
-			refreshed = FleetUpdates.refresh(refreshed, vm, seenAt);
+			refreshed = FleetUpdates.refreshObservation(refreshed, vm, seenAt);
 		}
 		return refreshed;
 	}
--- a/src/main/java/sycamorehill/logic/observation/ObservationState.java
+++ b/src/main/java/sycamorehill/logic/observation/ObservationState.java
@@ -21,8 +21,8 @@
  * @param nextDutyAt when it is next looked at which VMs this node observes
  * @param sharing what passes between observers and stewards
  */
-public record ObservationState(Fleet fleet, PSet<VmName> observed, PSortedSet<AskTurn> turns, PSet<VmName> scheduled,
-		Instant nextListAt, Instant nextDutyAt, SharingState sharing) {
+public record ObservationState(Fleet fleet, PSet<VmName> observed, PSortedSet<ScheduledPoll> turns,
+		PSet<VmName> scheduled, Instant nextListAt, Instant nextDutyAt, SharingState sharing) {
 
 	/**
 	 * The state of a fresh node.
@@ -38,12 +38,12 @@
 				this.nextDutyAt, this.sharing);
 	}
 
-	ObservationState withDuty(PSet<VmName> changed, Instant next) {
+	ObservationState withObserved(PSet<VmName> changed, Instant next) {
 		return new ObservationState(this.fleet, changed, this.turns, this.scheduled, this.nextListAt, next,
 				this.sharing);
 	}
 
-	ObservationState withTurns(PSortedSet<AskTurn> changed, PSet<VmName> changedScheduled) {
+	ObservationState withTurns(PSortedSet<ScheduledPoll> changed, PSet<VmName> changedScheduled) {
 		return new ObservationState(this.fleet, this.observed, changed, changedScheduled, this.nextListAt,
 				this.nextDutyAt, this.sharing);
 	}
--- a/src/main/java/sycamorehill/logic/observation/ObserverDuty.java
+++ b/src/main/java/sycamorehill/logic/observation/ObserverAssignment.java
@@ -16,9 +16,9 @@
  * Which VMs this node observes. VMs are hashed into shares of about equal size; each
  * share has a few observers, picked by rendezvous hashing over the live nodes.
  */
-final class ObserverDuty {
+final class ObserverAssignment {
 
-	private ObserverDuty() {
+	private ObserverAssignment() {
 	}
 
 	/**
@@ -28,7 +28,7 @@
 	 * @param view the node's view
 	 * @return the VMs; all of them while the node knows of no other node
 	 */
-	static PSet<VmName> of(Iterable<VmName> vms, int count, NodeView view) {
+	static PSet<VmName> observedVms(Iterable<VmName> vms, int count, NodeView view) {
 		ObservationPolicy policy = view.policy().observation();
 		List<LiveNode> nodes = view.liveNodes().notStoppingIn(view.self().dataCentre());
 		PSet<VmName> observed = HashTreePSet.empty();
@@ -36,33 +36,33 @@
 			return observed;
 		}
 		int shares = (count + policy.vmsPerShare() - 1) / policy.vmsPerShare();
-		boolean[] mine = new boolean[shares];
+		boolean[] assigned = new boolean[shares];
 		for (int share = 0; share < shares; share++) {
-			mine[share] = nodes.size() <= policy.observersPerVm() || observes(nodes, share, policy, view);
+			assigned[share] = nodes.size() <= policy.observersPerVm() || isObserver(nodes, share, policy, view);
 		}
 		for (VmName vm : vms) {
-			if (mine[share(vm, shares)]) {
+			if (assigned[shareOf(vm, shares)]) {
 				observed = observed.plus(vm);
 			}
 		}
 		return observed;
 	}
 
-	private static int share(VmName vm, int shares) {
+	private static int shareOf(VmName vm, int shares) {
 		return (int) Math.floorMod(Hashing.komihash5_0().hashCharsToLong(vm.value()), (long) shares);
 	}
 
-	private static boolean observes(List<LiveNode> nodes, int share, ObservationPolicy policy, NodeView view) {
+	private static boolean isObserver(List<LiveNode> nodes, int share, ObservationPolicy policy, NodeView view) {
 		NodeName self = view.self().incarnation().node();
 		long own = weight(self, share);
-		long before = nodes.stream()
+		long higherRanked = nodes.stream()
 			.map((node) -> node.identity().incarnation().node())
 			.filter((node) -> !node.equals(self))
 			.filter((node) -> weight(node, share) < own)
 			.limit(policy.observersPerVm())
 			.count();
-		boolean dutiful = nodes.stream().anyMatch((node) -> node.identity().incarnation().node().equals(self));
-		return dutiful && before < policy.observersPerVm();
+		boolean eligible = nodes.stream().anyMatch((node) -> node.identity().incarnation().node().equals(self));
+		return eligible && higherRanked < policy.observersPerVm();
 	}
 
 	private static long weight(NodeName node, int share) {
--- a/src/main/java/sycamorehill/logic/observation/Rendezvous.java
+++ b/src/main/java/sycamorehill/logic/observation/Rendezvous.java
@@ -15,7 +15,7 @@
  */
 public final class Rendezvous {
 
-	private static final String STEWARDS = "stewards";
+	private static final String STEWARD_DUTY = "stewards";
 
 	private Rendezvous() {
 	}
@@ -26,7 +26,7 @@
 	 * @param duty names the duty
 	 * @return the nodes, the first choice first
 	 */
-	public static List<LiveNode> order(List<LiveNode> nodes, String duty) {
+	public static List<LiveNode> rank(List<LiveNode> nodes, String duty) {
 		return nodes.stream()
 			.sorted(Comparator.comparingLong((LiveNode node) -> weight(node, duty))
 				.thenComparing((node) -> node.identity().incarnation().node()))
@@ -41,7 +41,7 @@
 	 * @return the stewards, the first choice first
 	 */
 	public static List<NodeIdentity> stewards(NodeView view, DataCentreName dataCentre) {
-		return order(view.liveNodes().notStoppingIn(dataCentre), STEWARDS).stream()
+		return rank(view.liveNodes().notStoppingIn(dataCentre), STEWARD_DUTY).stream()
 			.limit(view.policy().observation().stewards())
 			.map(LiveNode::identity)
 			.toList();
--- a/src/main/java/sycamorehill/logic/observation/AskTurn.java
+++ b/src/main/java/sycamorehill/logic/observation/ScheduledPoll.java
@@ -11,12 +11,13 @@
  * @param at own monotonic time
  * @param vm the VM
  */
-public record AskTurn(Instant at, VmName vm) implements Comparable<AskTurn> {
+public record ScheduledPoll(Instant at, VmName vm) implements Comparable<ScheduledPoll> {
 
-	private static final Comparator<AskTurn> ORDER = Comparator.comparing(AskTurn::at).thenComparing(AskTurn::vm);
+	private static final Comparator<ScheduledPoll> ORDER = Comparator.comparing(ScheduledPoll::at)
+		.thenComparing(ScheduledPoll::vm);
 
 	@Override
-	public int compareTo(AskTurn other) {
+	public int compareTo(ScheduledPoll other) {
 		return ORDER.compare(this, other);
 	}
 
--- a/src/main/java/sycamorehill/logic/observation/SenderClocks.java
+++ b/src/main/java/sycamorehill/logic/observation/SenderClocks.java
@@ -17,13 +17,13 @@
  */
 public record SenderClocks(PMap<NodeIncarnation, Offset> offsets) {
 
-	private static final Duration KEPT = Duration.ofMinutes(10);
+	private static final Duration OFFSET_RETENTION = Duration.ofMinutes(10);
 
 	/**
 	 * No sender known yet.
 	 * @return the empty value
 	 */
-	public static SenderClocks none() {
+	public static SenderClocks empty() {
 		return new SenderClocks(HashTreePMap.empty());
 	}
 
@@ -34,11 +34,12 @@
 	 * @param sentAt the sender's monotonic time in milliseconds
 	 * @return what is known now
 	 */
-	public SenderClocks received(NodeIncarnation sender, Instant now, long sentAt) {
+	public SenderClocks withMessage(NodeIncarnation sender, Instant now, long sentAt) {
 		long offset = now.toEpochMilli() - sentAt;
-		Offset before = this.offsets.get(sender);
-		boolean lower = before == null || offset <= before.smallest || before.since.plus(KEPT).isBefore(now);
-		return lower ? new SenderClocks(this.offsets.plus(sender, new Offset(offset, now))) : this;
+		Offset previous = this.offsets.get(sender);
+		boolean replace = previous == null || offset <= previous.smallest
+				|| previous.since.plus(OFFSET_RETENTION).isBefore(now);
+		return replace ? new SenderClocks(this.offsets.plus(sender, new Offset(offset, now))) : this;
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/observation/SharingState.java
+++ b/src/main/java/sycamorehill/logic/observation/SharingState.java
@@ -25,7 +25,7 @@
 		SenderClocks clocks, PMap<NodeName, PSet<VmName>> observers) {
 
 	static SharingState initial() {
-		return new SharingState(HashTreePMap.empty(), Instant.MIN, 0, 0, 0, SenderClocks.none(), HashTreePMap.empty());
+		return new SharingState(HashTreePMap.empty(), Instant.MIN, 0, 0, 0, SenderClocks.empty(), HashTreePMap.empty());
 	}
 
 	SharingState withOwn(PMap<VmName, VmObservation> changed) {
@@ -33,8 +33,8 @@
 				this.observers);
 	}
 
-	SharingState sent(Instant next, long hash, int wholes) {
-		return new SharingState(this.own, next, hash, wholes, this.round + 1, this.clocks, this.observers);
+	SharingState withMessageSent(Instant next, long hash, int fullMessages) {
+		return new SharingState(this.own, next, hash, fullMessages, this.round + 1, this.clocks, this.observers);
 	}
 
 	SharingState withClocks(SenderClocks changed) {
--- a/src/main/java/sycamorehill/logic/observation/Standing.java
+++ b/src/main/java/sycamorehill/logic/observation/StateHash.java
@@ -10,9 +10,9 @@
 /**
  * Hashes by which two nodes tell whether they know the same.
  */
-public final class Standing {
+public final class StateHash {
 
-	private Standing() {
+	private StateHash() {
 	}
 
 	/**
--- a/src/test/java/sycamorehill/logic/membership/MembershipTests.java
+++ b/src/test/java/sycamorehill/logic/membership/MembershipTests.java
@@ -24,7 +24,7 @@
 
 	private static final DataCentreName FUKUOKA = DataCentreName.of("fukuoka");
 
-	private static final int LARGE = 20;
+	private static final int LARGE_DATA_CENTRE_SIZE = 20;
 
 	private final NodeGroup group = NodeGroup.create(new SplittableRandom(11));
 
@@ -35,7 +35,7 @@
 	}
 
 	@Test
-	void killedNodeIsDroppedEverywhere() {
+	void killedNodeIsRemovedEverywhere() {
 		startSix();
 		this.group.kill("node-1");
 		this.group.runFor(Duration.ofSeconds(8));
@@ -43,7 +43,7 @@
 	}
 
 	@Test
-	void killedNodeOfALargeDataCentreIsDroppedEverywhere() {
+	void killedNodeOfALargeDataCentreIsRemovedEverywhere() {
 		startLarge();
 		this.group.kill("node-3");
 		this.group.runFor(Duration.ofSeconds(10));
@@ -51,7 +51,7 @@
 	}
 
 	@Test
-	void killedDelegatesAreReplacedAndDropped() {
+	void killedDelegatesAreReplacedAndRemoved() {
 		// Both nodes that speak for a data centre die at once. Without successors the
 		// whole data centre would fall silent for the others, although all its other
 		// nodes run.
@@ -60,41 +60,41 @@
 		delegates.forEach(this.group::kill);
 		this.group.runFor(Duration.ofSeconds(25));
 		assertThat(this.group.nodes())
-			.allMatch((node) -> node.liveNodes().in(FUKUOKA).size() == LARGE - delegates.size());
+			.allMatch((node) -> node.liveNodes().in(FUKUOKA).size() == LARGE_DATA_CENTRE_SIZE - delegates.size());
 	}
 
 	@Test
-	void nodeThatADelegateCannotHearStaysAliveByTheOther() {
+	void nodeUnreachableForOneDelegateStaysLiveThroughTheOther() {
 		// One link fails one way: a node's heartbeats no longer reach one of the two
 		// delegates. If one observer's silence were enough, a healthy node would be
 		// taken for dead.
 		startLarge();
-		String deaf = delegates().get(0);
-		String unheard = ordinary();
-		this.group.cut((from, to) -> from.incarnation().node().value().equals(unheard)
-				&& to.incarnation().node().value().equals(deaf));
+		String delegate = delegates().get(0);
+		String sender = nonDelegate();
+		this.group.cut((from, to) -> from.incarnation().node().value().equals(sender)
+				&& to.incarnation().node().value().equals(delegate));
 		this.group.runFor(Duration.ofSeconds(30));
-		assertThat(this.group.nodes()).allMatch((node) -> knows(node, unheard));
+		assertThat(this.group.nodes()).allMatch((node) -> knows(node, sender));
 	}
 
 	@Test
-	void deadNodeIsNotKeptAliveByDelegatesThatRelyOnEachOther() {
+	void deadNodeIsRemovedAlthoughADelegateReliesOnAnother() {
 		// A node reaches only one delegate, then dies. The other delegate had it on
 		// the first one's word; if it passed that on as its own, both would keep the
 		// dead node for ever.
 		startLarge();
-		String deaf = delegates().get(0);
-		String unheard = ordinary();
-		this.group.cut((from, to) -> from.incarnation().node().value().equals(unheard)
-				&& to.incarnation().node().value().equals(deaf));
+		String delegate = delegates().get(0);
+		String sender = nonDelegate();
+		this.group.cut((from, to) -> from.incarnation().node().value().equals(sender)
+				&& to.incarnation().node().value().equals(delegate));
 		this.group.runFor(Duration.ofSeconds(10));
-		this.group.kill(unheard);
+		this.group.kill(sender);
 		this.group.runFor(Duration.ofSeconds(15));
-		assertThat(this.group.nodes()).noneMatch((node) -> knows(node, unheard));
+		assertThat(this.group.nodes()).noneMatch((node) -> knows(node, sender));
 	}
 
 	@Test
-	void pausedNodeIsDroppedAndComesBack() {
+	void pausedNodeIsRemovedAndRejoins() {
 		startSix();
 		this.group.pause("node-2", Duration.ofSeconds(10));
 		this.group.runFor(Duration.ofSeconds(8));
@@ -113,19 +113,19 @@
 	}
 
 	@Test
-	void lateHeartbeatOfAnEarlierLifeDoesNotBringItBack() {
+	void delayedHeartbeatOfAnEarlierIncarnationIsIgnored() {
 		// A node restarts. A heartbeat of its former life has been held up by the
 		// network and comes after those of the new one: work would be handed to a
 		// life that is over.
 		startSix();
-		NodeIdentity former = this.group.node("node-1").self();
+		NodeIdentity earlier = this.group.node("node-1").self();
 		this.group.start("node-1", "fukuoka");
 		this.group.runFor(Duration.ofSeconds(5));
-		Heartbeat late = new Heartbeat(false, 0, 1000, false, 0, List.of(), List.of(), List.of());
+		Heartbeat delayed = new Heartbeat(false, 0, 1000, false, 0, List.of(), List.of(), List.of());
 		ControlNode after = this.group.node("node-2")
-			.reduce(this.group.now(), new PeerEvent.MessageReceived(former, late))
+			.reduce(this.group.now(), new PeerEvent.MessageReceived(earlier, delayed))
 			.state();
-		assertThat(incarnation(after, "node-1")).isGreaterThan(former.incarnation().number());
+		assertThat(incarnation(after, "node-1")).isGreaterThan(earlier.incarnation().number());
 	}
 
 	@Test
@@ -137,18 +137,18 @@
 	}
 
 	@Test
-	void cutOffDataCentreKeepsItsOwnNodes() {
+	void partitionedDataCentreKeepsItsOwnNodes() {
 		startSix();
-		cutOff("fukuoka");
+		partition("fukuoka");
 		this.group.runFor(Duration.ofSeconds(15));
 		assertThat(this.group.node("node-1").liveNodes().nodes().keySet()).containsExactly(NodeName.of("node-1"),
 				NodeName.of("node-2"));
 	}
 
 	@Test
-	void dataCentreIsFoundAgainAfterACut() {
+	void dataCentreRejoinsAfterAPartition() {
 		startSix();
-		cutOff("fukuoka");
+		partition("fukuoka");
 		this.group.runFor(Duration.ofSeconds(60));
 		this.group.cut((from, to) -> false);
 		this.group.runFor(Duration.ofSeconds(10));
@@ -156,7 +156,7 @@
 	}
 
 	@Test
-	void dataCentreReplacedInAnOutageIsFoundByTheOthers() {
+	void dataCentreReplacedInAPlatformOutageIsDiscovered() {
 		// All nodes of a data centre are replaced at the same addresses while the
 		// platform is down: nothing introduces them. The others still know the
 		// addresses and try them.
@@ -171,11 +171,12 @@
 	@Test
 	void allNodesOfALargeDataCentreReplacedAtOnceFindEachOther() {
 		startLarge();
-		for (int index = 1; index <= LARGE; index++) {
+		for (int index = 1; index <= LARGE_DATA_CENTRE_SIZE; index++) {
 			this.group.start("node-" + index, "fukuoka");
 		}
 		this.group.runFor(Duration.ofSeconds(20));
-		assertThat(this.group.nodes()).allMatch((node) -> node.liveNodes().nodes().size() == LARGE + 2);
+		assertThat(this.group.nodes())
+			.allMatch((node) -> node.liveNodes().nodes().size() == LARGE_DATA_CENTRE_SIZE + 2);
 	}
 
 	private void startSix() {
@@ -187,13 +188,14 @@
 	}
 
 	private void startLarge() {
-		for (int index = 1; index <= LARGE; index++) {
+		for (int index = 1; index <= LARGE_DATA_CENTRE_SIZE; index++) {
 			this.group.start("node-" + index, "fukuoka");
 		}
 		this.group.start("other-1", "kumamoto");
 		this.group.start("other-2", "kumamoto");
 		this.group.runFor(Duration.ofSeconds(15));
-		assertThat(this.group.nodes()).allMatch((node) -> node.liveNodes().nodes().size() == LARGE + 2);
+		assertThat(this.group.nodes())
+			.allMatch((node) -> node.liveNodes().nodes().size() == LARGE_DATA_CENTRE_SIZE + 2);
 	}
 
 	private List<String> delegates() {
@@ -203,7 +205,7 @@
 			.toList();
 	}
 
-	private String ordinary() {
+	private String nonDelegate() {
 		List<String> delegates = delegates();
 		return this.group.node("node-1")
 			.liveNodes()
@@ -215,7 +217,7 @@
 			.orElseThrow();
 	}
 
-	private void cutOff(String dataCentre) {
+	private void partition(String dataCentre) {
 		DataCentreName name = DataCentreName.of(dataCentre);
 		this.group.cut((from, to) -> from.dataCentre().equals(name) != to.dataCentre().equals(name));
 	}
--- a/src/test/java/sycamorehill/logic/observation/FleetUpdatesTests.java
+++ b/src/test/java/sycamorehill/logic/observation/FleetUpdatesTests.java
@@ -23,74 +23,79 @@
 
 class FleetUpdatesTests {
 
-	private static final DataCentreName OWN = DataCentreName.of("dc0");
+	private static final DataCentreName OWN_DATA_CENTRE = DataCentreName.of("dc0");
 
 	private static final VmName VM = VmName.of("vm-1");
 
-	private static final Duration MEMORY = Duration.ofMinutes(5);
+	private static final Duration LEAVING_MEMORY = Duration.ofMinutes(5);
 
-	private static Fleet list(Fleet fleet, VmStatus status, String instance, int second) {
-		VmEntry entry = new VmEntry(VM, OWN, FabricDomain.of("d"), Address.of("10.0.0.1", 9), status, instance);
-		return FleetUpdates.list(fleet, List.of(entry), OWN, Instant.ofEpochSecond(second), MEMORY);
+	private static Fleet applyList(Fleet fleet, VmStatus status, String instance, int seconds) {
+		VmEntry entry = new VmEntry(VM, OWN_DATA_CENTRE, FabricDomain.of("d"), Address.of("10.0.0.1", 9), status,
+				instance);
+		return FleetUpdates.applyList(fleet, List.of(entry), OWN_DATA_CENTRE, Instant.ofEpochSecond(seconds),
+				LEAVING_MEMORY);
 	}
 
-	private static VmObservation sight(EngineState state, long sequence, int second) {
+	private static VmObservation observation(EngineState state, long sequence, int seconds) {
 		VmReport report = new VmReport(VM, "i", state, Optional.empty(), false, 0, 0, 0, 0, sequence);
-		return new VmObservation(report, Instant.ofEpochSecond(second));
+		return new VmObservation(report, Instant.ofEpochSecond(seconds));
 	}
 
 	// Two data centres' lists name one VM, after a move that the list tells badly. Both
 	// would claim it.
 	@Test
-	void aVmOfAnotherDataCentreIsPassedOver() {
+	void vmOfAnotherDataCentreIsIgnored() {
 		VmEntry foreign = new VmEntry(VM, DataCentreName.of("dc1"), FabricDomain.of("d"), Address.of("10.0.0.1", 9),
 				VmStatus.LIVE, "i");
-		Fleet fleet = FleetUpdates.list(Fleet.empty(), List.of(foreign), OWN, Instant.EPOCH, MEMORY);
+		Fleet fleet = FleetUpdates.applyList(Fleet.empty(), List.of(foreign), OWN_DATA_CENTRE, Instant.EPOCH,
+				LEAVING_MEMORY);
 		Assertions.assertThat(fleet.entries()).isEmpty();
 	}
 
 	// The engine says that it will go; the list lags and still shows the VM as live. A
 	// group formed with it would be cut off.
 	@Test
-	void aListThatShowsALeavingVmLiveAgainIsNotEnough() {
-		Fleet fleet = FleetUpdates.leaving(list(Fleet.empty(), VmStatus.LIVE, "i", 1), VM, Instant.ofEpochSecond(2));
-		Assertions.assertThat(list(fleet, VmStatus.LIVE, "i", 60).isLeaving(VM)).isTrue();
+	void leavingVmStaysLeavingAlthoughTheListShowsItLive() {
+		Fleet fleet = FleetUpdates.recordLeavingNotice(applyList(Fleet.empty(), VmStatus.LIVE, "i", 1), VM,
+				Instant.ofEpochSecond(2));
+		Assertions.assertThat(applyList(fleet, VmStatus.LIVE, "i", 60).isLeaving(VM)).isTrue();
 	}
 
 	@Test
-	void aReplacedVmIsNoLongerLeaving() {
-		Fleet fleet = list(Fleet.empty(), VmStatus.LEAVING, "i", 1);
-		Assertions.assertThat(list(fleet, VmStatus.LIVE, "j", 60).isLeaving(VM)).isFalse();
+	void replacedVmIsNoLongerLeaving() {
+		Fleet fleet = applyList(Fleet.empty(), VmStatus.LEAVING, "i", 1);
+		Assertions.assertThat(applyList(fleet, VmStatus.LIVE, "j", 60).isLeaving(VM)).isFalse();
 	}
 
 	@Test
-	void aVmThatAllSignsSayStaysIsTakenBackInTime() {
-		Fleet fleet = list(Fleet.empty(), VmStatus.LEAVING, "i", 1);
-		Assertions.assertThat(list(fleet, VmStatus.LIVE, "i", 400).isLeaving(VM)).isFalse();
+	void leavingNoticeExpiresWhenNotRepeated() {
+		Fleet fleet = applyList(Fleet.empty(), VmStatus.LEAVING, "i", 1);
+		Assertions.assertThat(applyList(fleet, VmStatus.LIVE, "i", 400).isLeaving(VM)).isFalse();
 	}
 
 	// An answer that was delayed on its way comes after a later one, and shows the VM in
 	// a state that it has left.
 	@Test
-	void aLateReportDoesNotTakeTheViewBack() {
-		Fleet fleet = FleetUpdates.report(Fleet.empty(), sight(EngineState.FAILED, 7, 5));
-		Fleet after = FleetUpdates.report(fleet, sight(EngineState.READY, 6, 6));
+	void delayedReportDoesNotReplaceALaterOne() {
+		Fleet fleet = FleetUpdates.applyReport(Fleet.empty(), observation(EngineState.FAILED, 7, 5));
+		Fleet after = FleetUpdates.applyReport(fleet, observation(EngineState.READY, 6, 6));
 		Assertions.assertThat(after.observation(VM).orElseThrow().report().state()).isEqualTo(EngineState.FAILED);
 	}
 
 	@Test
-	void theSightOfAReplacedVmIsForgotten() {
-		Fleet fleet = FleetUpdates.report(list(Fleet.empty(), VmStatus.LIVE, "i", 1), sight(EngineState.READY, 1, 2));
-		Assertions.assertThat(list(fleet, VmStatus.LIVE, "j", 3).observation(VM)).isEmpty();
+	void observationOfAReplacedVmIsRemoved() {
+		Fleet fleet = FleetUpdates.applyReport(applyList(Fleet.empty(), VmStatus.LIVE, "i", 1),
+				observation(EngineState.READY, 1, 2));
+		Assertions.assertThat(applyList(fleet, VmStatus.LIVE, "j", 3).observation(VM)).isEmpty();
 	}
 
 	// A message waits for four seconds in a full connection. What it tells is as old as
 	// that, whatever it says.
 	@Test
-	void theTimeThatAMessageWasUnderWayCounts() {
+	void transitDelayOfAMessageIsMeasured() {
 		NodeIncarnation sender = NodeIncarnation.of(NodeName.of("n"), 1);
-		SenderClocks clocks = SenderClocks.none().received(sender, Instant.ofEpochSecond(100), 5_000);
-		SenderClocks later = clocks.received(sender, Instant.ofEpochSecond(114), 15_000);
+		SenderClocks clocks = SenderClocks.empty().withMessage(sender, Instant.ofEpochSecond(100), 5_000);
+		SenderClocks later = clocks.withMessage(sender, Instant.ofEpochSecond(114), 15_000);
 		Assertions.assertThat(later.delay(sender, Instant.ofEpochSecond(114), 15_000)).isEqualTo(4_000);
 	}
 
--- a/src/test/java/sycamorehill/logic/observation/SightSharingTests.java
+++ b/src/test/java/sycamorehill/logic/observation/ObservationSharingTests.java
@@ -17,9 +17,9 @@
 import sycamorehill.model.identity.VmName;
 import sycamorehill.model.peer.VmSightsSent;
 
-class SightSharingTests {
+class ObservationSharingTests {
 
-	private static final NodeIdentity FROM = new NodeIdentity(NodeIncarnation.of(NodeName.of("n"), 1),
+	private static final NodeIdentity SENDER = new NodeIdentity(NodeIncarnation.of(NodeName.of("n"), 1),
 			DataCentreName.of("dc0"), Address.of("10.0.0.2", 7));
 
 	private static final VmName VM = VmName.of("vm-1");
@@ -28,22 +28,23 @@
 		return new VmReport(VM, "i", state, Optional.empty(), false, 0, 0, 0, 0, sequence);
 	}
 
-	private static ObservationState received(ObservationState state, int second, VmSightsSent message) {
-		return SightSharing.received(state, Instant.ofEpochSecond(second), FROM, message);
+	private static ObservationState handleMessage(ObservationState state, int seconds, VmSightsSent message) {
+		return ObservationSharing.handleMessage(state, Instant.ofEpochSecond(seconds), SENDER, message);
 	}
 
-	private static VmSightsSent unchanged(int second, EngineState state) {
-		return new VmSightsSent(second * 1000L, false, List.of(), List.of(), Standing.of(report(state, 1)), 100);
+	private static VmSightsSent unchangedMessage(int seconds, EngineState state) {
+		return new VmSightsSent(seconds * 1000L, false, List.of(), List.of(), StateHash.of(report(state, 1)), 100);
 	}
 
-	private static ObservationState seenReady() {
-		VmSightsSent whole = new VmSightsSent(1000, true, List.of(report(EngineState.READY, 1)), List.of(100), 0, 100);
-		return received(ObservationState.initial(), 1, whole);
+	private static ObservationState stateWithReadyVm() {
+		VmSightsSent fullMessage = new VmSightsSent(1000, true, List.of(report(EngineState.READY, 1)), List.of(100), 0,
+				100);
+		return handleMessage(ObservationState.initial(), 1, fullMessage);
 	}
 
 	@Test
-	void unchangedSightsAreMadeFresh() {
-		ObservationState state = received(seenReady(), 4, unchanged(4, EngineState.READY));
+	void unchangedObservationsAreRefreshed() {
+		ObservationState state = handleMessage(stateWithReadyVm(), 4, unchangedMessage(4, EngineState.READY));
 		Assertions.assertThat(state.fleet().observation(VM).orElseThrow().seenAt())
 			.isEqualTo(Instant.ofEpochMilli(3900));
 	}
@@ -51,8 +52,8 @@
 	// The message that told of a failed member is lost; the next one says "unchanged". A
 	// reader that took its own old view for the sender's would keep the group serving.
 	@Test
-	void unchangedSightsOfAnotherStandingMakeNothingFresh() {
-		ObservationState state = received(seenReady(), 4, unchanged(4, EngineState.FAILED));
+	void observationsAreNotRefreshedWhenTheHashDiffers() {
+		ObservationState state = handleMessage(stateWithReadyVm(), 4, unchangedMessage(4, EngineState.FAILED));
 		Assertions.assertThat(state.fleet().observation(VM).orElseThrow().seenAt())
 			.isEqualTo(Instant.ofEpochMilli(900));
 	}
