--- a/src/main/java/sycamorehill/logic/quarantine/CrashDetection.java
+++ b/src/main/java/sycamorehill/logic/quarantine/CrashDetection.java
@@ -196,8 +196,8 @@
 
 	private static boolean isObservedServing(QuarantineStep step, SuspectedCrash crash) {
 		// A failed network link of this node looks like a crash of every target behind
-		// it. The observations of its members by other nodes show whether the target
-		// still serves.
+		// it. Other nodes' observations of the target's members show whether it still
+		// serves.
 		return !crash.target().members().isEmpty() && crash.target()
 			.members()
 			.stream()
