--- a/src/main/java/sycamorehill/logic/admission/TicketedDataCentres.java
+++ b/src/main/java/sycamorehill/logic/admission/TicketedDataCentres.java
@@ -20,10 +20,10 @@
 	private TicketedDataCentres() {
 	}
 
-	static PMap<DataCentreName, Boolean> of(DesiredState truth) {
+	static PMap<DataCentreName, Boolean> of(DesiredState desiredState) {
 		PMap<DataCentreName, Boolean> dataCentres = TreePMap.empty();
-		for (AppliedItem found : truth.items().values()) {
-			dataCentres = dataCentres.plusAll(of(found.item()));
+		for (AppliedItem applied : desiredState.items().values()) {
+			dataCentres = dataCentres.plusAll(of(applied.item()));
 		}
 		return dataCentres;
 	}
