--- a/src/main/java/sycamorehill/logic/request/RetryRule.java
+++ b/src/main/java/sycamorehill/logic/request/RetryRule.java
@@ -9,7 +9,7 @@
 import sycamorehill.model.request.AttemptResult;
 
 /**
- * Decides whether a request gets a further attempt, and when.
+ * Decides whether and when a request is retried.
  */
 final class RetryRule {
 
@@ -17,68 +17,68 @@
 	}
 
 	/**
-	 * Has the request tried again, or gives it its final answer at once.
-	 * @param step the step
-	 * @param request the request, whose last attempt is in its history
-	 * @param result how that attempt ended
+	 * Schedules a retry of the request, or finishes it immediately.
+	 * @param step the current step
+	 * @param request the request, with its last attempt in the history
+	 * @param result the result of the last attempt
 	 */
-	static void apply(RequestStep step, ActiveRequest request, AttemptResult result) {
+	static void retryOrFinish(RequestStep step, ActiveRequest request, AttemptResult result) {
 		ServiceName service = request.description().service();
 		ServiceBudgets budgets = step.budgets(service);
-		if (!mayTryAgain(step, request, result) || !budgets.allows(request.begun()) || !hasPlaceToGo(step, request)) {
-			step.finish(request, request.history().outcome(step.comeBack()));
+		if (!isRetryAllowed(step, request, result) || !budgets.allowsRetry(request.hasBegun())
+				|| !isTargetAvailable(step, request)) {
+			step.finish(request, request.history().outcome(step.retryAfter()));
 			return;
 		}
 		Duration backoff = backoff(step, request, result);
 		Instant tryAt = step.now().plus(backoff);
-		if (!request.begun() && !tryAt.isBefore(request.description().deadline())) {
-			step.finish(request, request.history().outcome(step.comeBack()));
+		if (!request.hasBegun() && !tryAt.isBefore(request.description().deadline())) {
+			step.finish(request, request.history().outcome(step.retryAfter()));
 			return;
 		}
-		step.setBudgets(service, budgets.spent(request.begun()));
-		Instant giveUpAt = request.begun() ? tryAt.plus(step.policy().resumeWait()) : tryAt;
+		step.setBudgets(service, budgets.afterRetry(request.hasBegun()));
+		Instant giveUpAt = request.hasBegun() ? tryAt.plus(step.policy().resumeWait()) : tryAt;
 		ActiveRequest waiting = request.withGiveUpAt(giveUpAt);
 		if (backoff.isZero()) {
-			step.put(waiting.withWakeAt(Optional.empty()));
+			step.putRequest(waiting.withWakeAt(Optional.empty()));
 			step.raise(new RequestEvent.AttemptDue(request.identifier()));
 		}
 		else {
-			step.put(waiting.withWakeAt(Optional.of(tryAt)));
+			step.putRequest(waiting.withWakeAt(Optional.of(tryAt)));
 		}
 	}
 
-	private static boolean mayTryAgain(RequestStep step, ActiveRequest request, AttemptResult result) {
-		// Whether the kind of work and of failure allow a further attempt. Work that
-		// is not idempotent may go to another target only if the one before certainly
-		// did not run it: it was never connected to, or it said itself that it
-		// refused before running. After a broken answer it may have run, so a further
-		// attempt would run the order twice.
+	private static boolean isRetryAllowed(RequestStep step, ActiveRequest request, AttemptResult result) {
+		// A request that is not idempotent may be retried only if the previous target
+		// certainly did not run it: no connection was established, or the target refused
+		// it before running it. After an interrupted answer it may have run, so a retry
+		// could run the order twice.
 		if (request.callerGone() || request.history().started() >= step.policy().mostAttempts()) {
 			return false;
 		}
 		boolean certainlyNotRun = result instanceof AttemptResult.NotSent
 				|| result instanceof AttemptResult.RefusedBeforeRunning;
-		return request.repeatable() || certainlyNotRun;
+		return request.isIdempotent() || certainlyNotRun;
 	}
 
-	private static boolean hasPlaceToGo(RequestStep step, ActiveRequest request) {
-		// A stream that has begun waits a little for a target; any other request is
-		// better told at once than after a wait for nothing.
-		return request.begun() || step.chooseTarget(request).isPresent();
+	private static boolean isTargetAvailable(RequestStep step, ActiveRequest request) {
+		// A stream that has started waits briefly for a target. Any other request fails
+		// immediately rather than after a futile wait.
+		return request.hasBegun() || step.chooseTarget(request).isPresent();
 	}
 
 	private static Duration backoff(RequestStep step, ActiveRequest request, AttemptResult result) {
-		// Nothing for the first retry after a target that is gone, as waiting would
-		// not help it; else a wait that doubles, with jitter, so that a target that
-		// is overloaded or slow is not asked by all at one moment.
+		// The first retry after the loss of a target has no delay, because waiting would
+		// not help. Other retries use exponential backoff with jitter, so that they don't
+		// reach an overloaded or slow target at the same moment.
 		int ended = request.history().started();
-		if (ended == 1 && targetGone(result)) {
+		if (ended == 1 && isTargetGone(result)) {
 			return Duration.ZERO;
 		}
 		return step.jittered(step.policy().backoff().multipliedBy(1L << (ended - 1)));
 	}
 
-	private static boolean targetGone(AttemptResult result) {
+	private static boolean isTargetGone(AttemptResult result) {
 		if (result instanceof AttemptResult.RefusedBeforeRunning refused) {
 			return refused.leaving();
 		}
--- a/src/main/java/sycamorehill/logic/request/RunEvidence.java
+++ b/src/main/java/sycamorehill/logic/request/RunEvidence.java
@@ -1,20 +1,20 @@
 package sycamorehill.logic.request;
 
 /**
- * What the attempts so far say about whether the request ran, from the best to the worst.
+ * Evidence of whether a request ran, ordered from best to worst.
  */
 enum RunEvidence {
 
-	/** No target ran it. */
+	/** No target ran the request. */
 	NOT_RUN,
 
-	/** A target ran it and failed. */
+	/** A target ran the request and failed. */
 	FAILED,
 
-	/** A target may have run it, or may be running it still. */
+	/** A target may have run the request, or may still be running it. */
 	UNKNOWN;
 
-	RunEvidence worse(RunEvidence other) {
+	RunEvidence worseOf(RunEvidence other) {
 		return (compareTo(other) >= 0) ? this : other;
 	}
 
