--- a/src/main/java/sycamorehill/logic/membership/DataCentreView.java
+++ b/src/main/java/sycamorehill/logic/membership/DataCentreView.java
@@ -16,16 +16,17 @@
 import sycamorehill.model.peer.MembersChanged;
 
 /**
- * The live nodes of one data centre as its delegates vouch for them.
+ * The live nodes of one data centre, as its delegates confirm them.
  *
  * @param members the nodes by name
- * @param hash of all members; does not depend on their order
- * @param vouchedAt own monotonic time of the last word for exactly this set,
- * {@link Instant#MIN} before the first
- * @param askedAt when the whole set was last asked for
- * @param pushed the members as last pushed to the nodes of this data centre
- * @param pushedHash of the pushed members
- * @param steps how many times delegates were passed over since the last word
+ * @param hash the hash of all members, independent of their order
+ * @param vouchedAt the monotonic time of this node at the last confirmation of exactly
+ * this set, {@link Instant#MIN} before the first
+ * @param askedAt the monotonic time of this node at the last request for the complete
+ * set, {@link Instant#MIN} before the first
+ * @param pushed the members as last pushed to the nodes of this node's data centre
+ * @param pushedHash the hash of the pushed members
+ * @param steps how often silent delegates were skipped since the last confirmation
  */
 record DataCentreView(PMap<NodeName, MemberEntry> members, long hash, Instant vouchedAt, Instant askedAt,
 		PMap<NodeName, MemberEntry> pushed, long pushedHash, int steps) {
@@ -35,8 +36,8 @@
 	}
 
 	/**
-	 * Whether a delegate has ever given its word.
-	 * @return whether the members mean anything
+	 * Tells whether a delegate has ever confirmed the members.
+	 * @return whether there was a confirmation
 	 */
 	boolean isConfirmed() {
 		return !this.vouchedAt.equals(Instant.MIN);
@@ -92,9 +93,9 @@
 	}
 
 	/**
-	 * What has changed since the last push.
+	 * Returns the changes since the last push.
 	 * @param dataCentre the name of this data centre
-	 * @return the change from the pushed to the present members
+	 * @return the change from the pushed to the current members
 	 */
 	MembersChanged changeSincePush(DataCentreName dataCentre) {
 		List<MemberEntry> present = new ArrayList<>();
--- a/src/main/java/sycamorehill/logic/membership/DelegateReport.java
+++ b/src/main/java/sycamorehill/logic/membership/DelegateReport.java
@@ -6,15 +6,16 @@
 import sycamorehill.model.identity.NodeName;
 
 /**
- * What another delegate of the own data centre has said last of the same set of members.
+ * The last report of another delegate of the same data centre about the same set of
+ * members.
  *
- * @param heardAt own monotonic time of its word
- * @param unheard members that it has not heard itself
+ * @param heardAt the monotonic time of this node when it received the report
+ * @param unheard the members from which the other delegate receives no heartbeats itself
  */
 record DelegateReport(Instant heardAt, Set<NodeName> unheard) {
 
 	/**
-	 * Takes a copy of the set.
+	 * Copies the set.
 	 */
 	DelegateReport {
 		unheard = Set.copyOf(unheard);
--- a/src/main/java/sycamorehill/logic/membership/Delegates.java
+++ b/src/main/java/sycamorehill/logic/membership/Delegates.java
@@ -10,10 +10,11 @@
 import sycamorehill.model.membership.LiveNode;
 
 /**
- * The nodes that speak for a data centre: those with the highest hash (rendezvous
- * hashing), so that a change of the live nodes moves as few delegates as possible. Nodes
- * that disagree for a while on who is alive may take different ones for delegates: more
- * delegates than wanted do no harm.
+ * Selects the nodes that represent a data centre towards the other data centres and
+ * confirm its live nodes. They are the nodes with the highest rendezvous hash, so that a
+ * change of the live nodes replaces as few delegates as possible. Nodes that temporarily
+ * disagree on the live nodes may select different delegates. This is safe: surplus
+ * delegates do no harm.
  */
 public final class Delegates {
 
@@ -23,10 +24,10 @@
 	}
 
 	/**
-	 * Chooses the delegates.
-	 * @param nodes the nodes of one data centre that take duties
-	 * @param count how many delegates there are to be
-	 * @return the delegates, the first choice first
+	 * Returns the delegates among the nodes of a data centre.
+	 * @param nodes the nodes of the data centre that may take on duties
+	 * @param count the number of delegates
+	 * @return the delegates, the highest hash first
 	 */
 	public static List<LiveNode> of(List<LiveNode> nodes, int count) {
 		return nodes.stream()
@@ -36,10 +37,11 @@
 	}
 
 	/**
-	 * The delegates of a data centre as a node sees them.
-	 * @param view what the node knows
+	 * Returns the delegates of a data centre according to the live nodes that this node
+	 * knows.
+	 * @param view the view of this node
 	 * @param dataCentre the data centre
-	 * @return the delegates, the first choice first
+	 * @return the delegates, the highest hash first
 	 */
 	public static List<LiveNode> in(NodeView view, DataCentreName dataCentre) {
 		return of(view.liveNodes().notStoppingIn(dataCentre), view.policy().membership().delegates());
--- a/src/main/java/sycamorehill/logic/membership/DirectContact.java
+++ b/src/main/java/sycamorehill/logic/membership/DirectContact.java
@@ -6,24 +6,26 @@
 import sycamorehill.model.identity.NodeIdentity;
 
 /**
- * A node that has been heard itself.
+ * A node from which this node has received heartbeats itself.
  *
- * @param identity who and where it is
- * @param former number of the incarnation before it that this node has heard, 0 for none
- * @param stopping whether it takes no new duties
- * @param ticketNumber the last ticket that it had in force
- * @param viewHash of the live nodes that it knew
- * @param heardAt own monotonic time of its last heartbeat
- * @param interval when it meant to send the next one
+ * @param identity the identity of the node
+ * @param former the number of the incarnation that this one replaced at this node, 0 if
+ * there was none
+ * @param stopping whether the node is stopping, so that it takes on no new duties
+ * @param ticketNumber the last ticket that the node had applied
+ * @param viewHash the hash of the live nodes that the node knew
+ * @param heardAt the monotonic time of this node at the last heartbeat
+ * @param interval the announced time from the last heartbeat to the next
  */
 record DirectContact(NodeIdentity identity, long former, boolean stopping, long ticketNumber, long viewHash,
 		Instant heardAt, Duration interval) {
 
 	/**
-	 * Whether the node has been silent for too long.
-	 * @param now own monotonic time
-	 * @param missedHeartbeats so many missed heartbeats are too many
-	 * @return whether it is to be taken for dead
+	 * Tells whether the heartbeats of the node have been missing for too long.
+	 * @param now the monotonic time of this node
+	 * @param missedHeartbeats the number of missed heartbeats after which a node is
+	 * considered dead
+	 * @return whether the node is considered dead
 	 */
 	boolean isSilent(Instant now, int missedHeartbeats) {
 		Duration timeout = this.interval.multipliedBy(missedHeartbeats).plus(this.interval.dividedBy(2));
--- a/src/main/java/sycamorehill/logic/membership/Heartbeats.java
+++ b/src/main/java/sycamorehill/logic/membership/Heartbeats.java
@@ -15,9 +15,10 @@
 import sycamorehill.model.peer.Heartbeat;
 
 /**
- * Sends heartbeats: every node to the delegates of its data centre, the delegates to each
- * other and to those of the other data centres, and one to a node that is known but not
- * alive, so that nodes find each other again after a cut or a restart in place.
+ * Sends heartbeats. Every node sends them to the delegates of its data centre. Delegates
+ * also send them to the delegates of the other data centres. In addition, each round
+ * probes a known node that is not live, so that nodes find each other again after a
+ * network partition or a restart at the same address.
  */
 final class Heartbeats {
 
@@ -46,10 +47,10 @@
 	}
 
 	/**
-	 * The delegates of a data centre without this node.
-	 * @param step the step under way
+	 * Returns the delegates of a data centre except this node.
+	 * @param step the current step
 	 * @param dataCentre the data centre
-	 * @return the delegates as this node sees them now
+	 * @return the delegates according to the live nodes that this node knows
 	 */
 	static List<LiveNode> otherDelegates(MembershipStep step, DataCentreName dataCentre) {
 		LiveNodes nodes = step.state().liveNodes();
@@ -88,7 +89,8 @@
 		}
 	}
 
-	// The known nodes that are not alive, beginning behind the one that was probed last.
+	// Returns the known nodes that are not live, in the order of their names, starting
+	// after the last one that was probed.
 	private static List<NodeIdentity> contactsToProbe(MembershipStep step) {
 		Map<NodeName, LiveNode> live = step.state().liveNodes().nodes();
 		NodeName last = step.state().timers().lastProbe();
@@ -108,7 +110,8 @@
 				true, step.observations().hash(), List.of(), List.of(), List.of());
 	}
 
-	// What this node knows: in full only for a receiver that last showed another hash.
+	// The confirmations are sent in full only to a receiver whose last heartbeat had
+	// another hash.
 	private static Heartbeat heartbeatWithReport(MembershipStep step, NodeIdentity to) {
 		long hash = step.observations().hash();
 		DirectContact contact = step.observations().direct().get(to.incarnation().node());
--- a/src/main/java/sycamorehill/logic/membership/Liveness.java
+++ b/src/main/java/sycamorehill/logic/membership/Liveness.java
@@ -19,8 +19,8 @@
 import sycamorehill.model.peer.MembersChanged;
 
 /**
- * Decides from the sightings who is alive, drops who has been silent for too long, and
- * pushes changes.
+ * Decides which nodes are live, removes nodes that have been silent for too long, and
+ * pushes the changes to other nodes.
  */
 final class Liveness {
 
@@ -59,8 +59,8 @@
 		}
 	}
 
-	// Drawing anew costs as much as there are nodes: once a second it would be the
-	// largest part of this reducer's processor time.
+	// Recomputing the live nodes takes time proportional to their number. Doing so every
+	// second would take most of the processor time of this reducer.
 	private static void refreshIfChanged(MembershipStep step) {
 		MembershipTimers timers = step.state().timers();
 		long from = signature(step);
@@ -84,8 +84,8 @@
 	}
 
 	/**
-	 * Draws the live nodes anew and sees whether this node is a delegate.
-	 * @param step the step under way
+	 * Recomputes the live nodes and whether this node is a delegate.
+	 * @param step the current step
 	 */
 	static void refresh(MembershipStep step) {
 		PMap<NodeName, LiveNode> nodes = TreePMap.empty();
@@ -114,8 +114,8 @@
 			.of(step.state().liveNodes().notStoppingIn(step.ownDataCentre()), step.policy().delegates())
 			.stream()
 			.anyMatch((node) -> node.identity().equals(step.self()));
-		// A stopping delegate without a successor goes on, or nobody would hear its data
-		// centre.
+		// A stopping delegate without a successor keeps its role. Otherwise the data
+		// centre would have no delegate to receive its heartbeats.
 		boolean lastDelegate = step.state().stopping() && step.isDelegate()
 				&& step.state().liveNodes().notStoppingIn(step.ownDataCentre()).isEmpty();
 		if ((selected || lastDelegate) == step.isDelegate()) {
@@ -174,8 +174,9 @@
 					(report) -> report.heardAt().plus(timeout).isAfter(step.now()) && !report.unheard().contains(name));
 	}
 
-	// A node that hears no delegate any more turns to those that come next, and in
-	// the end counts on nobody that it doesn't hear itself.
+	// A node that receives no confirmations from its delegates removes them, so that the
+	// nodes with the next highest hashes become its delegates. After several attempts it
+	// removes all members that it does not receive heartbeats from itself.
 	private static void skipSilentDelegates(MembershipStep step) {
 		DataCentreView view = step.ownView();
 		Instant due = view.vouchedAt().plus(step.silenceTimeout().multipliedBy(view.steps() + 1L));
--- a/src/main/java/sycamorehill/logic/membership/MembershipCall.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipCall.java
@@ -1,13 +1,13 @@
 package sycamorehill.logic.membership;
 
 /**
- * What a platform call of the part was made for.
+ * The purpose of a platform call made for node membership.
  */
 public enum MembershipCall {
 
-	/** Reads the own announcement, to see whether it stands. */
+	/** Reads the announcement of this node to check that it is up to date. */
 	READ_ANNOUNCEMENT,
-	/** Writes the own announcement. */
+	/** Writes the announcement of this node. */
 	WRITE_ANNOUNCEMENT,
 	/** Lists the announcements of all nodes. */
 	LIST_ANNOUNCEMENTS
--- a/src/main/java/sycamorehill/logic/membership/MembershipMessageHandler.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipMessageHandler.java
@@ -20,9 +20,9 @@
 import sycamorehill.model.peer.MembersSent;
 
 /**
- * Takes in what other nodes say. A delegate counts a node of its own data centre as alive
- * only if it hears it itself or another delegate does; every other node takes the word of
- * the delegates.
+ * Handles membership messages from other nodes. A delegate considers a node of its own
+ * data centre live only if it or another delegate receives the heartbeats of the node.
+ * All other nodes rely on the confirmations of the delegates.
  */
 final class MembershipMessageHandler {
 
@@ -75,8 +75,9 @@
 		replaceView(step, dataCentre, view, view.withMembers(message.members()).withConfirmation(confirmedAt));
 	}
 
-	// Two delegates whose sets differ for a while: what the other one hears itself counts
-	// here too, and what it does not hear no longer stands on its earlier word.
+	// The sets of two delegates can differ temporarily. A node whose heartbeats the other
+	// delegate receives becomes a member here too. Every other member counts as silent at
+	// the other delegate, even if its earlier report said otherwise.
 	private static void handleMembersSentByDelegate(MembershipStep step, NodeIdentity from, MembersSent message) {
 		Set<NodeName> withoutHeartbeat = new HashSet<>(step.ownView().members().keySet());
 		for (MemberEntry entry : message.members()) {
@@ -113,11 +114,11 @@
 	}
 
 	/**
-	 * Replaces a view and writes what has changed into the log.
-	 * @param step the step under way
+	 * Replaces a view and logs the changes.
+	 * @param step the current step
 	 * @param dataCentre the data centre
-	 * @param before the view before
-	 * @param after the view after
+	 * @param before the previous view
+	 * @param after the new view
 	 */
 	static void replaceView(MembershipStep step, DataCentreName dataCentre, DataCentreView before,
 			DataCentreView after) {
@@ -135,8 +136,8 @@
 		replaceView(step, step.ownDataCentre(), view, view.with(entry));
 	}
 
-	// A heartbeat of an earlier life of a restarted node may still be on its way: it must
-	// not bring that life back.
+	// A delayed heartbeat of the previous incarnation may arrive after a restart. It must
+	// not make that incarnation live again.
 	private static boolean recordHeartbeat(MembershipStep step, NodeIdentity from, Heartbeat heartbeat) {
 		NodeName name = from.incarnation().node();
 		DirectContact known = step.observations().direct().get(name);
@@ -179,8 +180,9 @@
 		boolean same = view.hash() == confirmation.hash();
 		if (step.isDelegate() && dataCentre.equals(step.ownDataCentre())) {
 			if (!same) {
-				// Also another data centre's word of this one is asked for: it may
-				// name nodes that were replaced and that nobody here has met yet.
+				// The set is also requested if another data centre has a different one
+				// for this data centre: it may contain nodes that were replaced at the
+				// same address and that no delegate here knows yet.
 				requestMembers(step, from, dataCentre, view);
 			}
 			else if (confirmation.ageMillis() == 0 && from.dataCentre().equals(dataCentre)) {
@@ -204,8 +206,9 @@
 
 	private static void requestMembers(MembershipStep step, NodeIdentity from, DataCentreName dataCentre,
 			DataCentreView view) {
-		// While many nodes come at once the set changes all the time: asking for the
-		// whole list at each change would cost with the square of the nodes.
+		// The set changes continuously while many nodes start together. Requesting the
+		// complete set at each change would cost traffic that grows with the square of
+		// the number of nodes.
 		Duration pause = step.heartbeatInterval().dividedBy(2);
 		if (!view.askedAt().equals(Instant.MIN) && step.now().isBefore(view.askedAt().plus(pause))) {
 			return;
--- a/src/main/java/sycamorehill/logic/membership/MembershipReducer.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipReducer.java
@@ -23,7 +23,8 @@
 import sycamorehill.model.policy.MembershipPolicy;
 
 /**
- * Which nodes of ours are alive.
+ * Maintains the set of live nodes from heartbeats and from the announcements on the
+ * platform.
  */
 public final class MembershipReducer implements Reducer<MembershipState> {
 
@@ -35,7 +36,7 @@
 	}
 
 	/**
-	 * Creates the reducer.
+	 * Creates a reducer.
 	 * @return the reducer
 	 */
 	public static MembershipReducer create() {
--- a/src/main/java/sycamorehill/logic/membership/MembershipState.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipState.java
@@ -11,21 +11,22 @@
 import sycamorehill.model.membership.LiveNodes;
 
 /**
- * State of the part: which nodes of ours are alive.
+ * The state of node membership.
  *
- * @param liveNodes the nodes taken to be alive, drawn from the sightings
- * @param sightings what was heard of the others
- * @param progress how far the nodes of the own data centre are with the tickets
- * @param introduction calls to the platform that introduce the nodes to each other
- * @param timers when what is due
- * @param wallClock the last wall clock time, for records that people read
- * @param stopping whether this node has been told to stop
+ * @param liveNodes the nodes that are considered live, derived from the observations
+ * @param sightings the observations of the other nodes
+ * @param progress the progress of the nodes of this node's data centre in applying
+ * tickets
+ * @param introduction the state of the platform calls by which nodes discover each other
+ * @param timers the times of periodic work
+ * @param wallClock the wall-clock time at the last tick, for records that people read
+ * @param stopping whether this node has been requested to stop
  */
 public record MembershipState(LiveNodes liveNodes, PeerObservations sightings, TicketProgress progress,
 		DiscoveryState introduction, MembershipTimers timers, Instant wallClock, boolean stopping) {
 
 	/**
-	 * The state of a fresh node.
+	 * Returns the state of a node that has just started.
 	 * @return the state before the first event
 	 */
 	public static MembershipState initial() {
@@ -37,8 +38,8 @@
 	}
 
 	/**
-	 * Whether this node is a delegate of its data centre.
-	 * @return whether it speaks for it
+	 * Tells whether this node is a delegate of its data centre.
+	 * @return whether this node is a delegate
 	 */
 	public boolean hasDelegateRole() {
 		return !this.sightings.delegateSince().equals(Instant.MIN);
@@ -80,14 +81,17 @@
 	}
 
 	/**
-	 * Calls to the platform that introduce the nodes to each other.
+	 * The state of the platform calls by which nodes discover each other.
 	 *
-	 * @param calls what each open call was made for
+	 * @param calls the purpose of each outstanding call by its number
 	 * @param nextCall the number of the next call
-	 * @param budget when the next call may be made
-	 * @param announcedAt when the own announcement was last confirmed
-	 * @param announceFrom the earliest time of the own announcement
-	 * @param introducedAt when the announcements were last read
+	 * @param budget the limits on the rate of calls
+	 * @param announcedAt the monotonic time at which the announcement of this node was
+	 * last confirmed, {@link Instant#MIN} before the first time
+	 * @param announceFrom the earliest monotonic time for the first announcement of this
+	 * node, {@link Instant#MIN} before the announcements were listed
+	 * @param introducedAt the monotonic time at which the announcements were last listed,
+	 * {@link Instant#MIN} before the first time
 	 */
 	record DiscoveryState(PMap<Long, MembershipCall> calls, long nextCall, CallBudget budget, Instant announcedAt,
 			Instant announceFrom, Instant introducedAt) {
@@ -114,14 +118,15 @@
 	}
 
 	/**
-	 * When what is due.
+	 * The times of periodic work, and what it last sent or computed.
 	 *
-	 * @param nextHeartbeat when the next heartbeats go out
+	 * @param nextHeartbeat when the next heartbeats are due
 	 * @param nextPush when the next changes may be pushed
 	 * @param toldNumber the ticket number in the last heartbeats
 	 * @param lastProbe the node that was probed last
-	 * @param drawnFrom hash of the sightings from which the live nodes were drawn
-	 * @param drawnAt when they were drawn
+	 * @param drawnFrom the hash of the observations from which the live nodes were last
+	 * computed
+	 * @param drawnAt when the live nodes were last computed
 	 */
 	record MembershipTimers(Instant nextHeartbeat, Instant nextPush, long toldNumber, NodeName lastProbe,
 			long drawnFrom, Instant drawnAt) {
--- a/src/main/java/sycamorehill/logic/membership/MembershipStep.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipStep.java
@@ -23,8 +23,7 @@
 import sycamorehill.model.ticket.DesiredState;
 
 /**
- * One step under way: the state as changed so far and the effects gathered. It lives no
- * longer than the step.
+ * Collects the state changes and the effects of one step of node membership.
  */
 final class MembershipStep {
 
@@ -111,8 +110,9 @@
 	}
 
 	/**
-	 * The time between two heartbeats: it grows with the data centre, so that a delegate
-	 * receives no more of them than the policy says.
+	 * Returns the time between two heartbeats. It grows with the size of the data centre,
+	 * so that each delegate receives at most the configured number of heartbeats per
+	 * second.
 	 * @return the interval
 	 */
 	Duration heartbeatInterval() {
@@ -123,8 +123,8 @@
 	}
 
 	/**
-	 * How long silence is borne.
-	 * @return the bound
+	 * Returns how long a node may be silent before it is considered dead.
+	 * @return the timeout
 	 */
 	Duration silenceTimeout() {
 		Duration interval = heartbeatInterval();
@@ -150,9 +150,9 @@
 	}
 
 	/**
-	 * Closes a call. An answer that comes twice finds the call closed and is dropped.
-	 * @param number the call
-	 * @return what it was made for, or null if it is not open
+	 * Closes a platform call. A duplicate answer finds the call closed and is ignored.
+	 * @param number the number of the call
+	 * @return the purpose of the call, or null if it is not open
 	 */
 	MembershipCall closeCall(long number) {
 		MembershipState.DiscoveryState introduction = this.state.introduction();
--- a/src/main/java/sycamorehill/logic/membership/PeerDiscovery.java
+++ b/src/main/java/sycamorehill/logic/membership/PeerDiscovery.java
@@ -15,9 +15,10 @@
 import sycamorehill.model.platform.StoredObject;
 
 /**
- * Meets the other nodes through the platform, at a low rate: each node keeps an
- * announcement under its name, and reads those of the others at start-up; later only
- * delegates and nodes without a living peer read them again.
+ * Discovers the other nodes through the platform, at a low rate. Each node stores an
+ * announcement under its name and lists the announcements of the others when it starts.
+ * After that, delegates and nodes without a live peer list them often, all other nodes
+ * rarely.
  */
 final class PeerDiscovery {
 
@@ -59,9 +60,9 @@
 		}
 	}
 
-	// A node that knows others does not need to be introduced now: in a long outage the
-	// calls of the whole fleet would otherwise grow with its size and come back as a
-	// herd.
+	// A node that knows other nodes can wait for the next interval. Otherwise the calls
+	// retried in a long outage would grow with the number of nodes and arrive as a
+	// thundering herd after it.
 	private static DiscoveryState postponed(MembershipStep step, MembershipCall purpose, DiscoveryState introduction) {
 		if (step.state().liveNodes().nodes().size() <= 1) {
 			return introduction;
@@ -87,8 +88,8 @@
 		DiscoveryState introduction = step.state().introduction();
 		Instant from = introduction.announceFrom();
 		if (from.equals(Instant.MIN)) {
-			// All nodes may have started together: their first writes are spread over a
-			// time that grows with their number.
+			// All nodes may have started together. Their first announcements are spread
+			// over a time that grows with the number of nodes.
 			Duration range = Duration.ofSeconds(1)
 				.multipliedBy(answer.objects().size())
 				.dividedBy(step.policy().announcementsPerSecond());
--- a/src/main/java/sycamorehill/logic/membership/PeerObservations.java
+++ b/src/main/java/sycamorehill/logic/membership/PeerObservations.java
@@ -16,14 +16,14 @@
 import sycamorehill.model.identity.NodeName;
 
 /**
- * Everything that this node has heard of the others.
+ * The observations of the other nodes.
  *
- * @param direct nodes that it has heard itself
- * @param views what delegates vouch for, by data centre
- * @param words what the other delegates of the own data centre have said
- * @param delegateSince when this node became a delegate, {@link Instant#MIN} if it is
- * none
- * @param contacts where nodes may be met, alive or not
+ * @param direct the nodes from which this node has received heartbeats itself
+ * @param views the live nodes of each data centre, as its delegates confirm them
+ * @param words the last reports of the other delegates of this node's data centre
+ * @param delegateSince the monotonic time at which this node became a delegate,
+ * {@link Instant#MIN} if it is none
+ * @param contacts the known nodes and their addresses, live or not
  */
 record PeerObservations(PMap<NodeName, DirectContact> direct, PMap<DataCentreName, DataCentreView> views,
 		PMap<NodeName, DelegateReport> words, Instant delegateSince, TreePMap<NodeName, NodeIdentity> contacts) {
@@ -58,8 +58,8 @@
 	}
 
 	/**
-	 * Hash of everything that delegates vouch for.
-	 * @return the hash, equal on nodes that know the same
+	 * Returns the hash of all confirmed views.
+	 * @return the hash, equal on nodes that know the same live nodes
 	 */
 	long hash() {
 		HashStream64 stream = Hashing.komihash5_0().hashStream();
@@ -68,8 +68,8 @@
 	}
 
 	/**
-	 * The data centres of which a delegate's word has come.
-	 * @return the views, by name
+	 * Returns the views that a delegate has confirmed at least once.
+	 * @return the views by data centre
 	 */
 	SortedMap<DataCentreName, DataCentreView> confirmedViews() {
 		SortedMap<DataCentreName, DataCentreView> views = new TreeMap<>();
--- a/src/main/java/sycamorehill/logic/membership/RolloutQuery.java
+++ b/src/main/java/sycamorehill/logic/membership/RolloutQuery.java
@@ -9,12 +9,13 @@
 import sycamorehill.model.ticket.DataCentreRollout;
 
 /**
- * An operator who waits to hear where a ticket is in force.
+ * A query of an operator for the rollout status of a ticket that waits for the answers of
+ * the data centres.
  *
- * @param call the waiting operator
- * @param number the ticket
- * @param until when the answer goes out with what has come in
- * @param answers what each data centre has said
+ * @param call the call of the operator
+ * @param number the number of the ticket
+ * @param until when the query is answered even if answers are missing
+ * @param answers the answers received so far
  */
 record RolloutQuery(OperatorCallIdentifier call, long number, Instant until,
 		PMap<DataCentreName, DataCentreRollout> answers) {
--- a/src/main/java/sycamorehill/logic/membership/RolloutQueryHandler.java
+++ b/src/main/java/sycamorehill/logic/membership/RolloutQueryHandler.java
@@ -22,8 +22,8 @@
 import sycamorehill.model.ticket.TicketRollout;
 
 /**
- * Answers where a ticket is in force. The delegates know it from heartbeats and are asked
- * only when an operator asks.
+ * Answers queries for the rollout status of a ticket. The delegates know the status of
+ * their data centres from heartbeats. They are asked only when an operator queries it.
  */
 final class RolloutQueryHandler {
 
@@ -69,8 +69,9 @@
 	}
 
 	/**
-	 * Takes down how far all nodes of the own data centre are.
-	 * @param step the step under way
+	 * Records the latest ticket that this node's data centre has applied at all nodes, if
+	 * this node is a delegate.
+	 * @param step the current step
 	 */
 	static void recordProgress(MembershipStep step) {
 		if (!step.isDelegate()) {
--- a/src/main/java/sycamorehill/logic/membership/TicketProgress.java
+++ b/src/main/java/sycamorehill/logic/membership/TicketProgress.java
@@ -11,13 +11,15 @@
 import sycamorehill.model.identity.NodeName;
 
 /**
- * How far the nodes of the own data centre are with the tickets, gathered from their
- * heartbeats alone: knowing it costs no write.
+ * The progress of the nodes of this node's data centre in applying tickets. It is known
+ * from heartbeats alone and needs no writes to the platform.
  *
- * @param reached when all live nodes of the data centre were first known to have a ticket
- * or a later one, by its number
- * @param lost nodes that were taken for dead, with when
- * @param questions operators' questions that wait for other data centres
+ * @param reached the wall-clock time at which all live nodes of the data centre were
+ * first known to have applied a ticket or a later one, by the number of the ticket
+ * @param lost the nodes that were considered dead and removed, with the monotonic time of
+ * the removal
+ * @param questions the queries of operators that wait for other data centres, by the
+ * number of the operator's call
  */
 record TicketProgress(TreePMap<Long, Instant> reached, PMap<NodeName, Instant> lost,
 		PMap<Long, RolloutQuery> questions) {
--- a/src/main/java/sycamorehill/logic/membership/ViewDifference.java
+++ b/src/main/java/sycamorehill/logic/membership/ViewDifference.java
@@ -8,7 +8,8 @@
 import sycamorehill.model.peer.MemberEntry;
 
 /**
- * Says in a few words how two views of a data centre differ.
+ * Describes the difference between two views of a data centre for the log: {@code +}
+ * marks an added node, {@code ~} a changed one and {@code -} a removed one.
  */
 final class ViewDifference {
 
--- a/src/main/java/sycamorehill/logic/membership/package-info.java
+++ b/src/main/java/sycamorehill/logic/membership/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which nodes of ours are alive.
+ * Determines which nodes are live and how far they have applied the tickets.
  */
 package sycamorehill.logic.membership;
--- a/src/main/java/sycamorehill/logic/observation/EnginePolling.java
+++ b/src/main/java/sycamorehill/logic/observation/EnginePolling.java
@@ -17,7 +17,7 @@
 import sycamorehill.model.policy.ObservationPolicy;
 
 /**
- * Asks the observed engines in turn.
+ * Polls the engines of the observed VMs for reports, each at a fixed interval.
  */
 final class EnginePolling {
 
@@ -27,11 +27,11 @@
 	}
 
 	/**
-	 * Looks again at which VMs this node observes, now and then.
-	 * @param state the state
-	 * @param now own monotonic time
-	 * @param view the node's view
-	 * @return the state with its duty
+	 * Updates which VMs this node observes, at most once per interval.
+	 * @param state the current state
+	 * @param now the monotonic time of this node
+	 * @param view the view of this node
+	 * @return the state with the observed VMs and their scheduled polls
 	 */
 	static ObservationState updateAssignment(ObservationState state, Instant now, NodeView view) {
 		if (now.isBefore(state.nextDutyAt())) {
@@ -45,7 +45,7 @@
 		int index = 0;
 		for (VmName vm : observed) {
 			if (!scheduled.contains(vm)) {
-				// Spreads the first questions over the interval.
+				// Spreads the first requests over the interval.
 				Duration interval = view.policy().observation().reportInterval();
 				Duration delay = interval.multipliedBy(index++).dividedBy(observed.size());
 				polls = polls.plus(new ScheduledPoll(now.plus(delay), vm));
@@ -67,12 +67,12 @@
 	}
 
 	/**
-	 * Asks the engines whose turn it is.
-	 * @param state the state
-	 * @param now own monotonic time
-	 * @param policy the bounds
-	 * @param effects takes the questions
-	 * @return the state after them
+	 * Requests the reports that are due.
+	 * @param state the current state
+	 * @param now the monotonic time of this node
+	 * @param policy the observation policy
+	 * @param effects receives the resulting effects
+	 * @return the state with the next polls
 	 */
 	static ObservationState requestDueReports(ObservationState state, Instant now, ObservationPolicy policy,
 			List<Effect> effects) {
--- a/src/main/java/sycamorehill/logic/observation/FleetUpdates.java
+++ b/src/main/java/sycamorehill/logic/observation/FleetUpdates.java
@@ -18,7 +18,7 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * Takes lists, reports and failures into what is known of the VMs.
+ * Applies VM lists, reports and failures to the known state of the VMs.
  */
 final class FleetUpdates {
 
@@ -26,14 +26,14 @@
 	}
 
 	/**
-	 * Takes in a read of the VM list. An entry of another data centre is passed over: two
-	 * data centres would otherwise both claim the VM.
-	 * @param fleet what was known
-	 * @param list the entries
-	 * @param dataCentre the own data centre
-	 * @param now own monotonic time
-	 * @param leavingMemory how long a VM counts as leaving after the last sign of it
-	 * @return what is known now
+	 * Applies a VM list. Entries of another data centre are ignored, because otherwise
+	 * both data centres could claim the VM.
+	 * @param fleet the current fleet
+	 * @param list the entries of the list
+	 * @param dataCentre the data centre of this node
+	 * @param now the monotonic time of this node
+	 * @param leavingMemory how long a VM is considered leaving after the last notice
+	 * @return the updated fleet
 	 */
 	static Fleet applyList(Fleet fleet, List<VmEntry> list, DataCentreName dataCentre, Instant now,
 			Duration leavingMemory) {
@@ -54,10 +54,10 @@
 		return new Fleet(entries, Optional.of(now), observations, leaving, fleet.refusals());
 	}
 
-	// Failure: a lagging list shows a VM live again that has already said that it leaves,
-	// and work goes to a VM about to vanish. It shows as streams cut off at its stop. The
-	// mark outlives the list until the VM was replaced, or every sign has said for
-	// longer than any lag that it stays.
+	// A lagging list can show a VM as live that has already reported that it is leaving.
+	// Requests routed to it would be interrupted when it stops. The notice is therefore
+	// kept until the VM is replaced or no notice has come for longer than any lag of the
+	// list.
 	private static PMap<VmName, VmLeavingNotice> updateLeavingNotice(PMap<VmName, VmLeavingNotice> leaving,
 			VmEntry entry, Instant now, Duration leavingMemory) {
 		if (entry.status() == VmStatus.LEAVING) {
@@ -73,10 +73,10 @@
 	}
 
 	/**
-	 * Takes in a report, own or passed on by a peer.
-	 * @param fleet what was known
+	 * Applies an observation of this node or of a peer.
+	 * @param fleet the current fleet
 	 * @param observation the observation
-	 * @return what is known now
+	 * @return the updated fleet
 	 */
 	static Fleet applyReport(Fleet fleet, VmObservation observation) {
 		VmReport report = observation.report();
@@ -91,9 +91,9 @@
 				updated.leaving(), refusals.containsKey(vm) ? refusals.minus(vm) : refusals);
 	}
 
-	// Failure: an answer that was delayed on its way arrives after a later one and shows
-	// a member in a generation that it has left. The engine's own sequence orders the
-	// reports of one life; between lives the time of asking does.
+	// A delayed answer can arrive after a later one and show a member in a generation
+	// that it has left. Reports of the same instance are ordered by the sequence number
+	// of the engine, reports of different instances by the time of the request.
 	static boolean supersedes(VmObservation observation, VmObservation previous) {
 		if (observation.report().instance().equals(previous.report().instance())) {
 			return observation.report().sequence() > previous.report().sequence()
@@ -104,11 +104,11 @@
 	}
 
 	/**
-	 * Takes in that a VM was seen again as it was.
-	 * @param fleet what was known
+	 * Records that a VM was observed again in an unchanged state.
+	 * @param fleet the current fleet
 	 * @param vm the VM
-	 * @param seenAt own monotonic time of the observation
-	 * @return what is known now
+	 * @param seenAt the monotonic time of this node for the observation
+	 * @return the updated fleet
 	 */
 	static Fleet refreshObservation(Fleet fleet, VmName vm, Instant seenAt) {
 		VmObservation previous = fleet.sights().get(vm);
@@ -121,11 +121,11 @@
 	}
 
 	/**
-	 * Takes in that a VM will go.
-	 * @param fleet what was known
+	 * Records a notice that a VM is about to leave.
+	 * @param fleet the current fleet
 	 * @param vm the VM
-	 * @param sign own monotonic time of the sign
-	 * @return what is known now
+	 * @param sign the monotonic time of this node for the notice
+	 * @return the updated fleet
 	 */
 	static Fleet recordLeavingNotice(Fleet fleet, VmName vm, Instant sign) {
 		VmLeavingNotice previous = fleet.leaving().get(vm);
@@ -139,11 +139,11 @@
 	}
 
 	/**
-	 * Takes in that an engine's address refused the connection.
-	 * @param fleet what was known
+	 * Records that the address of an engine refused a connection.
+	 * @param fleet the current fleet
 	 * @param vm the VM
-	 * @param now own monotonic time
-	 * @return what is known now
+	 * @param now the monotonic time of this node
+	 * @return the updated fleet
 	 */
 	static Fleet recordRefusal(Fleet fleet, VmName vm, Instant now) {
 		if (fleet.refusals().containsKey(vm)) {
--- a/src/main/java/sycamorehill/logic/observation/ObservationReducer.java
+++ b/src/main/java/sycamorehill/logic/observation/ObservationReducer.java
@@ -22,8 +22,8 @@
 import sycamorehill.model.policy.ObservationPolicy;
 
 /**
- * Sight of target VMs: the VM list, the engines' own reports, and what other observers
- * have seen.
+ * Observes the target VMs by the VM list, the reports of their engines and the
+ * observations of other nodes.
  */
 public final class ObservationReducer implements Reducer<ObservationState> {
 
@@ -33,7 +33,7 @@
 	}
 
 	/**
-	 * Creates the reducer.
+	 * Creates a reducer.
 	 * @return the reducer
 	 */
 	public static ObservationReducer create() {
@@ -80,8 +80,8 @@
 		return updated.withSharing(updated.sharing().withOwn(updated.sharing().own().plus(vm, observation)));
 	}
 
-	// A node that is no steward reads the list only when a steward knows another one, and
-	// seldom otherwise: the reads must not grow with the nodes.
+	// A node that is not a steward reads the list when a steward publishes another hash,
+	// and otherwise rarely. The number of reads must not grow with the number of nodes.
 	private static ObservationState handleListHash(ObservationState state, Instant now, long listHash,
 			ObservationPolicy policy) {
 		Instant soon = now.plus(policy.listInterval());
--- a/src/main/java/sycamorehill/logic/observation/ObservationSharing.java
+++ b/src/main/java/sycamorehill/logic/observation/ObservationSharing.java
@@ -20,9 +20,10 @@
 import sycamorehill.model.policy.ObservationPolicy;
 
 /**
- * Sends the own sights to the stewards of the data centre and takes in those of others. A
- * message carries whole reports only where something has changed; a hash over the rest
- * tells the reader whether it knows the same.
+ * Sends the observations of this node to the stewards of the data centre and handles
+ * those of other nodes. A message contains all reports only after a change and at regular
+ * intervals. Other messages contain the reports of the VMs that have load, and a hash by
+ * which the receiver checks that its state of the sender's VMs is up to date.
  */
 final class ObservationSharing {
 
@@ -114,10 +115,11 @@
 		return state.withFleet(refreshUnchanged(fleet, unchanged, message.hash(), seenAt)).withSharing(sharing);
 	}
 
-	// Failure: the message that told of a change is lost, and the next one, which says
-	// "unchanged", makes the old sight fresh: a group would serve with a member missing.
-	// The hash over what the sender sees must match what this node knows of just these
-	// VMs; if not, nothing is made fresher and the next whole message settles it.
+	// If the message with a change is lost, the next one, which reports no further
+	// change, must not refresh the outdated observation: a group would be served with a
+	// member missing. The hash of the sender must therefore match the state that this
+	// node knows for the same VMs. Otherwise nothing is refreshed until the next full
+	// message arrives.
 	private static Fleet refreshUnchanged(Fleet fleet, PSet<VmName> vms, long hash, Instant seenAt) {
 		long known = 0;
 		for (VmName vm : vms) {
--- a/src/main/java/sycamorehill/logic/observation/ObservationState.java
+++ b/src/main/java/sycamorehill/logic/observation/ObservationState.java
@@ -11,21 +11,21 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * State of the part: which target VMs were seen, and in which state.
+ * The state of the observation of target VMs.
  *
- * @param fleet what is known of the VMs
- * @param observed the VMs that this node asks
- * @param turns when each engine is asked next, the earliest first
- * @param scheduled the VMs that have a turn
+ * @param fleet the known state of the VMs
+ * @param observed the VMs whose engines this node polls
+ * @param turns the scheduled polls, the earliest first
+ * @param scheduled the VMs that have a scheduled poll
  * @param nextListAt when the VM list is read next
- * @param nextDutyAt when it is next looked at which VMs this node observes
- * @param sharing what passes between observers and stewards
+ * @param nextDutyAt when the set of observed VMs is updated next
+ * @param sharing the state of the exchange between observers and stewards
  */
 public record ObservationState(Fleet fleet, PSet<VmName> observed, PSortedSet<ScheduledPoll> turns,
 		PSet<VmName> scheduled, Instant nextListAt, Instant nextDutyAt, SharingState sharing) {
 
 	/**
-	 * The state of a fresh node.
+	 * Returns the state of a node that has just started.
 	 * @return the state before the first event
 	 */
 	public static ObservationState initial() {
--- a/src/main/java/sycamorehill/logic/observation/ObserverAssignment.java
+++ b/src/main/java/sycamorehill/logic/observation/ObserverAssignment.java
@@ -13,8 +13,9 @@
 import sycamorehill.model.policy.ObservationPolicy;
 
 /**
- * Which VMs this node observes. VMs are hashed into shares of about equal size; each
- * share has a few observers, picked by rendezvous hashing over the live nodes.
+ * Determines which VMs this node observes. VMs are hashed into shares of about equal
+ * size. The observers of each share are selected among the live nodes by rendezvous
+ * hashing.
  */
 final class ObserverAssignment {
 
@@ -22,11 +23,12 @@
 	}
 
 	/**
-	 * The VMs that this node observes.
+	 * Returns the VMs that this node observes.
 	 * @param vms all VMs of the data centre
-	 * @param count how many they are
-	 * @param view the node's view
-	 * @return the VMs; all of them while the node knows of no other node
+	 * @param count the number of VMs
+	 * @param view the view of this node
+	 * @return the observed VMs, which are all VMs while the data centre has no more live
+	 * nodes than observers per VM
 	 */
 	static PSet<VmName> observedVms(Iterable<VmName> vms, int count, NodeView view) {
 		ObservationPolicy policy = view.policy().observation();
--- a/src/main/java/sycamorehill/logic/observation/Rendezvous.java
+++ b/src/main/java/sycamorehill/logic/observation/Rendezvous.java
@@ -10,8 +10,8 @@
 import sycamorehill.model.membership.LiveNode;
 
 /**
- * Picks nodes for duties by rendezvous hashing: all nodes that see the same live nodes
- * pick the same ones, and a lost node moves only its own duties.
+ * Selects nodes for duties by rendezvous hashing. Nodes that know the same live nodes
+ * select the same ones, and the loss of a node moves only its own duties.
  */
 public final class Rendezvous {
 
@@ -21,9 +21,9 @@
 	}
 
 	/**
-	 * The nodes in the order in which they take a duty.
-	 * @param nodes the nodes that take duties
-	 * @param duty names the duty
+	 * Returns the nodes in the order in which they are selected for a duty.
+	 * @param nodes the nodes that may take on duties
+	 * @param duty the name of the duty
 	 * @return the nodes, the first choice first
 	 */
 	public static List<LiveNode> rank(List<LiveNode> nodes, String duty) {
@@ -34,9 +34,9 @@
 	}
 
 	/**
-	 * The nodes that collect the sights of a data centre's VMs and may control its
-	 * groups.
-	 * @param view the node's view
+	 * Returns the nodes that collect the observations of the VMs of a data centre and may
+	 * control its groups.
+	 * @param view the view of this node
 	 * @param dataCentre the data centre
 	 * @return the stewards, the first choice first
 	 */
@@ -48,9 +48,10 @@
 	}
 
 	/**
-	 * Whether this node is a steward of its data centre.
-	 * @param view the node's view
-	 * @return whether it is; also as long as it knows of no node at all
+	 * Tells whether this node is a steward of its data centre.
+	 * @param view the view of this node
+	 * @return whether this node is a steward, which is also the case while it knows no
+	 * live node that may take on duties
 	 */
 	public static boolean isSteward(NodeView view) {
 		List<NodeIdentity> stewards = stewards(view, view.self().dataCentre());
--- a/src/main/java/sycamorehill/logic/observation/ScheduledPoll.java
+++ b/src/main/java/sycamorehill/logic/observation/ScheduledPoll.java
@@ -6,10 +6,10 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * The time at which an engine is asked next.
+ * A scheduled poll of an engine.
  *
- * @param at own monotonic time
- * @param vm the VM
+ * @param at the monotonic time of this node at which the poll is due
+ * @param vm the VM of the engine
  */
 public record ScheduledPoll(Instant at, VmName vm) implements Comparable<ScheduledPoll> {
 
--- a/src/main/java/sycamorehill/logic/observation/SenderClocks.java
+++ b/src/main/java/sycamorehill/logic/observation/SenderClocks.java
@@ -9,30 +9,31 @@
 import sycamorehill.model.identity.NodeIncarnation;
 
 /**
- * How far the senders' monotonic clocks are from the own one, so that the time that a
- * message was under way shows.
+ * Tracks the offsets between the monotonic clocks of other nodes and that of this node,
+ * to estimate how long a message was in transit.
  *
- * @param offsets for each sender the smallest difference between the own time at which a
- * message came and the sender's time at which it was sent, in milliseconds
+ * @param offsets the smallest difference for each sender, in milliseconds, between the
+ * time of this node when it received a message and the time of the sender when it sent
+ * the message
  */
 public record SenderClocks(PMap<NodeIncarnation, Offset> offsets) {
 
 	private static final Duration OFFSET_RETENTION = Duration.ofMinutes(10);
 
 	/**
-	 * No sender known yet.
-	 * @return the empty value
+	 * Returns the offsets before any message was received.
+	 * @return no offsets
 	 */
 	public static SenderClocks empty() {
 		return new SenderClocks(HashTreePMap.empty());
 	}
 
 	/**
-	 * Takes a message in.
+	 * Records the offset of a received message.
 	 * @param sender the sender
-	 * @param now own monotonic time
-	 * @param sentAt the sender's monotonic time in milliseconds
-	 * @return what is known now
+	 * @param now the monotonic time of this node
+	 * @param sentAt the monotonic time of the sender in milliseconds
+	 * @return the updated offsets
 	 */
 	public SenderClocks withMessage(NodeIncarnation sender, Instant now, long sentAt) {
 		long offset = now.toEpochMilli() - sentAt;
@@ -43,13 +44,13 @@
 	}
 
 	/**
-	 * How long a message was under way, beyond the quickest one of its sender. Failure: a
-	 * message waits for seconds in a full connection, and the sights that it carries are
-	 * taken for as fresh as when it was sent; it shows as work routed to a group whose
-	 * member is long gone.
+	 * Returns the transit delay of a message in excess of the fastest message from its
+	 * sender. A message can wait for seconds in a congested connection. Without this
+	 * correction its observations would be taken for recent, and requests would be routed
+	 * to a group that has lost a member.
 	 * @param sender the sender
-	 * @param now own monotonic time
-	 * @param sentAt the sender's monotonic time in milliseconds
+	 * @param now the monotonic time of this node
+	 * @param sentAt the monotonic time of the sender in milliseconds
 	 * @return the delay in milliseconds
 	 */
 	public long delay(NodeIncarnation sender, Instant now, long sentAt) {
@@ -58,10 +59,10 @@
 	}
 
 	/**
-	 * The smallest difference seen.
+	 * The smallest offset of a sender.
 	 *
-	 * @param smallest the difference in milliseconds
-	 * @param since own monotonic time at which it was seen
+	 * @param smallest the offset in milliseconds
+	 * @param since the monotonic time of this node when it recorded the offset
 	 */
 	public record Offset(long smallest, Instant since) {
 
--- a/src/main/java/sycamorehill/logic/observation/SharingState.java
+++ b/src/main/java/sycamorehill/logic/observation/SharingState.java
@@ -11,15 +11,15 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * What passes between observers and stewards.
+ * The state of the exchange of observations between observers and stewards.
  *
- * @param own the last sights of this node's own asking
- * @param nextAt when the next message is sent
- * @param lastHash hash of the last message
- * @param wholesLeft how many of the next messages carry all reports
- * @param round counts the messages
- * @param clocks how far other nodes' clocks are away
- * @param observers which VMs each other observer last said that it sees
+ * @param own the latest observations by this node itself
+ * @param nextAt when the next message is due
+ * @param lastHash the hash in the last message
+ * @param wholesLeft how many of the next messages contain all reports
+ * @param round the number of messages sent
+ * @param clocks the clock offsets of the other nodes
+ * @param observers the VMs in the last full message of each other observer
  */
 public record SharingState(PMap<VmName, VmObservation> own, Instant nextAt, long lastHash, int wholesLeft, long round,
 		SenderClocks clocks, PMap<NodeName, PSet<VmName>> observers) {
--- a/src/main/java/sycamorehill/logic/observation/StateHash.java
+++ b/src/main/java/sycamorehill/logic/observation/StateHash.java
@@ -8,7 +8,7 @@
 import sycamorehill.model.group.VmReport;
 
 /**
- * Hashes by which two nodes tell whether they know the same.
+ * Computes hashes by which two nodes check that they know the same state.
  */
 public final class StateHash {
 
@@ -16,8 +16,8 @@
 	}
 
 	/**
-	 * Over what a VM says of itself, without its load.
-	 * @param report the report
+	 * Returns the hash of the state of a VM without its load.
+	 * @param report the report of the VM
 	 * @return the hash
 	 */
 	static long of(VmReport report) {
@@ -33,8 +33,8 @@
 	}
 
 	/**
-	 * Over the VM list, in any order.
-	 * @param entries the entries
+	 * Returns the hash of a VM list.
+	 * @param entries the entries, in any order
 	 * @return the hash
 	 */
 	public static long of(Collection<VmEntry> entries) {
--- a/src/main/java/sycamorehill/logic/observation/package-info.java
+++ b/src/main/java/sycamorehill/logic/observation/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which target VMs were seen, and in which state.
+ * Observes the target VMs of a data centre and shares the observations among its nodes.
  */
 package sycamorehill.logic.observation;
--- a/src/test/java/sycamorehill/logic/membership/MembershipTests.java
+++ b/src/test/java/sycamorehill/logic/membership/MembershipTests.java
@@ -18,7 +18,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Who is taken to be alive, with kills, pauses, cuts and restarts.
+ * Tests which nodes are considered live after crashes, pauses, network partitions and
+ * restarts.
  */
 class MembershipTests {
 
@@ -52,9 +53,8 @@
 
 	@Test
 	void killedDelegatesAreReplacedAndRemoved() {
-		// Both nodes that speak for a data centre die at once. Without successors the
-		// whole data centre would fall silent for the others, although all its other
-		// nodes run.
+		// Both delegates of a data centre crash at once. Without successors, the other
+		// data centres would consider all its nodes dead although they run.
 		startLarge();
 		List<String> delegates = delegates();
 		delegates.forEach(this.group::kill);
@@ -65,9 +65,9 @@
 
 	@Test
 	void nodeUnreachableForOneDelegateStaysLiveThroughTheOther() {
-		// One link fails one way: a node's heartbeats no longer reach one of the two
-		// delegates. If one observer's silence were enough, a healthy node would be
-		// taken for dead.
+		// A one-way link failure: the heartbeats of a node no longer reach one of the two
+		// delegates. If the silence at one delegate were enough, a healthy node would be
+		// considered dead.
 		startLarge();
 		String delegate = delegates().get(0);
 		String sender = nonDelegate();
@@ -79,9 +79,9 @@
 
 	@Test
 	void deadNodeIsRemovedAlthoughADelegateReliesOnAnother() {
-		// A node reaches only one delegate, then dies. The other delegate had it on
-		// the first one's word; if it passed that on as its own, both would keep the
-		// dead node for ever.
+		// A node reaches only one delegate and then crashes. The other delegate knew it
+		// only from the report of the first. If it reported the node as received by
+		// itself, both would keep the dead node live forever.
 		startLarge();
 		String delegate = delegates().get(0);
 		String sender = nonDelegate();
@@ -114,9 +114,8 @@
 
 	@Test
 	void delayedHeartbeatOfAnEarlierIncarnationIsIgnored() {
-		// A node restarts. A heartbeat of its former life has been held up by the
-		// network and comes after those of the new one: work would be handed to a
-		// life that is over.
+		// A delayed heartbeat of the previous incarnation arrives after those of the
+		// restarted node. Requests would be sent to an incarnation that no longer exists.
 		startSix();
 		NodeIdentity earlier = this.group.node("node-1").self();
 		this.group.start("node-1", "fukuoka");
@@ -157,9 +156,9 @@
 
 	@Test
 	void dataCentreReplacedInAPlatformOutageIsDiscovered() {
-		// All nodes of a data centre are replaced at the same addresses while the
-		// platform is down: nothing introduces them. The others still know the
-		// addresses and try them.
+		// All nodes of a data centre are replaced at the same addresses during a platform
+		// outage, so that they can't discover each other through the platform. The other
+		// data centres still know the addresses and probe them.
 		startSix();
 		this.group.platform().down(true);
 		this.group.start("node-1", "fukuoka");
--- a/src/test/java/sycamorehill/logic/observation/FleetUpdatesTests.java
+++ b/src/test/java/sycamorehill/logic/observation/FleetUpdatesTests.java
@@ -41,8 +41,8 @@
 		return new VmObservation(report, Instant.ofEpochSecond(seconds));
 	}
 
-	// Two data centres' lists name one VM, after a move that the list tells badly. Both
-	// would claim it.
+	// The lists of two data centres contain the same VM, for example because one list is
+	// not yet updated after a move. Both data centres would claim the VM.
 	@Test
 	void vmOfAnotherDataCentreIsIgnored() {
 		VmEntry foreign = new VmEntry(VM, DataCentreName.of("dc1"), FabricDomain.of("d"), Address.of("10.0.0.1", 9),
@@ -52,8 +52,8 @@
 		Assertions.assertThat(fleet.entries()).isEmpty();
 	}
 
-	// The engine says that it will go; the list lags and still shows the VM as live. A
-	// group formed with it would be cut off.
+	// An engine reports that its VM is leaving, but the lagging list still shows the VM
+	// as live. Requests to a group formed with it would be interrupted.
 	@Test
 	void leavingVmStaysLeavingAlthoughTheListShowsItLive() {
 		Fleet fleet = FleetUpdates.recordLeavingNotice(applyList(Fleet.empty(), VmStatus.LIVE, "i", 1), VM,
@@ -73,8 +73,8 @@
 		Assertions.assertThat(applyList(fleet, VmStatus.LIVE, "i", 400).isLeaving(VM)).isFalse();
 	}
 
-	// An answer that was delayed on its way comes after a later one, and shows the VM in
-	// a state that it has left.
+	// A delayed answer arrives after a later one and shows the VM in a state that it has
+	// left.
 	@Test
 	void delayedReportDoesNotReplaceALaterOne() {
 		Fleet fleet = FleetUpdates.applyReport(Fleet.empty(), observation(EngineState.FAILED, 7, 5));
@@ -89,8 +89,8 @@
 		Assertions.assertThat(applyList(fleet, VmStatus.LIVE, "j", 3).observation(VM)).isEmpty();
 	}
 
-	// A message waits for four seconds in a full connection. What it tells is as old as
-	// that, whatever it says.
+	// A message waits for four seconds in a congested connection. Its observations are
+	// older by that time.
 	@Test
 	void transitDelayOfAMessageIsMeasured() {
 		NodeIncarnation sender = NodeIncarnation.of(NodeName.of("n"), 1);
--- a/src/test/java/sycamorehill/logic/observation/ObservationSharingTests.java
+++ b/src/test/java/sycamorehill/logic/observation/ObservationSharingTests.java
@@ -49,8 +49,9 @@
 			.isEqualTo(Instant.ofEpochMilli(3900));
 	}
 
-	// The message that told of a failed member is lost; the next one says "unchanged". A
-	// reader that took its own old view for the sender's would keep the group serving.
+	// The message that reports a failed member is lost and the next one reports no
+	// further change. If the receiver refreshed its outdated observation, the group would
+	// go on serving.
 	@Test
 	void observationsAreNotRefreshedWhenTheHashDiffers() {
 		ObservationState state = handleMessage(stateWithReadyVm(), 4, unchangedMessage(4, EngineState.FAILED));
