--- a/src/main/java/sycamorehill/logic/health/StragglerRule.java
+++ b/src/main/java/sycamorehill/logic/health/StragglerDetection.java
@@ -6,14 +6,14 @@
 import sycamorehill.model.policy.HealthPolicy;
 
 /**
- * Tells a straggler by comparison with the other targets of its service: when all slow
- * down together, none of them is one.
+ * Detects stragglers by comparing a target's time to first token with the median of the
+ * other targets of its service. If all targets slow down together, none is a straggler.
  */
-final class StragglerRule {
+final class StragglerDetection {
 
-	private static final int FEWEST_SIBLINGS = 2;
+	private static final int MINIMUM_SIBLINGS = 2;
 
-	private StragglerRule() {
+	private StragglerDetection() {
 	}
 
 	static boolean isStraggler(HealthState state, TargetName name, HealthPolicy policy) {
@@ -30,7 +30,7 @@
 					&& other.firstTokens().samples() >= policy.stragglerSamples())
 			.mapToDouble((other) -> other.firstTokens().averageMillis())
 			.toArray();
-		if (siblings.length < FEWEST_SIBLINGS) {
+		if (siblings.length < MINIMUM_SIBLINGS) {
 			return false;
 		}
 		Arrays.sort(siblings);
