--- a/src/main/java/sycamorehill/logic/membership/Heartbeats.java
+++ b/src/main/java/sycamorehill/logic/membership/Heartbeats.java
@@ -115,7 +115,7 @@
 	private static Heartbeat heartbeatWithReport(MembershipStep step, NodeIdentity to) {
 		long hash = step.observations().hash();
 		DirectContact contact = step.observations().direct().get(to.incarnation().node());
-		boolean same = contact != null && contact.viewHash() == hash;
+		boolean sameHash = contact != null && contact.viewHash() == hash;
 		List<Integer> ages = new ArrayList<>();
 		List<DataCentreConfirmation> confirmations = new ArrayList<>();
 		for (Map.Entry<DataCentreName, DataCentreView> entry : step.observations().confirmedViews().entrySet()) {
@@ -125,8 +125,8 @@
 		}
 		boolean betweenDelegates = step.isDelegate() && to.dataCentre().equals(step.ownDataCentre());
 		return new Heartbeat(step.state().stopping(), step.ticketNumber(), (int) step.heartbeatInterval().toMillis(),
-				false, hash, same ? ages : List.of(), betweenDelegates ? membersWithoutHeartbeat(step) : List.of(),
-				same ? List.of() : confirmations);
+				false, hash, sameHash ? ages : List.of(), betweenDelegates ? membersWithoutHeartbeat(step) : List.of(),
+				sameHash ? List.of() : confirmations);
 	}
 
 	private static List<NodeName> membersWithoutHeartbeat(MembershipStep step) {
--- a/src/main/java/sycamorehill/logic/membership/Liveness.java
+++ b/src/main/java/sycamorehill/logic/membership/Liveness.java
@@ -28,7 +28,7 @@
 
 	private static final Duration LOST_NODE_RETENTION = Duration.ofMinutes(10);
 
-	private static final Duration MAXIMUM_REFRESH_INTERVAL = Duration.ofSeconds(10);
+	private static final Duration MAXIMUM_RECOMPUTE_INTERVAL = Duration.ofSeconds(10);
 
 	private static final long STOPPING_FACTOR = 31;
 
@@ -52,7 +52,7 @@
 		}
 		removeSilentDataCentres(step);
 		removeSilentContacts(step);
-		refreshIfChanged(step);
+		recomputeIfChanged(step);
 		if (step.isDelegate()) {
 			pushChanges(step);
 			RolloutQueryHandler.recordProgress(step);
@@ -61,33 +61,33 @@
 
 	// Recomputing the live nodes takes time proportional to their number. Doing so every
 	// second would take most of the processor time of this reducer.
-	private static void refreshIfChanged(MembershipStep step) {
+	private static void recomputeIfChanged(MembershipStep step) {
 		MembershipTimers timers = step.state().timers();
-		long from = signature(step);
-		if (from != timers.drawnFrom() || !timers.drawnAt().plus(MAXIMUM_REFRESH_INTERVAL).isAfter(step.now())) {
-			refresh(step);
-			step.set(step.state().withTimers(step.state().timers().withLiveNodesRefreshed(from, step.now())));
+		long hash = hashOfObservations(step);
+		if (hash != timers.drawnFrom() || !timers.drawnAt().plus(MAXIMUM_RECOMPUTE_INTERVAL).isAfter(step.now())) {
+			recomputeLiveNodes(step);
+			step.set(step.state().withTimers(step.state().timers().withLiveNodesRecomputed(hash, step.now())));
 		}
 	}
 
-	private static long signature(MembershipStep step) {
-		long signature = step.state().stopping() ? 1 : 0;
+	private static long hashOfObservations(MembershipStep step) {
+		long hash = step.state().stopping() ? 1 : 0;
 		for (DataCentreView view : step.observations().views().values()) {
-			signature ^= view.hash();
+			hash ^= view.hash();
 		}
 		for (DirectContact contact : step.observations().direct().values()) {
 			if (!Heartbeats.isSilent(step, contact, step.now())) {
-				signature += contact.identity().incarnation().hashCode() * (contact.stopping() ? STOPPING_FACTOR : 1L);
+				hash += contact.identity().incarnation().hashCode() * (contact.stopping() ? STOPPING_FACTOR : 1L);
 			}
 		}
-		return signature;
+		return hash;
 	}
 
 	/**
 	 * Recomputes the live nodes and whether this node is a delegate.
 	 * @param step the current step
 	 */
-	static void refresh(MembershipStep step) {
+	static void recomputeLiveNodes(MembershipStep step) {
 		PMap<NodeName, LiveNode> nodes = TreePMap.empty();
 		for (DataCentreView view : step.observations().views().values()) {
 			for (Map.Entry<NodeName, MemberEntry> entry : view.members().entrySet()) {
--- a/src/main/java/sycamorehill/logic/membership/MembershipMessageHandler.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipMessageHandler.java
@@ -127,7 +127,7 @@
 			boolean fewer = after.members().size() < before.members().size();
 			step.log(fewer ? LogEvent.NODE_DEAD : LogEvent.NODE_ALIVE,
 					dataCentre + ": " + ViewDifference.describe(before, after));
-			Liveness.refresh(step);
+			Liveness.recomputeLiveNodes(step);
 		}
 	}
 
@@ -151,7 +151,7 @@
 		step.set(step.observations().withDirect(step.observations().direct().plus(name, contact)).withContact(from));
 		if (known == null || newIncarnation || known.stopping() != heartbeat.stopping()
 				|| Heartbeats.isSilent(step, known, step.now())) {
-			Liveness.refresh(step);
+			Liveness.recomputeLiveNodes(step);
 		}
 		if (known == null || known.ticketNumber() != heartbeat.ticketNumber()) {
 			RolloutQueryHandler.recordProgress(step);
@@ -177,9 +177,9 @@
 			List<NodeName> withoutHeartbeat) {
 		DataCentreName dataCentre = confirmation.dataCentre();
 		DataCentreView view = step.observations().view(dataCentre, Instant.MIN);
-		boolean same = view.hash() == confirmation.hash();
+		boolean sameHash = view.hash() == confirmation.hash();
 		if (step.isDelegate() && dataCentre.equals(step.ownDataCentre())) {
-			if (!same) {
+			if (!sameHash) {
 				// The set is also requested if another data centre has a different one
 				// for this data centre: it may contain nodes that were replaced at the
 				// same address and that no delegate here knows yet.
@@ -196,7 +196,7 @@
 		if (!confirmedAt.isAfter(view.vouchedAt())) {
 			return;
 		}
-		if (same && step.observations().views().containsKey(dataCentre)) {
+		if (sameHash && step.observations().views().containsKey(dataCentre)) {
 			step.set(step.observations().withView(dataCentre, view.withConfirmation(confirmedAt)));
 		}
 		else {
--- a/src/main/java/sycamorehill/logic/membership/MembershipReducer.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipReducer.java
@@ -56,7 +56,7 @@
 		else if (event instanceof NodeEvent.StopRequested) {
 			step.set(step.state().withStopping());
 			Heartbeats.sendAll(step);
-			Liveness.refresh(step);
+			Liveness.recomputeLiveNodes(step);
 		}
 		else if (event instanceof PeerEvent.MessageReceived received) {
 			handleMessage(step, received);
@@ -83,7 +83,7 @@
 				step.set(step.observations().withContact(contact.identityOfUnknownIncarnation()));
 			}
 		}
-		Liveness.refresh(step);
+		Liveness.recomputeLiveNodes(step);
 		PeerDiscovery.handleTick(step);
 	}
 
--- a/src/main/java/sycamorehill/logic/membership/MembershipState.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipState.java
@@ -140,7 +140,7 @@
 					this.drawnAt);
 		}
 
-		MembershipTimers withLiveNodesRefreshed(long from, Instant at) {
+		MembershipTimers withLiveNodesRecomputed(long from, Instant at) {
 			return new MembershipTimers(this.nextHeartbeat, this.nextPush, this.toldNumber, this.lastProbe, from, at);
 		}
 
--- a/src/main/java/sycamorehill/logic/membership/MembershipStep.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipStep.java
@@ -135,7 +135,7 @@
 		return this.view.truth().map(DesiredState::number).orElse(-1L);
 	}
 
-	void add(Effect effect) {
+	void addEffect(Effect effect) {
 		this.effects.add(effect);
 	}
 
--- a/src/main/java/sycamorehill/logic/membership/PeerDiscovery.java
+++ b/src/main/java/sycamorehill/logic/membership/PeerDiscovery.java
@@ -86,16 +86,16 @@
 		}
 		step.set(observations);
 		DiscoveryState introduction = step.state().introduction();
-		Instant from = introduction.announceFrom();
-		if (from.equals(Instant.MIN)) {
+		Instant announceFrom = introduction.announceFrom();
+		if (announceFrom.equals(Instant.MIN)) {
 			// All nodes may have started together. Their first announcements are spread
 			// over a time that grows with the number of nodes.
 			Duration range = Duration.ofSeconds(1)
 				.multipliedBy(answer.objects().size())
 				.dividedBy(step.policy().announcementsPerSecond());
-			from = step.now().plus(Jitter.within(range, introduction.budget().randomState()));
+			announceFrom = step.now().plus(Jitter.within(range, introduction.budget().randomState()));
 		}
-		updateState(step, introduction.withAnnouncementsListed(step.now(), from));
+		updateState(step, introduction.withAnnouncementsListed(step.now(), announceFrom));
 	}
 
 	private static void checkOwnAnnouncement(MembershipStep step, PlatformAnswer answer) {
--- a/src/main/java/sycamorehill/logic/membership/RolloutQueryHandler.java
+++ b/src/main/java/sycamorehill/logic/membership/RolloutQueryHandler.java
@@ -98,16 +98,17 @@
 			DataCentreRollout answer = query.answers().get(dataCentre);
 			rollouts.add((answer != null) ? answer : unansweredRollout(step, dataCentre));
 		}
-		step.add(new OperatorEffect.AnswerForce(query.call(),
+		step.addEffect(new OperatorEffect.AnswerForce(query.call(),
 				new TicketRollout(query.number(), step.view().ticket(query.number()), rollouts)));
 	}
 
 	private static DataCentreRollout unansweredRollout(MembershipStep step, DataCentreName dataCentre) {
 		DataCentreView view = step.observations().view(dataCentre, step.now());
 		int known = step.state().liveNodes().in(dataCentre).size();
-		String last = view.isConfirmed() ? "the last word of it came " + secondsSince(step, view.vouchedAt()) + " ago"
+		String lastConfirmation = view.isConfirmed()
+				? "the last word of it came " + secondsSince(step, view.vouchedAt()) + " ago"
 				: "no word of it ever came";
-		String reason = "no delegate of " + dataCentre + " has answered; " + last
+		String reason = "no delegate of " + dataCentre + " has answered; " + lastConfirmation
 				+ ": it may serve with an older truth";
 		return new DataCentreRollout(dataCentre, 0, known, Optional.empty(), List.of(reason));
 	}
--- a/src/main/java/sycamorehill/logic/observation/FleetUpdates.java
+++ b/src/main/java/sycamorehill/logic/observation/FleetUpdates.java
@@ -68,8 +68,8 @@
 			return leaving;
 		}
 		boolean replaced = !notice.instance().isEmpty() && !notice.instance().equals(entry.instance());
-		boolean stays = notice.lastSign().plus(leavingMemory).isBefore(now);
-		return (replaced || stays) ? leaving.minus(entry.name()) : leaving;
+		boolean expired = notice.lastSign().plus(leavingMemory).isBefore(now);
+		return (replaced || expired) ? leaving.minus(entry.name()) : leaving;
 	}
 
 	/**
@@ -124,18 +124,18 @@
 	 * Records a notice that a VM is about to leave.
 	 * @param fleet the current fleet
 	 * @param vm the VM
-	 * @param sign the monotonic time of this node for the notice
+	 * @param noticedAt the monotonic time of this node for the notice
 	 * @return the updated fleet
 	 */
-	static Fleet recordLeavingNotice(Fleet fleet, VmName vm, Instant sign) {
+	static Fleet recordLeavingNotice(Fleet fleet, VmName vm, Instant noticedAt) {
 		VmLeavingNotice previous = fleet.leaving().get(vm);
 		VmEntry entry = fleet.entries().get(vm);
 		String instance = (entry != null) ? entry.instance() : "";
-		if (previous != null && previous.lastSign().isAfter(sign)) {
+		if (previous != null && previous.lastSign().isAfter(noticedAt)) {
 			return fleet;
 		}
 		return new Fleet(fleet.entries(), fleet.listedAt(), fleet.sights(),
-				fleet.leaving().plus(vm, new VmLeavingNotice(instance, sign)), fleet.refusals());
+				fleet.leaving().plus(vm, new VmLeavingNotice(instance, noticedAt)), fleet.refusals());
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/observation/ObservationReducer.java
+++ b/src/main/java/sycamorehill/logic/observation/ObservationReducer.java
@@ -53,9 +53,9 @@
 		}
 		DataCentreName own = view.self().dataCentre();
 		if (event instanceof TargetEvent.VmListRead read && read.dataCentre().equals(own)) {
-			Duration memory = view.policy().observation().leavingMemory();
+			Duration leavingMemory = view.policy().observation().leavingMemory();
 			ObservationState listed = state
-				.withFleet(FleetUpdates.applyList(state.fleet(), read.entries(), own, now, memory));
+				.withFleet(FleetUpdates.applyList(state.fleet(), read.entries(), own, now, leavingMemory));
 			return Step.of(listed.withObserved(listed.observed(), now));
 		}
 		if (event instanceof PeerEvent.MessageReceived received && received.from().dataCentre().equals(own)) {
@@ -84,9 +84,9 @@
 	// and otherwise rarely. The number of reads must not grow with the number of nodes.
 	private static ObservationState handleListHash(ObservationState state, Instant now, long listHash,
 			ObservationPolicy policy) {
-		Instant soon = now.plus(policy.listInterval());
+		Instant nextRead = now.plus(policy.listInterval());
 		boolean same = StateHash.of(state.fleet().entries().values()) == listHash;
-		return (same || !state.nextListAt().isAfter(soon)) ? state : state.withNextListAt(now);
+		return (same || !state.nextListAt().isAfter(nextRead)) ? state : state.withNextListAt(now);
 	}
 
 	private static Step<ObservationState> handleTick(ObservationState state, Instant now, NodeView view) {
--- a/src/main/java/sycamorehill/logic/observation/ObservationSharing.java
+++ b/src/main/java/sycamorehill/logic/observation/ObservationSharing.java
@@ -56,11 +56,11 @@
 
 	private static List<VmObservation> freshObservations(ObservationState state, Instant now,
 			ObservationPolicy policy) {
-		Instant oldest = now.minus(policy.freshness());
+		Instant oldestFresh = now.minus(policy.freshness());
 		List<VmObservation> observations = new ArrayList<>();
 		for (VmName vm : state.observed()) {
 			VmObservation observation = state.sharing().own().get(vm);
-			if (observation != null && observation.seenAt().isAfter(oldest)) {
+			if (observation != null && observation.seenAt().isAfter(oldestFresh)) {
 				observations.add(observation);
 			}
 		}
