--- a/src/main/java/sycamorehill/logic/membership/Heartbeats.java
+++ b/src/main/java/sycamorehill/logic/membership/Heartbeats.java
@@ -15,9 +15,10 @@
 import sycamorehill.model.peer.Heartbeat;
 
 /**
- * Sends heartbeats: every node to the delegates of its data centre, the delegates to each
- * other and to those of the other data centres, and one to a node that is known but not
- * alive, so that nodes find each other again after a cut or a restart in place.
+ * Sends heartbeats. Every node sends them to the delegates of its data centre. Delegates
+ * also send them to the delegates of the other data centres. In addition, each round
+ * probes a known node that is not live, so that nodes find each other again after a
+ * network partition or a restart at the same address.
  */
 final class Heartbeats {
 
@@ -46,10 +47,10 @@
 	}
 
 	/**
-	 * The delegates of a data centre without this node.
-	 * @param step the step under way
+	 * Returns the delegates of a data centre except this node.
+	 * @param step the current step
 	 * @param dataCentre the data centre
-	 * @return the delegates as this node sees them now
+	 * @return the delegates according to the live nodes that this node knows
 	 */
 	static List<LiveNode> otherDelegates(MembershipStep step, DataCentreName dataCentre) {
 		LiveNodes nodes = step.state().liveNodes();
@@ -88,7 +89,8 @@
 		}
 	}
 
-	// The known nodes that are not alive, beginning behind the one that was probed last.
+	// Returns the known nodes that are not live, in the order of their names, starting
+	// after the last one that was probed.
 	private static List<NodeIdentity> contactsToProbe(MembershipStep step) {
 		Map<NodeName, LiveNode> live = step.state().liveNodes().nodes();
 		NodeName last = step.state().timers().lastProbe();
@@ -108,11 +110,12 @@
 				true, step.observations().hash(), List.of(), List.of(), List.of());
 	}
 
-	// What this node knows: in full only for a receiver that last showed another hash.
+	// The confirmations are sent in full only to a receiver whose last heartbeat had
+	// another hash.
 	private static Heartbeat heartbeatWithReport(MembershipStep step, NodeIdentity to) {
 		long hash = step.observations().hash();
 		DirectContact contact = step.observations().direct().get(to.incarnation().node());
-		boolean same = contact != null && contact.viewHash() == hash;
+		boolean sameHash = contact != null && contact.viewHash() == hash;
 		List<Integer> ages = new ArrayList<>();
 		List<DataCentreConfirmation> confirmations = new ArrayList<>();
 		for (Map.Entry<DataCentreName, DataCentreView> entry : step.observations().confirmedViews().entrySet()) {
@@ -122,8 +125,8 @@
 		}
 		boolean betweenDelegates = step.isDelegate() && to.dataCentre().equals(step.ownDataCentre());
 		return new Heartbeat(step.state().stopping(), step.ticketNumber(), (int) step.heartbeatInterval().toMillis(),
-				false, hash, same ? ages : List.of(), betweenDelegates ? membersWithoutHeartbeat(step) : List.of(),
-				same ? List.of() : confirmations);
+				false, hash, sameHash ? ages : List.of(), betweenDelegates ? membersWithoutHeartbeat(step) : List.of(),
+				sameHash ? List.of() : confirmations);
 	}
 
 	private static List<NodeName> membersWithoutHeartbeat(MembershipStep step) {
