--- a/src/main/java/sycamorehill/logic/quarantine/ArbiterState.java
+++ b/src/main/java/sycamorehill/logic/quarantine/ArbiterState.java
@@ -10,11 +10,11 @@
 import sycamorehill.model.request.Fingerprint;
 
 /**
- * What a node keeps as the arbiter of services.
+ * State of a node as the arbiter of services.
  *
- * @param slots targets kept for one suspect each
- * @param suspects what the other nodes are to be told at the next tick
- * @param cleared what is no longer suspected, as they are to be told
+ * @param slots the isolation slots by target
+ * @param suspects the suspects to publish at the next tick
+ * @param cleared the cleared content to publish at the next tick
  */
 record ArbiterState(PMap<TargetName, IsolationSlot> slots, PVector<SuspectEntry> suspects,
 		PVector<Fingerprint> cleared) {
@@ -23,11 +23,11 @@
 		return new ArbiterState(HashTreePMap.empty(), TreePVector.empty(), TreePVector.empty());
 	}
 
-	ArbiterState with(IsolationSlot slot) {
+	ArbiterState withSlot(IsolationSlot slot) {
 		return new ArbiterState(this.slots.plus(slot.target(), slot), this.suspects, this.cleared);
 	}
 
-	ArbiterState without(TargetName target) {
+	ArbiterState withoutSlot(TargetName target) {
 		return new ArbiterState(this.slots.minus(target), this.suspects, this.cleared);
 	}
 
@@ -39,7 +39,7 @@
 		return new ArbiterState(this.slots, this.suspects, this.cleared.plus(fingerprint));
 	}
 
-	ArbiterState spread() {
+	ArbiterState withoutUnpublished() {
 		return new ArbiterState(this.slots, TreePVector.empty(), TreePVector.empty());
 	}
 
--- a/src/main/java/sycamorehill/logic/quarantine/QuarantineStep.java
+++ b/src/main/java/sycamorehill/logic/quarantine/QuarantineStep.java
@@ -21,12 +21,11 @@
 import sycamorehill.model.request.Fingerprint;
 
 /**
- * Collects the changes and effects of one step of the quarantine part; it lives no longer
- * than the step.
+ * Accumulates the state changes and effects of one step of the quarantine reducer.
  */
 final class QuarantineStep {
 
-	private static final Duration SAME_DEATH = Duration.ofSeconds(5);
+	private static final Duration SAME_CRASH_PERIOD = Duration.ofSeconds(5);
 
 	private final Instant now;
 
@@ -50,8 +49,8 @@
 		return this.state;
 	}
 
-	void replace(QuarantineState changed) {
-		this.state = changed;
+	void replaceState(QuarantineState newState) {
+		this.state = newState;
 	}
 
 	Instant now() {
@@ -78,11 +77,11 @@
 		this.effects.add(new PeerEffect.Send(to, message));
 	}
 
-	void sendToOthers(PeerMessage message) {
-		others().forEach((node) -> send(node, message));
+	void sendToPeers(PeerMessage message) {
+		peers().forEach((node) -> send(node, message));
 	}
 
-	List<NodeIdentity> others() {
+	List<NodeIdentity> peers() {
 		return this.view.liveNodes()
 			.nodes()
 			.values()
@@ -92,70 +91,72 @@
 			.toList();
 	}
 
-	boolean quarantined(Fingerprint fingerprint) {
-		return this.state.quarantined(fingerprint, this.now);
+	boolean isQuarantined(Fingerprint fingerprint) {
+		return this.state.isQuarantined(fingerprint, this.now);
 	}
 
 	Optional<Suspect> suspect(Fingerprint fingerprint) {
-		return this.state.suspects().at(fingerprint, this.now);
+		return this.state.suspects().get(fingerprint, this.now);
 	}
 
 	/**
-	 * Remembers that a target died while it ran content.
-	 * @param fingerprint the content
+	 * Records that a target crashed while it ran content.
+	 * @param fingerprint the fingerprint of the content
 	 * @param target the target
 	 */
-	void addDeath(Fingerprint fingerprint, TargetName target) {
-		if (quarantined(fingerprint) || explained(target)) {
+	void addCrash(Fingerprint fingerprint, TargetName target) {
+		if (isQuarantined(fingerprint) || isExplained(target)) {
 			return;
 		}
-		noteDeath(target);
-		Suspect suspect = suspect(fingerprint).orElse(Suspect.none()).with(target, this.now, SAME_DEATH);
+		recordRecentCrash(target);
+		Suspect suspect = suspect(fingerprint).orElse(Suspect.withoutCrashes())
+			.withCrash(target, this.now, SAME_CRASH_PERIOD);
 		Instant until = this.now.plus(policy().suspicion());
 		this.state = this.state
 			.withSuspects(this.state.suspects().with(fingerprint, suspect, until, policy().mostContents()));
 	}
 
-	private void noteDeath(TargetName target) {
+	private void recordRecentCrash(TargetName target) {
 		if (!this.state.recentDeaths().containsKey(target)) {
 			this.state = this.state.withRecentDeaths(this.state.recentDeaths().plus(target, this.now));
 		}
 	}
 
 	/**
-	 * Takes a target's death back from content.
-	 * @param fingerprint the content
-	 * @param target the target that lives
-	 * @return whether nothing else is held against the content
+	 * Removes a target's crash from the record of suspect content.
+	 * @param fingerprint the fingerprint of the content
+	 * @param target the target that did not crash, or whose crash is attributed to other
+	 * content
+	 * @return whether no other crash is recorded for the content
 	 */
-	boolean removeDeath(Fingerprint fingerprint, TargetName target) {
+	boolean removeCrash(Fingerprint fingerprint, TargetName target) {
 		Optional<Suspect> found = suspect(fingerprint);
 		if (found.isEmpty()) {
 			return false;
 		}
-		Suspect rest = found.get().without(target);
-		if (rest.deaths().isEmpty()) {
-			clear(fingerprint);
+		Suspect remaining = found.get().withoutCrash(target);
+		if (remaining.deaths().isEmpty()) {
+			clearSuspect(fingerprint);
 			return true;
 		}
 		Instant until = this.state.suspects().entries().get(fingerprint).until();
 		this.state = this.state
-			.withSuspects(this.state.suspects().with(fingerprint, rest, until, policy().mostContents()));
+			.withSuspects(this.state.suspects().with(fingerprint, remaining, until, policy().mostContents()));
 		return false;
 	}
 
-	void clear(Fingerprint fingerprint) {
+	void clearSuspect(Fingerprint fingerprint) {
 		this.state = this.state.withSuspects(this.state.suspects().without(fingerprint));
 	}
 
 	/**
-	 * Refuses content from now on, or for longer.
-	 * @param fingerprint the content
-	 * @param until until when at the least
+	 * Quarantines content, or extends its quarantine.
+	 * @param fingerprint the fingerprint of the content
+	 * @param until the earliest monotonic time at which the quarantine may expire
 	 */
 	void quarantine(Fingerprint fingerprint, Instant until) {
-		clear(fingerprint);
-		ContentBook.Entry<Instant> known = this.state.quarantine().entries().get(fingerprint);
+		clearSuspect(fingerprint);
+		ExpiringContentMap.Entry<Instant> known = this.state.quarantine().entries().get(fingerprint);
 		if (known == null || known.until().isBefore(until)) {
 			this.state = this.state
 				.withQuarantine(this.state.quarantine().with(fingerprint, this.now, until, policy().mostContents()));
@@ -163,55 +164,56 @@
 	}
 
 	/**
-	 * Clears what targets ran beside content that crashed them: their deaths say nothing
-	 * about it.
-	 * @param targets the targets
+	 * Attributes the crashes of targets to quarantined content, and clears the content
+	 * that ran beside it: these crashes are no evidence against it.
+	 * @param targets the crashed targets
 	 */
-	void explain(List<TargetName> targets) {
+	void attributeCrashes(List<TargetName> targets) {
 		for (TargetName target : targets) {
 			this.state = this.state.withExplained(this.state.explained().plus(target, this.now));
 		}
-		// Suspects are few, and this comes with a quarantine only.
+		// The loop over all suspects is cheap: suspects are few, and it runs only when
+		// content is quarantined.
 		List<Fingerprint> suspects = List.copyOf(this.state.suspects().entries().keySet());
 		for (Fingerprint fingerprint : suspects) {
-			targets.forEach((target) -> removeDeath(fingerprint, target));
+			targets.forEach((target) -> removeCrash(fingerprint, target));
 		}
 	}
 
-	boolean explained(TargetName target) {
+	boolean isExplained(TargetName target) {
 		return this.state.explained().containsKey(target);
 	}
 
 	/**
-	 * Whether so many targets died lately that it is not the work of one request, but of
-	 * a dark fabric domain or a lost link.
-	 * @return whether it was a mass of deaths
+	 * Returns whether so many targets crashed recently that the cause is not one request
+	 * but the failure of a fabric domain or a network link.
+	 * @return whether it is a mass crash
 	 */
-	boolean massDeaths() {
+	boolean isMassCrash() {
 		return this.state.recentDeaths().size() >= policy().massDeaths();
 	}
 
 	/**
-	 * Forgets what is over. The maps by target hold the last seconds only and are mostly
-	 * empty.
+	 * Removes expired entries. The maps by target hold only the last few seconds and are
+	 * usually empty.
 	 */
-	void expire() {
+	void removeExpired() {
 		this.state = this.state.withSuspects(this.state.suspects().withoutExpired(this.now))
 			.withQuarantine(this.state.quarantine().withoutExpired(this.now));
-		Instant before = this.now.minus(SAME_DEATH);
+		Instant oldestKept = this.now.minus(SAME_CRASH_PERIOD);
 		for (TargetName target : List.copyOf(this.state.recentDeaths().keySet())) {
-			if (this.state.recentDeaths().get(target).isBefore(before)) {
+			if (this.state.recentDeaths().get(target).isBefore(oldestKept)) {
 				this.state = this.state.withRecentDeaths(this.state.recentDeaths().minus(target));
 			}
 		}
 		for (TargetName target : List.copyOf(this.state.explained().keySet())) {
-			if (this.state.explained().get(target).isBefore(before)) {
+			if (this.state.explained().get(target).isBefore(oldestKept)) {
 				this.state = this.state.withExplained(this.state.explained().minus(target));
 			}
 		}
 		for (TargetName target : List.copyOf(this.state.breaks().keySet())) {
-			TargetBreak found = this.state.breaks().get(target);
-			if (found.settled() && found.since().isBefore(before)) {
+			SuspectedCrash found = this.state.breaks().get(target);
+			if (found.settled() && found.since().isBefore(oldestKept)) {
 				this.state = this.state.withBreaks(this.state.breaks().minus(target));
 			}
 		}
--- a/src/main/java/sycamorehill/logic/request/RequestStep.java
+++ b/src/main/java/sycamorehill/logic/request/RequestStep.java
@@ -28,8 +28,7 @@
 import sycamorehill.model.target.ServingTarget;
 
 /**
- * Collects the changes and effects of one step of the request part; it lives no longer
- * than the step.
+ * Accumulates the state changes and effects of one step of the request reducer.
  */
 final class RequestStep {
 
@@ -55,11 +54,11 @@
 		return this.state;
 	}
 
-	void replace(RequestState changed) {
-		this.state = changed;
+	void replaceState(RequestState newState) {
+		this.state = newState;
 	}
 
-	void put(ActiveRequest request) {
+	void putRequest(ActiveRequest request) {
 		this.state = this.state.with(request);
 	}
 
@@ -80,10 +79,10 @@
 	}
 
 	/**
-	 * Sends the request to a target, or has it wait for one.
-	 * @param request the request, without an attempt under way
+	 * Sends a request to a target, or lets it wait for one.
+	 * @param request the request, without a running attempt
 	 */
-	void seekTarget(ActiveRequest request) {
+	void startOrAwaitTarget(ActiveRequest request) {
 		if (this.view.isQuarantined(request.description().fingerprint())) {
 			finish(request,
 					request.history()
@@ -97,29 +96,30 @@
 		}
 		Optional<ServingTarget> target = chooseTarget(request);
 		if (target.isPresent()) {
-			start(request, target.get());
+			startAttempt(request, target.get());
 		}
-		else if (!awaitNextLook(request)) {
-			finish(request, request.history().outcome(comeBack()));
+		else if (!scheduleRecheck(request)) {
+			finish(request, request.history().outcome(retryAfter()));
 		}
 	}
 
 	Optional<ServingTarget> chooseTarget(ActiveRequest request) {
-		return this.view.chooseTarget(new RouteQuery(request.description(), excluded(request)));
+		return this.view.chooseTarget(new RouteQuery(request.description(), excludedTargets(request)));
 	}
 
 	/**
-	 * The targets that a request must not be sent to. Failure: while a service is rolled
-	 * to another model version, a stream that broke midway would go on with tokens of the
-	 * other model; the caller would see one answer, whole by its end mark, made of two.
-	 * So what has begun goes on only on the version that it began with, or ends in an
-	 * error.
+	 * Returns the targets that a request must not be sent to. A stream that has started
+	 * may only resume on the model version that it started with; otherwise it ends in an
+	 * error. During a rollout of another version, it would otherwise continue with tokens
+	 * of the other model, and the caller would receive a seemingly complete answer made
+	 * of two.
 	 * @param request the request
-	 * @return targets that have failed it, and those with another version
+	 * @return the targets that have failed the request, and those with another model
+	 * version
 	 */
-	Set<TargetName> excluded(ActiveRequest request) {
+	Set<TargetName> excludedTargets(ActiveRequest request) {
 		Set<TargetName> excluded = new HashSet<>(request.history().failedTargets());
-		if (request.begun()) {
+		if (request.hasBegun()) {
 			this.view.servingTargets(request.description().service())
 				.stream()
 				.filter((target) -> !target.modelVersion().equals(request.begunWith().get()))
@@ -133,77 +133,77 @@
 		if (!request.isolated()) {
 			Instant until = this.now.plus(this.view.policy().quarantine().isolationWait());
 			Instant deadline = request.description().deadline();
-			waiting = request.withIsolation((request.begun() || until.isBefore(deadline)) ? until : deadline);
+			waiting = request.withIsolation((request.hasBegun() || until.isBefore(deadline)) ? until : deadline);
 		}
-		if (awaitNextLook(waiting)) {
-			raise(new RequestEvent.IsolationWanted(request.description(), excluded(request)));
+		if (scheduleRecheck(waiting)) {
+			raise(new RequestEvent.IsolationWanted(request.description(), excludedTargets(request)));
 		}
 		else {
 			finish(request,
 					request.history()
 						.outcome(RefusalReason.NO_TARGET, "targets died running it, and none was free to run it apart",
-								comeBack()));
+								retryAfter()));
 		}
 	}
 
-	void start(ActiveRequest request, ServingTarget target) {
+	void startAttempt(ActiveRequest request, ServingTarget target) {
 		AttemptIdentifier identifier = AttemptIdentifier.of(this.view.self().incarnation(), this.state.attemptsDrawn());
 		this.state = this.state.withAttemptDrawn();
-		Optional<Instant> wakeAt = (request.repeatable() && !request.begun())
+		Optional<Instant> wakeAt = (request.isIdempotent() && !request.hasBegun())
 				? Optional.of(request.description().deadline()) : Optional.empty();
-		put(request.started(new RunningAttempt(identifier, target)).withWakeAt(wakeAt));
+		putRequest(request.withAttemptStarted(new RunningAttempt(identifier, target)).withWakeAt(wakeAt));
 		Idempotency handling = request.handling().orElseThrow();
 		emit(new RequestEffect.StartAttempt(request.identifier(), identifier, target, handling, policy().patience()));
 		raise(new RequestEvent.AttemptStarted(request.description(), identifier, target));
 	}
 
-	private boolean awaitNextLook(ActiveRequest request) {
+	private boolean scheduleRecheck(ActiveRequest request) {
 		if (!this.now.isBefore(request.giveUpAt())) {
 			return false;
 		}
 		Instant recheckAt = this.now.plus(policy().recheck());
 		Instant wakeAt = recheckAt.isBefore(request.giveUpAt()) ? recheckAt : request.giveUpAt();
-		put(request.withWakeAt(Optional.of(wakeAt)));
+		putRequest(request.withWakeAt(Optional.of(wakeAt)));
 		return true;
 	}
 
 	/**
-	 * Gives the request its final answer. It is forgotten in the same step, so that there
-	 * is no second one.
+	 * Finishes a request with its final answer. The request is removed in the same step,
+	 * so that it has no second answer.
 	 * @param request the request
-	 * @param outcome the answer
+	 * @param outcome the outcome
 	 */
 	void finish(ActiveRequest request, RequestOutcome outcome) {
 		finish(request, outcome, Optional.empty());
 	}
 
 	void finish(ActiveRequest request, RequestOutcome outcome, Optional<RecordedAnswer> answer) {
-		request.running().ifPresent((running) -> cancel(request, running));
+		request.running().ifPresent((running) -> cancelAttempt(request, running));
 		this.state = this.state.without(request.identifier());
 		emit(new RequestEffect.FinishRequest(request.identifier(), outcome));
 		raise(new RequestEvent.Finished(request.description(), request.handling().orElse(Idempotency.ONCE_WITHOUT_KEY),
 				outcome, request.history().tokens(), answer));
 	}
 
-	private void cancel(ActiveRequest request, RunningAttempt running) {
+	private void cancelAttempt(ActiveRequest request, RunningAttempt running) {
 		emit(new RequestEffect.CancelAttempt(running.identifier()));
 		raise(new RequestEvent.AttemptClosed(request.description(), running.identifier(), running.target(),
 				new AttemptResult.Cancelled("given up")));
 	}
 
 	/**
-	 * When a caller that is refused may come back: spread out, so that callers refused
-	 * together do not come back together.
-	 * @return the time
+	 * Returns the Retry-After for a refused caller. It is jittered, so that callers
+	 * refused together do not retry together.
+	 * @return the delay
 	 */
-	Duration comeBack() {
+	Duration retryAfter() {
 		return jittered(policy().comeBack().multipliedBy(2));
 	}
 
-	Duration jittered(Duration longest) {
-		Duration drawn = this.state.random().jittered(longest);
+	Duration jittered(Duration maximum) {
+		Duration duration = this.state.random().jittered(maximum);
 		this.state = this.state.withRandom(this.state.random().next());
-		return drawn;
+		return duration;
 	}
 
 	ServiceBudgets budgets(ServiceName service) {
