--- a/src/main/java/sycamorehill/logic/ticket/CompactionSteps.java
+++ b/src/main/java/sycamorehill/logic/ticket/CompactionSteps.java
@@ -46,13 +46,13 @@
 	static void handleOldSnapshot(TicketStep step, PlatformAnswer answer) {
 		Compaction compaction = step.state().compaction();
 		if (answer instanceof PlatformAnswer.Found found) {
-			DesiredStateSnapshot old = (DesiredStateSnapshot) found.object().value();
-			if (old.number() >= step.log().number()) {
-				step.set(compaction.withStoredSnapshot(old.number(), old.deletedUpTo())
+			DesiredStateSnapshot oldSnapshot = (DesiredStateSnapshot) found.object().value();
+			if (oldSnapshot.number() >= step.log().number()) {
+				step.set(compaction.withStoredSnapshot(oldSnapshot.number(), oldSnapshot.deletedUpTo())
 					.finish(step.now().plus(ATTEMPT_INTERVAL)));
 				return;
 			}
-			writeSnapshot(step, old.deletedUpTo(), found.object());
+			writeSnapshot(step, oldSnapshot.deletedUpTo(), found.object());
 		}
 		else if (answer instanceof PlatformAnswer.Missing) {
 			writeSnapshot(step, 0, null);
@@ -83,11 +83,11 @@
 			return;
 		}
 		long deletableUpTo = step.state().compaction().deletedUpTo();
-		List<StoredObject> old = listed.objects()
+		List<StoredObject> oldTickets = listed.objects()
 			.stream()
 			.filter((object) -> ((TicketValue) object.value()).ticket().number() <= deletableUpTo)
 			.toList();
-		step.set(step.state().compaction().withDeletions(old));
+		step.set(step.state().compaction().withDeletions(oldTickets));
 		deleteNext(step);
 	}
 
@@ -118,14 +118,14 @@
 		step.call(TicketCallPurpose.DELETE_TICKET, new PlatformRequest.Delete(next.key(), next.version()));
 	}
 
-	private static void writeSnapshot(TicketStep step, long announcedUpTo, StoredObject old) {
+	private static void writeSnapshot(TicketStep step, long announcedUpTo, StoredObject storedSnapshot) {
 		long number = step.log().number();
 		long deletableUpTo = step.sync().behind() ? number
 				: Math.max(announcedUpTo, number - step.policy().keptTickets());
 		step.set(step.state().compaction().startWrite(number, deletableUpTo));
 		DesiredStateSnapshot snapshot = step.log().snapshot(deletableUpTo);
-		PlatformRequest request = (old != null)
-				? new PlatformRequest.Update(TicketObjectNames.SNAPSHOT, snapshot, old.version())
+		PlatformRequest request = (storedSnapshot != null)
+				? new PlatformRequest.Update(TicketObjectNames.SNAPSHOT, snapshot, storedSnapshot.version())
 				: new PlatformRequest.Create(TicketObjectNames.SNAPSHOT, snapshot);
 		step.call(TicketCallPurpose.WRITE_SNAPSHOT, request);
 	}
--- a/src/main/java/sycamorehill/logic/ticket/ReplicationSteps.java
+++ b/src/main/java/sycamorehill/logic/ticket/ReplicationSteps.java
@@ -84,9 +84,9 @@
 
 	private static List<LiveNode> recipients(TicketStep step, boolean delegate) {
 		NodeIdentity self = step.view().self();
-		List<LiveNode> receivers = delegate ? step.view().liveNodes().in(self.dataCentre())
+		List<LiveNode> nodes = delegate ? step.view().liveNodes().in(self.dataCentre())
 				: Delegates.in(step.view(), self.dataCentre());
-		return receivers.stream().filter((node) -> !node.identity().equals(self)).toList();
+		return nodes.stream().filter((node) -> !node.identity().equals(self)).toList();
 	}
 
 }
