--- a/src/main/java/sycamorehill/logic/admission/ShareAccount.java
+++ b/src/main/java/sycamorehill/logic/admission/ShareAccount.java
@@ -118,7 +118,7 @@
 	 * @return whether the account must be kept
 	 */
 	boolean holdsLoans(Instant now) {
-		return !total(this.borrowed, now).isNegligible() || !total(this.lent, now).isNegligible();
+		return !total(this.borrowed, now).areNegligible() || !total(this.lent, now).areNegligible();
 	}
 
 	private static ShareAccount of(ShareAmounts owned, PMap<NodeIncarnation, LoanSet> borrowed,
--- a/src/main/java/sycamorehill/logic/admission/ShareExchange.java
+++ b/src/main/java/sycamorehill/logic/admission/ShareExchange.java
@@ -190,7 +190,7 @@
 		Coordinators coordinators = null;
 		for (WorkspaceName workspace : workspaces) {
 			WorkspaceEntry entry = this.state.entry(workspace, this.now, this.view);
-			if (!entry.nextAsk().isAfter(this.now) && !shortfall(workspace, entry, true).isNegligible()) {
+			if (!entry.nextAsk().isAfter(this.now) && !shortfall(workspace, entry, true).areNegligible()) {
 				coordinators = (coordinators != null) ? coordinators : Coordinators.of(this.view.liveNodes());
 				ask(workspace, entry, coordinators, asks);
 			}
@@ -243,7 +243,7 @@
 
 	private static void addAsk(Map<Recipient, List<WorkspaceShare>> asks, NodeIdentity to, ShareAsk.Scope scope,
 			WorkspaceName workspace, ShareAmounts amounts) {
-		if (!amounts.isNegligible()) {
+		if (!amounts.areNegligible()) {
 			asks.computeIfAbsent(new Recipient(to, scope), (recipient) -> new ArrayList<>())
 				.add(new WorkspaceShare(workspace, amounts));
 		}
@@ -282,7 +282,7 @@
 		// run than the limit allows.
 		ShareAmounts loan = new ShareAmounts(amounts.requests(), amounts.tokens(),
 				Math.max(amounts.inFlight(), alreadyLent.inFlight()));
-		if (loan.isNegligible()) {
+		if (loan.areNegligible()) {
 			return;
 		}
 		put(want.workspace(), entry.with(entry.account().lend(borrower.incarnation(), loan, end, this.now)));
@@ -345,7 +345,8 @@
 			NodeIdentity borrower = outstanding.getKey();
 			OutstandingAsks.OutstandingAsk ask = outstanding.getValue();
 			ShareAmounts alreadyLent = entry.account().lentTo(borrower.incarnation(), this.now);
-			if (ask.answersLeft() > 0 && !borrower.equals(lender) && !ask.amounts().minus(alreadyLent).isNegligible()) {
+			if (ask.answersLeft() > 0 && !borrower.equals(lender)
+					&& !ask.amounts().minus(alreadyLent).areNegligible()) {
 				WorkspaceEntry current = this.state.entry(workspace, this.now, this.view);
 				put(workspace, current.with(current.wants().plus(borrower, ask.answered())));
 				List<WorkspaceShare> loans = new ArrayList<>();
--- a/src/main/java/sycamorehill/model/peer/ShareAmounts.java
+++ b/src/main/java/sycamorehill/model/peer/ShareAmounts.java
@@ -67,7 +67,7 @@
 	 * Tells whether the amounts are too small to send in a message.
 	 * @return whether the amounts of all limits are close to 0
 	 */
-	public boolean isNegligible() {
+	public boolean areNegligible() {
 		return this.requests < 0.001 && this.tokens < 0.001 && this.inFlight < 0.001;
 	}
 
