--- a/src/main/java/sycamorehill/cli/ServeCommand.java
+++ b/src/main/java/sycamorehill/cli/ServeCommand.java
@@ -52,7 +52,7 @@
 			Thread.sleep(Duration.parse(this.runFor).toMillis());
 			return ExitCode.DONE;
 		}
-		node.end().get();
+		node.whenStopped().get();
 		return ExitCode.DONE;
 	}
 
--- a/src/main/java/sycamorehill/entry/AnswerReader.java
+++ b/src/main/java/sycamorehill/entry/AnswerHandler.java
@@ -6,27 +6,27 @@
 /**
  * Takes the answer to the request on a connection.
  */
-interface AnswerReader {
+interface AnswerHandler {
 
 	/**
 	 * Takes the answer's head.
 	 * @param response the head
 	 */
-	void head(HttpResponse response);
+	void handleHead(HttpResponse response);
 
 	/**
 	 * Takes bytes of the answer's body; the reader does not keep them.
 	 * @param bytes the bytes
 	 */
-	void body(ByteBuf bytes);
+	void handleBody(ByteBuf bytes);
 
 	/** Hears that the answer is whole. */
-	void end();
+	void handleEnd();
 
 	/**
 	 * Hears that the connection broke, or carried something that is no answer.
 	 * @param cause what was seen
 	 */
-	void broken(String cause);
+	void handleFailure(String cause);
 
 }
--- a/src/main/java/sycamorehill/entry/CallClient.java
+++ b/src/main/java/sycamorehill/entry/CallClient.java
@@ -27,35 +27,35 @@
 public final class CallClient {
 
 	/** Longest answer; the store's values are 1 MB at most, and lists a little more. */
-	private static final int MOST_BYTES = 32 * 1024 * 1024;
+	private static final int MAXIMUM_ANSWER_BYTES = 32 * 1024 * 1024;
 
-	private static final Duration LONGEST_IDLE = Duration.ofSeconds(5);
+	private static final Duration MAXIMUM_IDLE_TIME = Duration.ofSeconds(5);
 
-	private final TargetConnections connections;
+	private final TargetConnectionPool connections;
 
-	private CallClient(TargetConnections connections) {
+	private CallClient(TargetConnectionPool connections) {
 		this.connections = connections;
 	}
 
-	static CallClient of(TargetConnections connections) {
+	static CallClient of(TargetConnectionPool connections) {
 		return new CallClient(connections);
 	}
 
 	/**
 	 * Makes a call.
 	 * @param call what to call
-	 * @param expected name and value of a header to set; null for none
+	 * @param header name and value of a header to set; null for none
 	 * @param timeout bound on the whole call
 	 * @return the answer, or a {@link CallFailedException}
 	 */
-	public CompletableFuture<CallAnswer> call(Call call, Header expected, Duration timeout) {
+	public CompletableFuture<CallAnswer> call(Call call, Header header, Duration timeout) {
 		CompletableFuture<CallAnswer> answer = new CompletableFuture<>();
-		this.connections.loop().execute(() -> start(call, expected, timeout, answer));
+		this.connections.loop().execute(() -> start(call, header, timeout, answer));
 		return answer;
 	}
 
 	private void start(Call call, Header header, Duration timeout, CompletableFuture<CallAnswer> answer) {
-		TargetConnection idle = this.connections.takeIdle(call.address(), LONGEST_IDLE);
+		TargetConnection idle = this.connections.acquireIdle(call.address(), MAXIMUM_IDLE_TIME);
 		if (idle != null) {
 			send(idle, call, header, timeout, answer);
 			return;
@@ -90,9 +90,9 @@
 		if (header != null) {
 			request.headers().set(header.name(), header.value());
 		}
-		Reading reading = new Reading(connection, call.address(), answer);
-		connection.await(reading);
-		reading.bound(timeout);
+		AnswerCollector reading = new AnswerCollector(connection, call.address(), answer);
+		connection.expectAnswer(reading);
+		reading.startTimer(timeout);
 		connection.context().writeAndFlush(request);
 	}
 
@@ -130,7 +130,7 @@
 	/**
 	 * Reads one answer.
 	 */
-	private final class Reading implements AnswerReader {
+	private final class AnswerCollector implements AnswerHandler {
 
 		private final TargetConnection connection;
 
@@ -144,26 +144,26 @@
 
 		private ScheduledFuture<?> timer;
 
-		Reading(TargetConnection connection, TargetAddress address, CompletableFuture<CallAnswer> answer) {
+		AnswerCollector(TargetConnection connection, TargetAddress address, CompletableFuture<CallAnswer> answer) {
 			this.connection = connection;
 			this.address = address;
 			this.answer = answer;
 		}
 
-		void bound(Duration timeout) {
+		void startTimer(Duration timeout) {
 			this.timer = CallClient.this.connections.loop()
-				.schedule(() -> giveUp("no answer in " + timeout), timeout.toNanos(), TimeUnit.NANOSECONDS);
+				.schedule(() -> abort("no answer in " + timeout), timeout.toNanos(), TimeUnit.NANOSECONDS);
 		}
 
 		@Override
-		public void head(HttpResponse response) {
+		public void handleHead(HttpResponse response) {
 			this.head = response;
 		}
 
 		@Override
-		public void body(ByteBuf bytes) {
-			if (this.body.readableBytes() + bytes.readableBytes() > MOST_BYTES) {
-				giveUp("the answer is longer than " + MOST_BYTES + " bytes");
+		public void handleBody(ByteBuf bytes) {
+			if (this.body.readableBytes() + bytes.readableBytes() > MAXIMUM_ANSWER_BYTES) {
+				abort("the answer is longer than " + MAXIMUM_ANSWER_BYTES + " bytes");
 				return;
 			}
 			this.body.writeBytes(bytes);
@@ -171,10 +171,10 @@
 
 		// A timer that is not cancelled wakes the process though the answer is there.
 		@Override
-		public void end() {
+		public void handleEnd() {
 			this.timer.cancel(false);
 			if (HttpUtil.isKeepAlive(this.head)) {
-				CallClient.this.connections.giveBack(this.address, this.connection, LONGEST_IDLE.multipliedBy(2));
+				CallClient.this.connections.release(this.address, this.connection, MAXIMUM_IDLE_TIME.multipliedBy(2));
 			}
 			else {
 				this.connection.close();
@@ -185,15 +185,15 @@
 		}
 
 		@Override
-		public void broken(String cause) {
+		public void handleFailure(String cause) {
 			this.timer.cancel(false);
 			this.answer.completeExceptionally(CallFailedException.of(CallFailedException.Cause.NO_ANSWER, cause));
 		}
 
-		void giveUp(String cause) {
+		void abort(String cause) {
 			if (!this.answer.isDone()) {
 				this.connection.reset();
-				broken(cause);
+				handleFailure(cause);
 			}
 		}
 
--- a/src/main/java/sycamorehill/entry/CallFailedException.java
+++ b/src/main/java/sycamorehill/entry/CallFailedException.java
@@ -22,7 +22,7 @@
 	 * Why there is no answer.
 	 * @return the cause
 	 */
-	public Cause why() {
+	public Cause failureCause() {
 		return this.cause;
 	}
 
--- a/src/main/java/sycamorehill/entry/CallerConnection.java
+++ b/src/main/java/sycamorehill/entry/CallerConnection.java
@@ -42,16 +42,16 @@
 final class CallerConnection extends ChannelInboundHandlerAdapter {
 
 	/** Time that a caller is given to read a refusal before the connection is closed. */
-	private static final Duration LINGER = Duration.ofMillis(1000);
+	private static final Duration LINGER_TIMEOUT = Duration.ofMillis(1000);
 
 	/** Messages of later requests that may wait while one is served. */
-	private static final int MOST_WAITING = 64;
+	private static final int MAXIMUM_WAITING_MESSAGES = 64;
 
 	private final CallerServer server;
 
 	private final CallerLimits limits;
 
-	private final Queue<Object> waiting = new ArrayDeque<>();
+	private final Queue<Object> waitingMessages = new ArrayDeque<>();
 
 	private ChannelHandlerContext context;
 
@@ -63,13 +63,13 @@
 
 	private long arrivedNanos;
 
-	private boolean readingBegun;
+	private boolean readStarted;
 
-	private Exchange exchange;
+	private CallerExchange exchange;
 
 	private boolean keepAlive;
 
-	private boolean ended;
+	private boolean closing;
 
 	private CallerConnection(CallerServer server, CallerLimits limits) {
 		this.server = server;
@@ -81,13 +81,13 @@
 	}
 
 	@Override
-	public void handlerAdded(ChannelHandlerContext added) {
-		this.context = added;
+	public void handlerAdded(ChannelHandlerContext addedContext) {
+		this.context = addedContext;
 	}
 
 	@Override
 	public void channelActive(ChannelHandlerContext ctx) {
-		this.server.opened(this);
+		this.server.addConnection(this);
 		awaitRequest();
 		ctx.fireChannelActive();
 	}
@@ -96,9 +96,9 @@
 	 * Hears of the first bytes before they are decoded, to bound the time to the whole
 	 * head.
 	 */
-	void bytesArrived() {
-		if (!this.readingBegun && this.exchange == null && !this.ended) {
-			this.readingBegun = true;
+	void handleFirstBytes() {
+		if (!this.readStarted && this.exchange == null && !this.closing) {
+			this.readStarted = true;
 			this.arrivedNanos = System.nanoTime();
 			startTimer(this.limits.headerTimeout(),
 					() -> refuse(HttpResponseStatus.REQUEST_TIMEOUT, "the head took too long"));
@@ -106,7 +106,7 @@
 	}
 
 	private void awaitRequest() {
-		this.readingBegun = false;
+		this.readStarted = false;
 		startTimer(this.limits.idleTimeout(), this.context::close);
 	}
 
@@ -123,31 +123,31 @@
 
 	@Override
 	public void channelRead(ChannelHandlerContext ctx, Object message) {
-		if (this.ended) {
+		if (this.closing) {
 			ReferenceCountUtil.release(message);
 			return;
 		}
 		if (this.exchange != null) {
-			this.waiting.add(message);
-			if (this.waiting.size() > MOST_WAITING) {
+			this.waitingMessages.add(message);
+			if (this.waitingMessages.size() > MAXIMUM_WAITING_MESSAGES) {
 				ctx.channel().config().setAutoRead(false);
 			}
 			return;
 		}
-		take(message);
+		handleMessage(message);
 	}
 
-	private void take(Object message) {
+	private void handleMessage(Object message) {
 		try {
 			if (message instanceof HttpObject object && object.decoderResult().isFailure()) {
 				refuseMalformed(object.decoderResult().cause());
 				return;
 			}
 			if (message instanceof HttpRequest head) {
-				begin(head);
+				startRequest(head);
 			}
 			if (message instanceof HttpContent content && this.request != null) {
-				append(content);
+				appendBody(content);
 			}
 		}
 		finally {
@@ -155,14 +155,14 @@
 		}
 	}
 
-	private void begin(HttpRequest head) {
-		if (!this.readingBegun) {
-			this.readingBegun = true;
+	private void startRequest(HttpRequest head) {
+		if (!this.readStarted) {
+			this.readStarted = true;
 			this.arrivedNanos = System.nanoTime();
 		}
-		Optional<String> fault = RequestForm.fault(head);
-		if (fault.isPresent()) {
-			refuse(HttpResponseStatus.BAD_REQUEST, fault.get());
+		Optional<String> violation = RequestValidator.findViolation(head);
+		if (violation.isPresent()) {
+			refuse(HttpResponseStatus.BAD_REQUEST, violation.get());
 			return;
 		}
 		if (HttpUtil.getContentLength(head, 0L) > this.limits.maximumBodyBytes()) {
@@ -179,25 +179,25 @@
 		}
 	}
 
-	private void append(HttpContent content) {
+	private void appendBody(HttpContent content) {
 		if (this.body.readableBytes() + content.content().readableBytes() > this.limits.maximumBodyBytes()) {
 			refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
 			return;
 		}
 		this.body.writeBytes(content.content());
 		if (content instanceof LastHttpContent) {
-			complete();
+			completeRequest();
 		}
 	}
 
-	private void complete() {
+	private void completeRequest() {
 		stopTimer();
-		HttpRequest whole = this.request;
-		ByteBuf wholeBody = this.body;
+		HttpRequest completeRequest = this.request;
+		ByteBuf completeBody = this.body;
 		this.request = null;
 		this.body = null;
-		this.keepAlive = HttpUtil.isKeepAlive(whole);
-		this.exchange = this.server.arrived(this, whole, wholeBody, this.arrivedNanos);
+		this.keepAlive = HttpUtil.isKeepAlive(completeRequest);
+		this.exchange = this.server.acceptRequest(this, completeRequest, completeBody, this.arrivedNanos);
 	}
 
 	private void refuseMalformed(Throwable cause) {
@@ -211,17 +211,17 @@
 
 	// Answers a request that was not read to its end, and closes the connection.
 	private void refuse(HttpResponseStatus status, String detail) {
-		if (this.ended || this.exchange != null) {
+		if (this.closing || this.exchange != null) {
 			return;
 		}
 		stopTimer();
-		this.server.refused(status.code(), detail);
+		this.server.logRefusal(status.code(), detail);
 		releaseBody();
 		FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
 				Unpooled.copiedBuffer(detail + "\n", StandardCharsets.UTF_8));
 		response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
 		response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-		endWith(response);
+		closeAfter(response);
 	}
 
 	private void releaseBody() {
@@ -234,13 +234,13 @@
 
 	// Writes the last message and closes in a way that lets the caller read it: a close
 	// with unread bytes resets the connection, and the answer with it.
-	private void endWith(Object last) {
-		this.ended = true;
+	private void closeAfter(Object last) {
+		this.closing = true;
 		this.context.channel().config().setAutoRead(true);
 		this.context.writeAndFlush(last).addListener((future) -> {
 			if (future.isSuccess() && this.context.channel() instanceof SocketChannel socket) {
 				socket.shutdownOutput();
-				startTimer(LINGER, this.context::close);
+				startTimer(LINGER_TIMEOUT, this.context::close);
 			}
 			else {
 				this.context.close();
@@ -267,17 +267,17 @@
 	 * @param last the last message of the answer
 	 */
 	void finish(Object last) {
-		if (last instanceof FullHttpResponse whole) {
-			closeIfStopping(whole.headers());
+		if (last instanceof FullHttpResponse response) {
+			closeIfStopping(response.headers());
 		}
 		this.exchange = null;
-		if (!this.keepAlive || this.ended) {
-			endWith(last);
+		if (!this.keepAlive || this.closing) {
+			closeAfter(last);
 			return;
 		}
 		this.context.writeAndFlush(last).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
 		awaitRequest();
-		takeWaiting();
+		processWaitingMessages();
 	}
 
 	private void closeIfStopping(HttpHeaders headers) {
@@ -289,29 +289,29 @@
 		}
 	}
 
-	private void takeWaiting() {
-		List<Object> messages = List.copyOf(this.waiting);
-		this.waiting.clear();
+	private void processWaitingMessages() {
+		List<Object> messages = List.copyOf(this.waitingMessages);
+		this.waitingMessages.clear();
 		this.context.channel().config().setAutoRead(true);
 		for (Object message : messages) {
 			channelRead(this.context, message);
 		}
 	}
 
-	void over(Exchange done) {
-		this.server.over(done);
+	void removeExchange(CallerExchange finished) {
+		this.server.removeExchange(finished);
 	}
 
 	void abort() {
 		this.exchange = null;
-		this.ended = true;
+		this.closing = true;
 		this.context.close();
 	}
 
 	/** Closes the connection if no request is on it. */
 	void closeIfIdle() {
-		if (this.exchange == null && this.request == null && !this.readingBegun) {
-			this.ended = true;
+		if (this.exchange == null && this.request == null && !this.readStarted) {
+			this.closing = true;
 			this.context.close();
 		}
 	}
@@ -328,20 +328,20 @@
 	public void channelInactive(ChannelHandlerContext ctx) {
 		stopTimer();
 		releaseBody();
-		this.waiting.forEach(ReferenceCountUtil::release);
-		this.waiting.clear();
-		this.server.closed(this);
+		this.waitingMessages.forEach(ReferenceCountUtil::release);
+		this.waitingMessages.clear();
+		this.server.removeConnection(this);
 		if (this.exchange != null) {
-			Exchange abandoned = this.exchange;
+			CallerExchange abandoned = this.exchange;
 			this.exchange = null;
-			abandoned.abandon(this.server.control());
+			abandoned.handleCallerDisconnected(this.server.eventSink());
 		}
 		ctx.fireChannelInactive();
 	}
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-		this.server.connectionFailed(cause);
+		this.server.logConnectionFailure(cause);
 		ctx.close();
 	}
 
--- a/src/main/java/sycamorehill/entry/Exchange.java
+++ b/src/main/java/sycamorehill/entry/CallerExchange.java
@@ -29,23 +29,23 @@
 /**
  * One request of a caller and its answer. Lives on the node's one thread.
  */
-final class Exchange {
+final class CallerExchange {
 
 	private final long number;
 
-	private final CallerConnection connection;
+	private final CallerConnection callerConnection;
 
 	private final HttpRequest request;
 
 	private final ByteBuf requestBody;
 
-	private final CallerHead caller;
+	private final CallerRequestHead caller;
 
 	private final long arrivedNanos;
 
 	private final ExchangeCodec codec;
 
-	private Optional<Duration> bound = Optional.empty();
+	private Optional<Duration> timeLimit = Optional.empty();
 
 	private ScheduledFuture<?> timer;
 
@@ -55,22 +55,22 @@
 
 	private ByteBuf heldBody;
 
-	private boolean streamBegun;
+	private boolean streamStarted;
 
-	private boolean over;
+	private boolean finished;
 
-	private OptionalLong lastEvent = OptionalLong.empty();
+	private OptionalLong lastEventNumber = OptionalLong.empty();
 
 	private Optional<String> weightsVersion = Optional.empty();
 
 	private long lastEventNanos;
 
-	private long longestPauseNanos;
+	private long maximumPauseNanos;
 
-	private Exchange(long number, CallerConnection connection, HttpRequest request, ByteBuf requestBody,
-			CallerHead caller, long arrivedNanos, ExchangeCodec codec) {
+	private CallerExchange(long number, CallerConnection connection, HttpRequest request, ByteBuf requestBody,
+			CallerRequestHead caller, long arrivedNanos, ExchangeCodec codec) {
 		this.number = number;
-		this.connection = connection;
+		this.callerConnection = connection;
 		this.request = request;
 		this.requestBody = requestBody;
 		this.caller = caller;
@@ -78,9 +78,9 @@
 		this.codec = codec;
 	}
 
-	static Exchange of(long number, CallerConnection connection, HttpRequest request, ByteBuf requestBody,
-			CallerHead caller, long arrivedNanos, ExchangeCodec codec) {
-		return new Exchange(number, connection, request, requestBody, caller, arrivedNanos, codec);
+	static CallerExchange of(long number, CallerConnection connection, HttpRequest request, ByteBuf requestBody,
+			CallerRequestHead caller, long arrivedNanos, ExchangeCodec codec) {
+		return new CallerExchange(number, connection, request, requestBody, caller, arrivedNanos, codec);
 	}
 
 	long number() {
@@ -100,35 +100,35 @@
 	}
 
 	Optional<String> resumeAfter() {
-		return this.lastEvent.isPresent() ? Optional.of(String.valueOf(this.lastEvent.getAsLong()))
+		return this.lastEventNumber.isPresent() ? Optional.of(String.valueOf(this.lastEventNumber.getAsLong()))
 				: this.caller.resumeAfter();
 	}
 
 	Optional<String> weightsVersion() {
-		return this.streamBegun ? this.weightsVersion : Optional.empty();
+		return this.streamStarted ? this.weightsVersion : Optional.empty();
 	}
 
-	boolean streamBegun() {
-		return this.streamBegun;
+	boolean streamStarted() {
+		return this.streamStarted;
 	}
 
-	void bound(Duration timeout, EventLoop loop, EventPost control) {
-		this.bound = Optional.of(timeout);
+	void limitTime(Duration timeout, EventLoop loop, EventSink eventSink) {
+		this.timeLimit = Optional.of(timeout);
 		long left = timeout.toNanos() - (System.nanoTime() - this.arrivedNanos);
-		this.timer = loop.schedule(() -> control.post(new EntryEvent.TimedOut(this.number)), Math.max(0, left),
+		this.timer = loop.schedule(() -> eventSink.post(new EntryEvent.TimedOut(this.number)), Math.max(0, left),
 				TimeUnit.NANOSECONDS);
 	}
 
 	Optional<Duration> timeLeft() {
-		return this.bound.map((timeout) -> timeout.minusNanos(System.nanoTime() - this.arrivedNanos));
+		return this.timeLimit.map((timeout) -> timeout.minusNanos(System.nanoTime() - this.arrivedNanos));
 	}
 
-	void begin(EntryEffect.StartAttempt start, TargetConnections connections, TargetActivity activity,
-			EventPost control) {
-		if (this.over) {
+	void startAttempt(EntryEffect.StartAttempt start, TargetConnectionPool connections, TargetActivity activity,
+			EventSink eventSink) {
+		if (this.finished) {
 			return;
 		}
-		this.attempt = TargetAttempt.begin(start, this, connections, activity, this.codec, control);
+		this.attempt = TargetAttempt.start(start, this, connections, activity, this.codec, eventSink);
 	}
 
 	void cancelAttempt() {
@@ -144,13 +144,13 @@
 	}
 
 	void holdFailure(HttpResponse head, ByteBuf body) {
-		releaseHeld();
+		releaseHeldFailure();
 		this.heldHead = head;
 		this.heldBody = body;
 	}
 
-	void giveHeldFailure() {
-		if (this.heldHead == null || this.over) {
+	void returnHeldFailure() {
+		if (this.heldHead == null || this.finished) {
 			return;
 		}
 		ByteBuf body = this.heldBody;
@@ -164,12 +164,12 @@
 	 * @param body the answer's body, which is released
 	 */
 	void deliver(HttpResponse head, ByteBuf body) {
-		if (this.over) {
+		if (this.finished) {
 			body.release();
 			return;
 		}
 		HttpHeaders headers = this.codec.callerHeaders(head);
-		finishWhole(head.status(), headers, body);
+		finishWithFullAnswer(head.status(), headers, body);
 	}
 
 	/**
@@ -178,36 +178,36 @@
 	 * @param detail why
 	 * @param retryAfter when to come back
 	 */
-	void answer(int status, String detail, Optional<Duration> retryAfter) {
-		if (this.over) {
+	void answerLocally(int status, String detail, Optional<Duration> retryAfter) {
+		if (this.finished) {
 			return;
 		}
-		HttpHeaders headers = this.codec.ownHeaders(identifier(), retryAfter);
-		finishWhole(HttpResponseStatus.valueOf(status), headers,
+		HttpHeaders headers = this.codec.localAnswerHeaders(identifier(), retryAfter);
+		finishWithFullAnswer(HttpResponseStatus.valueOf(status), headers,
 				Unpooled.copiedBuffer(detail + "\n", CharsetUtil.UTF_8));
 	}
 
-	private void finishWhole(HttpResponseStatus status, HttpHeaders headers, ByteBuf body) {
+	private void finishWithFullAnswer(HttpResponseStatus status, HttpHeaders headers, ByteBuf body) {
 		headers.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
 		finish();
-		this.connection.finish(
+		this.callerConnection.finish(
 				new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body, headers, EmptyHttpHeaders.INSTANCE));
 	}
 
 	/**
 	 * Begins the caller's stream with the head of the first target that sent an event.
 	 * @param head the target's head
-	 * @param facts what it says
+	 * @param parsedHead the parsed head
 	 */
-	void beginStream(HttpResponse head, TargetHead facts) {
-		if (this.streamBegun || this.over) {
+	void startStream(HttpResponse head, TargetResponseHead parsedHead) {
+		if (this.streamStarted || this.finished) {
 			return;
 		}
-		this.streamBegun = true;
-		this.weightsVersion = facts.weightsVersion();
+		this.streamStarted = true;
+		this.weightsVersion = parsedHead.weightsVersion();
 		HttpHeaders headers = this.codec.callerHeaders(head);
 		headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-		this.connection.write(new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status(), headers));
+		this.callerConnection.write(new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status(), headers));
 	}
 
 	/**
@@ -216,38 +216,38 @@
 	 * @param event the event, which is released
 	 * @param eventNumber its number
 	 */
-	void event(ByteBuf event, OptionalLong eventNumber) {
-		boolean known = eventNumber.isPresent() && this.lastEvent.isPresent()
-				&& eventNumber.getAsLong() <= this.lastEvent.getAsLong();
-		if (this.over || known) {
+	void forwardEvent(ByteBuf event, OptionalLong eventNumber) {
+		boolean known = eventNumber.isPresent() && this.lastEventNumber.isPresent()
+				&& eventNumber.getAsLong() <= this.lastEventNumber.getAsLong();
+		if (this.finished || known) {
 			event.release();
 			return;
 		}
 		if (eventNumber.isPresent()) {
-			this.lastEvent = eventNumber;
+			this.lastEventNumber = eventNumber;
 		}
 		long now = System.nanoTime();
 		if (this.lastEventNanos != 0) {
-			this.longestPauseNanos = Math.max(this.longestPauseNanos, now - this.lastEventNanos);
+			this.maximumPauseNanos = Math.max(this.maximumPauseNanos, now - this.lastEventNanos);
 		}
 		this.lastEventNanos = now;
-		this.connection.write(new DefaultHttpContent(event));
+		this.callerConnection.write(new DefaultHttpContent(event));
 	}
 
-	Duration longestPause() {
-		return Duration.ofNanos(this.longestPauseNanos);
+	Duration maximumPause() {
+		return Duration.ofNanos(this.maximumPauseNanos);
 	}
 
 	void flush() {
-		if (!this.over) {
-			this.connection.flush();
+		if (!this.finished) {
+			this.callerConnection.flush();
 		}
 	}
 
 	void endStream() {
-		if (!this.over) {
+		if (!this.finished) {
 			finish();
-			this.connection.finish(LastHttpContent.EMPTY_LAST_CONTENT);
+			this.callerConnection.finish(LastHttpContent.EMPTY_LAST_CONTENT);
 		}
 	}
 
@@ -255,33 +255,33 @@
 	 * Closes the caller's connection within the answer, so that the answer can't look
 	 * whole.
 	 */
-	void breakOff() {
-		if (!this.over) {
+	void abortAnswer() {
+		if (!this.finished) {
 			finish();
-			this.connection.abort();
+			this.callerConnection.abort();
 		}
 	}
 
 	// The caller went away.
-	void abandon(EventPost control) {
-		if (!this.over) {
+	void handleCallerDisconnected(EventSink eventSink) {
+		if (!this.finished) {
 			cancelAttempt();
 			finish();
-			control.post(new EntryEvent.CallerGone(this.number));
+			eventSink.post(new EntryEvent.CallerGone(this.number));
 		}
 	}
 
 	private void finish() {
-		this.over = true;
-		this.connection.over(this);
+		this.finished = true;
+		this.callerConnection.removeExchange(this);
 		if (this.timer != null) {
 			this.timer.cancel(false);
 		}
-		releaseHeld();
+		releaseHeldFailure();
 		this.requestBody.release();
 	}
 
-	private void releaseHeld() {
+	private void releaseHeldFailure() {
 		if (this.heldBody != null) {
 			this.heldBody.release();
 			this.heldBody = null;
--- a/src/main/java/sycamorehill/entry/CallerHead.java
+++ b/src/main/java/sycamorehill/entry/CallerRequestHead.java
@@ -9,12 +9,12 @@
  * What the head of a caller's request says.
  *
  * @param identifier the caller's identifier of this attempt
- * @param key the caller's key
+ * @param apiKey the caller's key
  * @param model the model asked for
- * @param size sizes of prompt and answer
+ * @param tokenCounts sizes of prompt and answer
  * @param timeLeft how long the caller waits
  * @param resumeAfter the last event that the caller has from an earlier attempt
  */
-public record CallerHead(String identifier, Optional<String> key, Optional<String> model, Optional<TokenCounts> size,
-		Optional<Duration> timeLeft, Optional<String> resumeAfter) {
+public record CallerRequestHead(String identifier, Optional<String> apiKey, Optional<String> model,
+		Optional<TokenCounts> tokenCounts, Optional<Duration> timeLeft, Optional<String> resumeAfter) {
 }
--- a/src/main/java/sycamorehill/entry/CallerServer.java
+++ b/src/main/java/sycamorehill/entry/CallerServer.java
@@ -38,57 +38,57 @@
 final class CallerServer {
 
 	/** Connections that may wait to be accepted: a burst of a second. */
-	private static final int BACKLOG = 512;
+	private static final int ACCEPT_BACKLOG = 512;
 
 	/** Bytes of an answer that may wait for a slow caller before the target is paused. */
-	private static final int MOST_WAITING_BYTES = 256 * 1024;
+	private static final int MAXIMUM_UNSENT_BYTES = 256 * 1024;
 
 	private final EventLoop loop;
 
 	private final ExchangeCodec codec;
 
-	private final EventPost control;
+	private final EventSink eventSink;
 
-	private final TargetConnections connections;
+	private final TargetConnectionPool connections;
 
 	private final TargetActivity activity = TargetActivity.create();
 
-	private final Map<Long, Exchange> exchanges = new HashMap<>();
+	private final Map<Long, CallerExchange> exchanges = new HashMap<>();
 
-	private final Set<CallerConnection> callers = new HashSet<>();
+	private final Set<CallerConnection> callerConnections = new HashSet<>();
 
 	private CallerLimits limits = CallerLimits.INITIAL;
 
-	private long lastNumber;
+	private long lastExchangeNumber;
 
 	private boolean stopping;
 
-	private CallerServer(EventLoop loop, ExchangeCodec codec, EventPost control, TargetConnections connections) {
+	private CallerServer(EventLoop loop, ExchangeCodec codec, EventSink eventSink, TargetConnectionPool connections) {
 		this.loop = loop;
 		this.codec = codec;
-		this.control = control;
+		this.eventSink = eventSink;
 		this.connections = connections;
 	}
 
-	static CallerServer of(EventLoop loop, ExchangeCodec codec, EventPost control, TargetConnections connections) {
-		return new CallerServer(loop, codec, control, connections);
+	static CallerServer of(EventLoop loop, ExchangeCodec codec, EventSink eventSink, TargetConnectionPool connections) {
+		return new CallerServer(loop, codec, eventSink, connections);
 	}
 
 	void start(Address address) throws InterruptedException {
 		new ServerBootstrap().group(this.loop)
 			.channel(NioServerSocketChannel.class)
-			.option(ChannelOption.SO_BACKLOG, BACKLOG)
+			.option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
 			.option(ChannelOption.SO_REUSEADDR, true)
 			.childOption(ChannelOption.TCP_NODELAY, true)
 			.childOption(ChannelOption.WRITE_BUFFER_WATER_MARK,
-					new WriteBufferWaterMark(MOST_WAITING_BYTES / 2, MOST_WAITING_BYTES))
+					new WriteBufferWaterMark(MAXIMUM_UNSENT_BYTES / 2, MAXIMUM_UNSENT_BYTES))
 			.childHandler(new ChannelInitializer<Channel>() {
 				@Override
 				protected void initChannel(Channel channel) {
-					CallerLimits present = CallerServer.this.limits;
-					CallerConnection connection = CallerConnection.of(CallerServer.this, present);
+					CallerLimits currentLimits = CallerServer.this.limits;
+					CallerConnection connection = CallerConnection.of(CallerServer.this, currentLimits);
 					channel.pipeline()
-						.addLast(new FirstBytes(connection), StrictRequestDecoder.of(present),
+						.addLast(new FirstBytesHandler(connection), StrictRequestDecoder.of(currentLimits),
 								new HttpResponseEncoder(), connection);
 				}
 			})
@@ -100,26 +100,27 @@
 	 * Finds targets that have fallen silent, and closes connections that were idle for
 	 * too long. Called several times a second.
 	 */
-	void look() {
-		this.connections.sweep();
-		this.activity.silent(System.nanoTime())
-			.forEach((target) -> this.control.post(new EntryEvent.TargetSilent(target)));
-	}
-
-	Exchange arrived(CallerConnection connection, HttpRequest request, ByteBuf body, long arrivedNanos) {
-		this.lastNumber++;
-		CallerHead head = this.codec.readCaller(request);
-		Exchange exchange = Exchange.of(this.lastNumber, connection, request, body, head, arrivedNanos, this.codec);
-		this.exchanges.put(this.lastNumber, exchange);
+	void checkTargets() {
+		this.connections.closeExpired();
+		this.activity.findSilentTargets(System.nanoTime())
+			.forEach((target) -> this.eventSink.post(new EntryEvent.TargetSilent(target)));
+	}
+
+	CallerExchange acceptRequest(CallerConnection connection, HttpRequest request, ByteBuf body, long arrivedNanos) {
+		this.lastExchangeNumber++;
+		CallerRequestHead head = this.codec.readCallerRequest(request);
+		CallerExchange exchange = CallerExchange.of(this.lastExchangeNumber, connection, request, body, head,
+				arrivedNanos, this.codec);
+		this.exchanges.put(this.lastExchangeNumber, exchange);
 		String uri = request.uri();
 		int query = uri.indexOf('?');
-		this.control.post(new EntryEvent.RequestArrived(new CallerRequest(this.lastNumber, head.identifier(),
-				CallerConnection.lowerCaseHost(request), (query < 0) ? uri : uri.substring(0, query), head.key(),
-				head.model(), head.size(), head.timeLeft(), content(request, body))));
+		this.eventSink.post(new EntryEvent.RequestArrived(new CallerRequest(this.lastExchangeNumber, head.identifier(),
+				CallerConnection.lowerCaseHost(request), (query < 0) ? uri : uri.substring(0, query), head.apiKey(),
+				head.model(), head.tokenCounts(), head.timeLeft(), contentHash(request, body))));
 		return exchange;
 	}
 
-	private static long content(HttpRequest request, ByteBuf body) {
+	private static long contentHash(HttpRequest request, ByteBuf body) {
 		HashStream64 hash = Hashing.xxh3_64().hashStream();
 		hash.putString(request.method().name()).putString(request.uri());
 		byte[] bytes = new byte[body.readableBytes()];
@@ -131,72 +132,74 @@
 	 * Carries out what is wanted for requests and connections.
 	 * @param effects what is wanted, in order
 	 */
-	void carryOut(List<EntryEffect> effects) {
+	void execute(List<EntryEffect> effects) {
 		for (EntryEffect effect : effects) {
-			if (effect instanceof EntryEffect.SetCallerLimits limit) {
-				this.limits = limit.limits();
+			if (effect instanceof EntryEffect.SetCallerLimits set) {
+				this.limits = set.limits();
 			}
-			else if (effect instanceof EntryEffect.CloseTargetConnections forget) {
-				this.connections.forget(forget.target());
+			else if (effect instanceof EntryEffect.CloseTargetConnections close) {
+				this.connections.closeIdle(close.target());
 			}
 			else {
-				carryOutForRequest(effect);
+				executeForRequest(effect);
 			}
 		}
 	}
 
-	private void carryOutForRequest(EntryEffect effect) {
-		if (effect instanceof EntryEffect.LimitRequestTime bound) {
-			with(bound.number(), (exchange) -> exchange.bound(bound.timeout(), this.loop, this.control));
+	private void executeForRequest(EntryEffect effect) {
+		if (effect instanceof EntryEffect.LimitRequestTime limit) {
+			withExchange(limit.number(), (exchange) -> exchange.limitTime(limit.timeout(), this.loop, this.eventSink));
 		}
 		else if (effect instanceof EntryEffect.StartAttempt start) {
-			with(start.number(), (exchange) -> exchange.begin(start, this.connections, this.activity, this.control));
+			withExchange(start.number(),
+					(exchange) -> exchange.startAttempt(start, this.connections, this.activity, this.eventSink));
 		}
 		else if (effect instanceof EntryEffect.CancelAttempt cancel) {
-			with(cancel.number(), Exchange::cancelAttempt);
+			withExchange(cancel.number(), CallerExchange::cancelAttempt);
 		}
 		else if (effect instanceof EntryEffect.Answer answer) {
-			with(answer.number(), (exchange) -> exchange.answer(answer.status(), answer.detail(), answer.retryAfter()));
+			withExchange(answer.number(),
+					(exchange) -> exchange.answerLocally(answer.status(), answer.detail(), answer.retryAfter()));
 		}
-		else if (effect instanceof EntryEffect.ReturnHeldFailure give) {
-			with(give.number(), Exchange::giveHeldFailure);
+		else if (effect instanceof EntryEffect.ReturnHeldFailure returned) {
+			withExchange(returned.number(), CallerExchange::returnHeldFailure);
 		}
-		else if (effect instanceof EntryEffect.AbortAnswer broken) {
-			with(broken.number(), Exchange::breakOff);
+		else if (effect instanceof EntryEffect.AbortAnswer abort) {
+			withExchange(abort.number(), CallerExchange::abortAnswer);
 		}
 	}
 
-	private void with(long number, Consumer<Exchange> action) {
-		Exchange exchange = this.exchanges.get(number);
+	private void withExchange(long number, Consumer<CallerExchange> action) {
+		CallerExchange exchange = this.exchanges.get(number);
 		if (exchange != null) {
 			action.accept(exchange);
 		}
 	}
 
-	void over(Exchange exchange) {
+	void removeExchange(CallerExchange exchange) {
 		this.exchanges.remove(exchange.number());
 	}
 
-	void opened(CallerConnection connection) {
-		this.callers.add(connection);
+	void addConnection(CallerConnection connection) {
+		this.callerConnections.add(connection);
 	}
 
-	void closed(CallerConnection connection) {
-		this.callers.remove(connection);
+	void removeConnection(CallerConnection connection) {
+		this.callerConnections.remove(connection);
 	}
 
-	void refused(int status, String detail) {
+	void logRefusal(int status, String detail) {
 		EventLog.write(LogLine.of(LogEvent.REQUEST_REFUSED,
 				"status=" + status + " cause='" + detail + "' before it was read"));
 	}
 
-	void connectionFailed(Throwable cause) {
+	void logConnectionFailure(Throwable cause) {
 		EventLog.write(
 				LogLine.of(LogEvent.REQUEST_FAILED, "a caller's connection failed cause='" + cause.getMessage() + "'"));
 	}
 
-	EventPost control() {
-		return this.control;
+	EventSink eventSink() {
+		return this.eventSink;
 	}
 
 	boolean stopping() {
@@ -204,32 +207,32 @@
 	}
 
 	/** From now on each answer closes its connection. */
-	void beginStop() {
+	void startStopping() {
 		this.stopping = true;
 	}
 
 	void closeIdle() {
-		List.copyOf(this.callers).forEach(CallerConnection::closeIfIdle);
+		List.copyOf(this.callerConnections).forEach(CallerConnection::closeIfIdle);
 	}
 
 	boolean hasCallers() {
-		return !this.callers.isEmpty();
+		return !this.callerConnections.isEmpty();
 	}
 
 	/**
 	 * Tells the connection of bytes before they are decoded.
 	 */
-	private static final class FirstBytes extends ChannelInboundHandlerAdapter {
+	private static final class FirstBytesHandler extends ChannelInboundHandlerAdapter {
 
 		private final CallerConnection connection;
 
-		FirstBytes(CallerConnection connection) {
+		FirstBytesHandler(CallerConnection connection) {
 			this.connection = connection;
 		}
 
 		@Override
 		public void channelRead(ChannelHandlerContext ctx, Object message) {
-			this.connection.bytesArrived();
+			this.connection.handleFirstBytes();
 			ctx.fireChannelRead(message);
 		}
 
--- a/src/main/java/sycamorehill/entry/PackedText.java
+++ b/src/main/java/sycamorehill/entry/CompressedText.java
@@ -13,30 +13,30 @@
  * Texts in few bytes: a message that fits in few datagrams is seldom lost with one of
  * them. The check sum within finds a text that was changed on its way.
  */
-final class PackedText {
+final class CompressedText {
 
 	/** Longest text that is read. */
-	private static final int MOST_BYTES = 4 * 1024 * 1024;
+	private static final int MAXIMUM_BYTES = 4 * 1024 * 1024;
 
-	private PackedText() {
+	private CompressedText() {
 	}
 
-	static byte[] pack(String text) throws IOException {
-		ByteArrayOutputStream packed = new ByteArrayOutputStream();
-		try (OutputStream out = new DeflaterOutputStream(packed)) {
+	static byte[] compress(String text) throws IOException {
+		ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+		try (OutputStream out = new DeflaterOutputStream(compressed)) {
 			out.write(text.getBytes(StandardCharsets.UTF_8));
 		}
-		return packed.toByteArray();
+		return compressed.toByteArray();
 	}
 
-	static String unpack(byte[] packed) throws IOException {
-		if (packed == null) {
+	static String decompress(byte[] compressed) throws IOException {
+		if (compressed == null) {
 			throw new IOException("no text");
 		}
-		try (InputStream in = new InflaterInputStream(new ByteArrayInputStream(packed))) {
-			byte[] bytes = in.readNBytes(MOST_BYTES + 1);
-			if (bytes.length > MOST_BYTES) {
-				throw new IOException("a text is longer than " + MOST_BYTES + " bytes");
+		try (InputStream in = new InflaterInputStream(new ByteArrayInputStream(compressed))) {
+			byte[] bytes = in.readNBytes(MAXIMUM_BYTES + 1);
+			if (bytes.length > MAXIMUM_BYTES) {
+				throw new IOException("a text is longer than " + MAXIMUM_BYTES + " bytes");
 			}
 			return new String(bytes, StandardCharsets.UTF_8);
 		}
--- a/src/main/java/sycamorehill/entry/ConnectTimeout.java
+++ b/src/main/java/sycamorehill/entry/ConnectTimeout.java
@@ -13,20 +13,20 @@
 final class ConnectTimeout {
 
 	/** Timeout while little is known. */
-	static final Duration MOST = Duration.ofMillis(300);
+	static final Duration MAXIMUM_TIMEOUT = Duration.ofMillis(300);
 
 	/** A busy process at either end may answer this late. */
-	static final Duration LEAST = Duration.ofMillis(100);
+	static final Duration MINIMUM_TIMEOUT = Duration.ofMillis(100);
 
 	/** The timeout against the slowest connection of late. */
-	private static final int TIMES = 5;
+	private static final int SLOWEST_MULTIPLIER = 5;
 
 	/** Connections that are looked at: the latest. */
-	private static final int LATEST = 32;
+	private static final int WINDOW_SIZE = 32;
 
-	private final long[] nanos = new long[LATEST];
+	private final long[] connectNanos = new long[WINDOW_SIZE];
 
-	private int seen;
+	private int connectionCount;
 
 	private ConnectTimeout() {
 	}
@@ -37,27 +37,27 @@
 
 	/**
 	 * Notes a connection.
-	 * @param took time that it took, in nanoseconds
+	 * @param elapsedNanos the time that it took to connect, in nanoseconds
 	 */
-	void connected(long took) {
-		this.nanos[this.seen % LATEST] = took;
-		this.seen++;
+	void recordConnection(long elapsedNanos) {
+		this.connectNanos[this.connectionCount % WINDOW_SIZE] = elapsedNanos;
+		this.connectionCount++;
 	}
 
 	/**
 	 * The timeout for the next attempt.
 	 * @return the timeout
 	 */
-	Duration present() {
-		if (this.seen < LATEST) {
-			return MOST;
+	Duration current() {
+		if (this.connectionCount < WINDOW_SIZE) {
+			return MAXIMUM_TIMEOUT;
 		}
 		long slowest = 0;
-		for (long each : this.nanos) {
+		for (long each : this.connectNanos) {
 			slowest = Math.max(slowest, each);
 		}
-		long wanted = Math.max(LEAST.toNanos(), slowest * TIMES);
-		return Duration.ofNanos(Math.min(MOST.toNanos(), wanted));
+		long multiple = Math.max(MINIMUM_TIMEOUT.toNanos(), slowest * SLOWEST_MULTIPLIER);
+		return Duration.ofNanos(Math.min(MAXIMUM_TIMEOUT.toNanos(), multiple));
 	}
 
 }
--- a/src/main/java/sycamorehill/entry/DatagramJoiner.java
+++ b/src/main/java/sycamorehill/entry/DatagramAssembler.java
@@ -15,23 +15,23 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Puts messages together from the datagrams of {@link DatagramParts}.
+ * Puts messages together from the datagrams of {@link DatagramSplitter}.
  */
-final class DatagramJoiner {
+final class DatagramAssembler {
 
 	/** Parts of one message are sent together; after this time one was lost. */
-	private static final Duration AWAITED = Duration.ofSeconds(2);
+	private static final Duration ASSEMBLY_TIMEOUT = Duration.ofSeconds(2);
 
 	/** Incomplete messages that are kept; the oldest goes first. */
-	private static final int MOST_INCOMPLETE = 100;
+	private static final int MAXIMUM_INCOMPLETE_MESSAGES = 100;
 
-	private final Map<Key, Incomplete> incomplete = new LinkedHashMap<>();
+	private final Map<MessageKey, IncompleteMessage> incompleteMessages = new LinkedHashMap<>();
 
-	private DatagramJoiner() {
+	private DatagramAssembler() {
 	}
 
-	static DatagramJoiner create() {
-		return new DatagramJoiner();
+	static DatagramAssembler create() {
+		return new DatagramAssembler();
 	}
 
 	/**
@@ -48,34 +48,36 @@
 			int part = unpacker.unpackInt();
 			int parts = unpacker.unpackInt();
 			byte[] bytes = unpacker.readPayload(unpacker.unpackBinaryHeader());
-			if (part < 0 || part >= parts || parts > DatagramParts.MOST_PARTS) {
+			if (part < 0 || part >= parts || parts > DatagramSplitter.MAXIMUM_PARTS) {
 				throw new IOException("part " + part + " of " + parts);
 			}
-			return (parts == 1) ? Optional.of(bytes) : add(new Key(sender, number), part, parts, bytes, nowNanos);
+			return (parts == 1) ? Optional.of(bytes)
+					: add(new MessageKey(sender, number), part, parts, bytes, nowNanos);
 		}
 		catch (MessagePackException ex) {
 			throw new IOException("not a part of a message", ex);
 		}
 	}
 
-	private Optional<byte[]> add(Key key, int part, int parts, byte[] bytes, long nowNanos) throws IOException {
-		this.incomplete.values().removeIf((each) -> nowNanos - each.sinceNanos > AWAITED.toNanos());
-		Incomplete message = this.incomplete.computeIfAbsent(key, (absent) -> new Incomplete(parts, nowNanos));
+	private Optional<byte[]> add(MessageKey key, int part, int parts, byte[] bytes, long nowNanos) throws IOException {
+		this.incompleteMessages.values().removeIf((each) -> nowNanos - each.sinceNanos > ASSEMBLY_TIMEOUT.toNanos());
+		IncompleteMessage message = this.incompleteMessages.computeIfAbsent(key,
+				(absent) -> new IncompleteMessage(parts, nowNanos));
 		if (message.parts.size() != parts) {
 			throw new IOException("a message of " + message.parts.size() + " and of " + parts + " parts");
 		}
-		if (message.take(part, bytes)) {
-			this.incomplete.remove(key);
+		if (message.addPart(part, bytes)) {
+			this.incompleteMessages.remove(key);
 			return Optional.of(message.join());
 		}
-		if (this.incomplete.size() > MOST_INCOMPLETE) {
-			this.incomplete.remove(this.incomplete.keySet().iterator().next());
+		if (this.incompleteMessages.size() > MAXIMUM_INCOMPLETE_MESSAGES) {
+			this.incompleteMessages.remove(this.incompleteMessages.keySet().iterator().next());
 		}
 		return Optional.empty();
 	}
 
-	int incomplete() {
-		return this.incomplete.size();
+	int incompleteCount() {
+		return this.incompleteMessages.size();
 	}
 
 	/**
@@ -84,39 +86,39 @@
 	 * @param sender where it comes from
 	 * @param number the sender's number of it
 	 */
-	private record Key(InetSocketAddress sender, long number) {
+	private record MessageKey(InetSocketAddress sender, long number) {
 	}
 
 	/**
 	 * A message of which parts are missing.
 	 */
-	private static final class Incomplete {
+	private static final class IncompleteMessage {
 
 		private final List<Optional<byte[]>> parts = new ArrayList<>();
 
 		private final long sinceNanos;
 
-		private int missing;
+		private int missingParts;
 
-		Incomplete(int number, long sinceNanos) {
+		IncompleteMessage(int number, long sinceNanos) {
 			this.sinceNanos = sinceNanos;
-			this.missing = number;
+			this.missingParts = number;
 			for (int part = 0; part < number; part++) {
 				this.parts.add(Optional.empty());
 			}
 		}
 
-		boolean take(int part, byte[] bytes) {
+		boolean addPart(int part, byte[] bytes) {
 			if (this.parts.set(part, Optional.of(bytes)).isEmpty()) {
-				this.missing--;
+				this.missingParts--;
 			}
-			return this.missing == 0;
+			return this.missingParts == 0;
 		}
 
 		byte[] join() {
-			ByteArrayOutputStream whole = new ByteArrayOutputStream();
-			this.parts.forEach((part) -> whole.writeBytes(part.orElseThrow()));
-			return whole.toByteArray();
+			ByteArrayOutputStream message = new ByteArrayOutputStream();
+			this.parts.forEach((part) -> message.writeBytes(part.orElseThrow()));
+			return message.toByteArray();
 		}
 
 	}
--- a/src/main/java/sycamorehill/entry/DatagramParts.java
+++ b/src/main/java/sycamorehill/entry/DatagramSplitter.java
@@ -12,17 +12,17 @@
  * Splits messages into datagrams that cross a network unfragmented: a fragmented datagram
  * is lost with any of its fragments, and some networks drop fragments altogether.
  */
-final class DatagramParts {
+final class DatagramSplitter {
 
 	/**
 	 * Bytes of a message in one datagram; with headers it fits a frame of 1,500 bytes.
 	 */
-	static final int MOST_BYTES = 1350;
+	static final int MAXIMUM_PART_BYTES = 1350;
 
 	/** Parts of one message: a socket's buffer holds about 90 of them. */
-	static final int MOST_PARTS = 64;
+	static final int MAXIMUM_PARTS = 64;
 
-	private DatagramParts() {
+	private DatagramSplitter() {
 	}
 
 	/**
@@ -32,11 +32,11 @@
 	 * @return the datagrams
 	 */
 	static List<byte[]> split(byte[] message, long number) {
-		int parts = Math.max(1, (message.length + MOST_BYTES - 1) / MOST_BYTES);
+		int parts = Math.max(1, (message.length + MAXIMUM_PART_BYTES - 1) / MAXIMUM_PART_BYTES);
 		List<byte[]> datagrams = new ArrayList<>();
 		for (int part = 0; part < parts; part++) {
-			int begin = part * MOST_BYTES;
-			byte[] bytes = Arrays.copyOfRange(message, begin, Math.min(message.length, begin + MOST_BYTES));
+			int begin = part * MAXIMUM_PART_BYTES;
+			byte[] bytes = Arrays.copyOfRange(message, begin, Math.min(message.length, begin + MAXIMUM_PART_BYTES));
 			datagrams.add(datagram(number, part, parts, bytes));
 		}
 		return datagrams;
--- a/src/main/java/sycamorehill/entry/EnginePort.java
+++ b/src/main/java/sycamorehill/entry/EnginePort.java
@@ -15,43 +15,44 @@
 	/**
 	 * Sends an order.
 	 * @param engine the engine
-	 * @param order the order
-	 * @param ordersAccepted the count of orders under which it is good
+	 * @param command the command
+	 * @param acceptedCommands the number of accepted commands for which it is valid
 	 * @return what became of it; never fails
 	 */
-	CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommandRequest order, long ordersAccepted);
+	CompletableFuture<EngineCommandAnswer> sendCommand(TargetAddress engine, EngineCommandRequest command,
+			long acceptedCommands);
 
 	/**
 	 * Asks for an engine's state.
 	 * @param engine the engine
-	 * @return its state, or a {@link NoReportException}
+	 * @return its state, or a {@link ReportUnavailableException}
 	 */
-	CompletableFuture<EngineReport> report(TargetAddress engine);
+	CompletableFuture<EngineReport> readReport(TargetAddress engine);
 
 	/**
 	 * An engine's state could not be read.
 	 */
-	final class NoReportException extends Exception {
+	final class ReportUnavailableException extends Exception {
 
 		private static final long serialVersionUID = 1L;
 
-		private final EngineCommandAnswer seen;
+		private final EngineCommandAnswer answer;
 
 		/**
 		 * Creates the exception.
-		 * @param seen what was seen instead
+		 * @param answer what was observed instead
 		 */
-		public NoReportException(EngineCommandAnswer seen) {
-			super(seen.toString());
-			this.seen = seen;
+		public ReportUnavailableException(EngineCommandAnswer answer) {
+			super(answer.toString());
+			this.answer = answer;
 		}
 
 		/**
 		 * What was seen instead of a report.
 		 * @return what was seen
 		 */
-		public EngineCommandAnswer seen() {
-			return this.seen;
+		public EngineCommandAnswer answer() {
+			return this.answer;
 		}
 
 	}
--- a/src/main/java/sycamorehill/entry/EntryMetrics.java
+++ b/src/main/java/sycamorehill/entry/EntryMetrics.java
@@ -53,7 +53,7 @@
 	 * Counts a decision by its numbered event.
 	 * @param line the decision's log line
 	 */
-	void logged(LogLine line) {
+	void countEvent(LogLine line) {
 		this.registry.counter("events." + line.event().name()).inc();
 	}
 
@@ -61,15 +61,15 @@
 	 * Counts a final answer and measures its times.
 	 * @param finished the answer
 	 */
-	void finished(EntryEffect.Finished finished) {
+	void recordAnswer(EntryEffect.Finished finished) {
 		String name = "requests." + finished.service() + '.' + finished.outcome();
 		this.registry.counter(name).inc();
-		time(name + ".time", finished.elapsed());
+		recordTime(name + ".time", finished.elapsed());
 		finished.timeToFirstAnswer()
-			.ifPresent((time) -> time("requests." + finished.service() + ".first-answer", time));
+			.ifPresent((time) -> recordTime("requests." + finished.service() + ".first-answer", time));
 	}
 
-	private void time(String name, Duration time) {
+	private void recordTime(String name, Duration time) {
 		this.registry.timer(name, () -> new Timer(new HdrHistogramResetOnSnapshotReservoir()))
 			.update(time.toNanos(), TimeUnit.NANOSECONDS);
 	}
--- a/src/main/java/sycamorehill/entry/EntryNode.java
+++ b/src/main/java/sycamorehill/entry/EntryNode.java
@@ -32,25 +32,25 @@
  * The process of an entry VM. One thread moves the bytes and decides: small VMs have less
  * than one processor, and what comes need not wait for a second thread.
  */
-public final class EntryNode implements EventPost {
+public final class EntryNode implements EventSink {
 
 	private static final String METRICS_PATH = "/metrics";
 
-	private static final Duration TICK = Duration.ofMillis(100);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
 
 	/** Time before the process is killed at which it ends by itself. */
-	private static final Duration BEFORE_KILL = Duration.ofMillis(300);
+	private static final Duration KILL_MARGIN = Duration.ofMillis(300);
 
-	private static final Duration STOP_LOOK = Duration.ofMillis(100);
+	private static final Duration STOP_CHECK_INTERVAL = Duration.ofMillis(100);
 
 	/** Pause after a call about the entry nodes that failed. */
-	private static final Duration REGISTER_AGAIN = Duration.ofSeconds(1);
+	private static final Duration REGISTRY_RETRY_DELAY = Duration.ofSeconds(1);
 
 	/**
 	 * Pause between two lists of the entry nodes. Nodes introduce themselves to each
 	 * other; the list is for introductions that were lost, and for nodes that are gone.
 	 */
-	private static final Duration LIST_NODES_EVERY = Duration.ofSeconds(20);
+	private static final Duration NODE_LIST_INTERVAL = Duration.ofSeconds(20);
 
 	private final EntrySettings settings;
 
@@ -62,27 +62,27 @@
 
 	private final EntryPorts ports;
 
-	private final CallerServer callers;
+	private final CallerServer callerServer;
 
-	private final PageServer readiness;
+	private final PageServer readinessServer;
 
-	private final PageServer figures;
+	private final PageServer metricsServer;
 
 	private final EntryMetrics metrics;
 
-	private boolean wantsCallers;
+	private boolean ready;
 
 	private final NodeMessenger messenger;
 
-	private FeedReader<StoredConfiguration> configurations;
+	private FeedReader<StoredConfiguration> configurationReader;
 
-	private FeedReader<TargetChange> targets;
+	private FeedReader<TargetChange> targetReader;
 
-	private boolean readingConfiguration;
+	private boolean configurationReadPending;
 
-	private StoredConfiguration newest;
+	private StoredConfiguration latestConfiguration;
 
-	private final CompletableFuture<Void> ended = new CompletableFuture<>();
+	private final CompletableFuture<Void> stopped = new CompletableFuture<>();
 
 	private EntryNode(EntrySettings settings, EntryPorts.Factory factory, InstantSource wallClock,
 			RandomGenerator random) {
@@ -90,12 +90,12 @@
 		this.clock = MonotonicClock.start(wallClock);
 		String self = settings.nodeName() + '#' + Long.toHexString(random.nextLong());
 		this.reducer = EntryReducer.of(settings, self, random, this.clock.instant());
-		this.ports = factory.create(CallClient.of(TargetConnections.of(this.loop)));
-		this.callers = CallerServer.of(this.loop, this.ports.codec(), this, TargetConnections.of(this.loop));
+		this.ports = factory.create(CallClient.of(TargetConnectionPool.of(this.loop)));
+		this.callerServer = CallerServer.of(this.loop, this.ports.codec(), this, TargetConnectionPool.of(this.loop));
 		this.messenger = NodeMessenger.of(this.loop, this);
 		this.metrics = EntryMetrics.of(this.reducer);
-		this.readiness = PageServer.of(this.loop, this::readinessPage);
-		this.figures = PageServer.of(this.loop, this::metricsPage);
+		this.readinessServer = PageServer.of(this.loop, this::readinessPage);
+		this.metricsServer = PageServer.of(this.loop, this::metricsPage);
 	}
 
 	/**
@@ -117,18 +117,18 @@
 	private void start() throws InterruptedException {
 		EventLog.write(LogLine.of(LogEvent.NODE_STARTED, "node=" + this.settings.nodeName() + " callers="
 				+ this.settings.callerAddress() + " store=" + this.settings.storeAddress()));
-		this.configurations = FeedReader.of(() -> pace(EntryReducer.STORE_LONG_POLL_WAIT), "configuration",
-				this.ports.configurations(), this.loop, new EachConfiguration());
-		this.targets = FeedReader.of(() -> pace(EntryReducer.STORE_LONG_POLL_WAIT), "targets", this.ports.targets(),
-				this.loop, new EachTarget());
+		this.configurationReader = FeedReader.of(() -> readPace(EntryReducer.STORE_LONG_POLL_WAIT), "configuration",
+				this.ports.configurations(), this.loop, new ConfigurationListener());
+		this.targetReader = FeedReader.of(() -> readPace(EntryReducer.STORE_LONG_POLL_WAIT), "targets",
+				this.ports.targets(), this.loop, new TargetListener());
 		this.messenger.start(this.settings.peerAddress());
-		enter();
-		this.configurations.start();
-		this.targets.start();
-		this.loop.scheduleAtFixedRate(this::tick, 0, TICK.toMillis(), TimeUnit.MILLISECONDS);
-		this.callers.start(this.settings.callerAddress());
-		this.figures.start(this.settings.peerAddress());
-		this.readiness.start(this.settings.readinessAddress());
+		registerNode();
+		this.configurationReader.start();
+		this.targetReader.start();
+		this.loop.scheduleAtFixedRate(this::tick, 0, TICK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+		this.callerServer.start(this.settings.callerAddress());
+		this.metricsServer.start(this.settings.peerAddress());
+		this.readinessServer.start(this.settings.readinessAddress());
 	}
 
 	// All that is looked at regularly, in one go: each timer of its own would wake the
@@ -137,10 +137,10 @@
 	// logged and the next tick comes.
 	private void tick() {
 		try {
-			step(new EntryEvent.Ticked());
-			this.callers.look();
-			this.configurations.look();
-			this.targets.look();
+			processEvent(new EntryEvent.Ticked());
+			this.callerServer.checkTargets();
+			this.configurationReader.resumeIfNeeded();
+			this.targetReader.resumeIfNeeded();
 		}
 		catch (RuntimeException ex) {
 			EventLog.failure(LogEvent.INVARIANT_BROKEN, "regular looks", ex);
@@ -151,26 +151,25 @@
 		if (!path.equals(this.ports.codec().readinessPath())) {
 			return PageServer.Page.NOT_FOUND;
 		}
-		return PageServer.Page
-			.empty(this.wantsCallers ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
+		return PageServer.Page.empty(this.ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
 	}
 
 	private PageServer.Page metricsPage(String path) {
 		return path.equals(METRICS_PATH) ? this.metrics.page() : PageServer.Page.NOT_FOUND;
 	}
 
-	private FeedReader.Pace pace(Duration longestWait) {
+	private FeedReader.Pace readPace(Duration maximumWait) {
 		Instant now = this.clock.instant();
-		return new FeedReader.Pace(longestWait, this.reducer.readPause(now), this.reducer.receivesStoreUpdates(now));
+		return new FeedReader.Pace(maximumWait, this.reducer.readPause(now), this.reducer.receivesStoreUpdates(now));
 	}
 
 	// Of two nodes that start at once, the one that lists after the other was entered
 	// finds it, and introduces itself to it.
-	private void enter() {
-		this.ports.register().enter(this.settings.toNodeRecord()).whenCompleteAsync((entered, failure) -> {
+	private void registerNode() {
+		this.ports.nodeRegistry().register(this.settings.toNodeRecord()).whenCompleteAsync((entered, failure) -> {
 			if (failure != null) {
 				EventLog.write(LogLine.of(LogEvent.STORE_CONTACT, "this node is not entered: " + failure.getMessage()));
-				later(this::enter, REGISTER_AGAIN);
+				schedule(this::registerNode, REGISTRY_RETRY_DELAY);
 			}
 			else {
 				listNodes(true);
@@ -178,29 +177,29 @@
 		}, this.loop);
 	}
 
-	private void listNodes(boolean present) {
-		this.ports.register().list(present).whenCompleteAsync((nodes, failure) -> {
+	private void listNodes(boolean consistent) {
+		this.ports.nodeRegistry().list(consistent).whenCompleteAsync((nodes, failure) -> {
 			if (failure != null) {
 				EventLog.write(LogLine.of(LogEvent.STORE_CONTACT, "nodes are not listed: " + failure.getMessage()));
-				later(() -> listNodes(present), REGISTER_AGAIN);
+				schedule(() -> listNodes(consistent), REGISTRY_RETRY_DELAY);
 			}
 			else {
-				step(new EntryEvent.NodesListed(nodes));
-				later(() -> listNodes(false), LIST_NODES_EVERY);
+				processEvent(new EntryEvent.NodesListed(nodes));
+				schedule(() -> listNodes(false), NODE_LIST_INTERVAL);
 			}
 		}, this.loop);
 	}
 
-	private void later(Runnable task, Duration pause) {
+	private void schedule(Runnable task, Duration pause) {
 		this.loop.schedule(task, pause.toMillis(), TimeUnit.MILLISECONDS);
 	}
 
 	@Override
 	public void post(EntryEvent event) {
-		this.loop.execute(() -> step(event));
+		this.loop.execute(() -> processEvent(event));
 	}
 
-	private void step(EntryEvent event) {
+	private void processEvent(EntryEvent event) {
 		List<EntryEffect> effects;
 		try {
 			effects = this.reducer.accept(event, this.clock.instant());
@@ -211,59 +210,59 @@
 		}
 		List<EntryEffect> forCallers = new ArrayList<>();
 		for (EntryEffect effect : effects) {
-			if (!carryOut(effect)) {
+			if (!execute(effect)) {
 				forCallers.add(effect);
 			}
 		}
 		if (!forCallers.isEmpty()) {
-			this.loop.execute(() -> this.callers.carryOut(forCallers));
+			this.loop.execute(() -> this.callerServer.execute(forCallers));
 		}
 	}
 
-	private boolean carryOut(EntryEffect effect) {
+	private boolean execute(EntryEffect effect) {
 		if (effect instanceof EntryEffect.Log log) {
-			this.metrics.logged(log.line());
+			this.metrics.countEvent(log.line());
 			EventLog.write(log.line());
 		}
 		else if (effect instanceof EntryEffect.Finished finished) {
-			this.metrics.finished(finished);
+			this.metrics.recordAnswer(finished);
 		}
-		else if (effect instanceof EntryEffect.SetReadiness ready) {
-			this.wantsCallers = ready.ready();
+		else if (effect instanceof EntryEffect.SetReadiness readiness) {
+			this.ready = readiness.ready();
 		}
-		else if (effect instanceof EntryEffect.Send tell) {
-			this.messenger.send(tell.nodes(), tell.message());
+		else if (effect instanceof EntryEffect.Send send) {
+			this.messenger.send(send.nodes(), send.message());
 		}
-		else if (effect instanceof EntryEffect.SendCommand order) {
+		else if (effect instanceof EntryEffect.SendCommand command) {
 			this.ports.engines()
-				.order(order.target(), order.command(), order.acceptedCommands())
-				.thenAccept(
-						(answer) -> post(new EntryEvent.OrderAnswered(order.target().name(), order.command(), answer)));
+				.sendCommand(command.target(), command.command(), command.acceptedCommands())
+				.thenAccept((answer) -> post(
+						new EntryEvent.OrderAnswered(command.target().name(), command.command(), answer)));
 		}
 		else if (effect instanceof EntryEffect.ReadReport read) {
 			readReport(read);
 		}
 		else {
-			return carryOutForStore(effect) || carryOutForLease(effect);
+			return executeStoreEffect(effect) || executeLeaseEffect(effect);
 		}
 		return true;
 	}
 
-	private boolean carryOutForStore(EntryEffect effect) {
+	private boolean executeStoreEffect(EntryEffect effect) {
 		if (effect instanceof EntryEffect.ReadTargetChanges) {
-			this.targets.readNow();
+			this.targetReader.readNow();
 		}
-		else if (effect instanceof EntryEffect.SendConfiguration tell) {
-			tellConfiguration(tell);
+		else if (effect instanceof EntryEffect.SendConfiguration send) {
+			sendConfiguration(send);
 		}
-		else if (effect instanceof EntryEffect.ParseConfiguration take) {
-			takeConfiguration(take.text());
+		else if (effect instanceof EntryEffect.ParseConfiguration parse) {
+			parseConfiguration(parse.text());
 		}
 		else if (effect instanceof EntryEffect.ReadConfiguration read) {
 			readConfiguration(read.version());
 		}
-		else if (effect instanceof EntryEffect.AdvanceTargetRevision known) {
-			this.targets.known(known.revision());
+		else if (effect instanceof EntryEffect.AdvanceTargetRevision advance) {
+			this.targetReader.advanceRevision(advance.revision());
 		}
 		else {
 			return false;
@@ -275,53 +274,54 @@
 	// the present state, which follows where the copy doesn't hold the version yet. While
 	// the store turns this node away both fail, and the next news asks again.
 	private void readConfiguration(long version) {
-		if (this.readingConfiguration) {
+		if (this.configurationReadPending) {
 			return;
 		}
-		this.readingConfiguration = true;
+		this.configurationReadPending = true;
 		this.ports.configurations().listCopy().whenCompleteAsync((page, failure) -> {
-			this.readingConfiguration = false;
+			this.configurationReadPending = false;
 			if (failure != null) {
 				EventLog.write(LogLine.of(LogEvent.STORE_CONTACT,
 						"configuration " + version + " is not read from a copy: " + failure.getMessage()));
 			}
 			else {
-				page.items().forEach(this::heard);
+				page.items().forEach(this::handleReceivedConfiguration);
 			}
 			if (this.reducer.configurationVersion() < version) {
-				this.configurations.readNow();
+				this.configurationReader.readNow();
 			}
 		}, this.loop);
 	}
 
-	private void read(StoredConfiguration read) {
-		keep(read);
-		step(new EntryEvent.ConfigurationRead(read.configuration()));
+	private void handleReadConfiguration(StoredConfiguration read) {
+		keepLatest(read);
+		processEvent(new EntryEvent.ConfigurationRead(read.configuration()));
 	}
 
-	private void heard(StoredConfiguration told) {
-		keep(told);
-		step(new EntryEvent.ConfigurationHeard(told.configuration()));
+	private void handleReceivedConfiguration(StoredConfiguration received) {
+		keepLatest(received);
+		processEvent(new EntryEvent.ConfigurationHeard(received.configuration()));
 	}
 
-	private void keep(StoredConfiguration read) {
-		if (this.newest == null || this.newest.configuration().version() < read.configuration().version()) {
-			this.newest = read;
+	private void keepLatest(StoredConfiguration read) {
+		if (this.latestConfiguration == null
+				|| this.latestConfiguration.configuration().version() < read.configuration().version()) {
+			this.latestConfiguration = read;
 		}
 	}
 
-	private void tellConfiguration(EntryEffect.SendConfiguration tell) {
-		if (this.newest.configuration().version() == tell.version()) {
-			this.messenger.send(tell.nodes(),
-					new NodeMessage.ConfigurationTold(this.settings.nodeName(), tell.version(), this.newest.text()));
+	private void sendConfiguration(EntryEffect.SendConfiguration send) {
+		if (this.latestConfiguration.configuration().version() == send.version()) {
+			this.messenger.send(send.nodes(), new NodeMessage.ConfigurationTold(this.settings.nodeName(),
+					send.version(), this.latestConfiguration.text()));
 		}
 	}
 
 	// A text that can't be read is left out; this node reads the store instead when the
 	// other one tells of the version again.
-	private void takeConfiguration(String text) {
+	private void parseConfiguration(String text) {
 		try {
-			heard(this.ports.configurationReader().apply(text));
+			handleReceivedConfiguration(this.ports.configurationReader().apply(text));
 		}
 		catch (IllegalArgumentException ex) {
 			EventLog.write(LogLine.of(LogEvent.STORE_CONTENT_UNREADABLE,
@@ -329,17 +329,17 @@
 		}
 	}
 
-	private boolean carryOutForLease(EntryEffect effect) {
+	private boolean executeLeaseEffect(EntryEffect effect) {
 		if (effect instanceof EntryEffect.ReadLease) {
-			this.ports.lease().read().thenAccept((answer) -> post(new EntryEvent.LeaseAnswered(answer)));
+			this.ports.leaseStore().read().thenAccept((answer) -> post(new EntryEvent.LeaseAnswered(answer)));
 		}
 		else if (effect instanceof EntryEffect.CreateLease create) {
-			this.ports.lease()
+			this.ports.leaseStore()
 				.create(create.holder())
 				.thenAccept((answer) -> post(new EntryEvent.LeaseAnswered(answer)));
 		}
 		else if (effect instanceof EntryEffect.ReplaceLease replace) {
-			this.ports.lease()
+			this.ports.leaseStore()
 				.replace(replace.lease())
 				.thenAccept((answer) -> post(new EntryEvent.LeaseAnswered(answer)));
 		}
@@ -350,14 +350,14 @@
 	}
 
 	private void readReport(EntryEffect.ReadReport read) {
-		this.ports.engines().report(read.target()).whenComplete((report, failure) -> {
+		this.ports.engines().readReport(read.target()).whenComplete((report, failure) -> {
 			if (failure == null) {
 				post(new EntryEvent.ReportRead(read.target().name(), report));
 				return;
 			}
 			Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
-			if (cause instanceof EnginePort.NoReportException none) {
-				post(new EntryEvent.ReportFailed(read.target().name(), none.seen()));
+			if (cause instanceof EnginePort.ReportUnavailableException unavailable) {
+				post(new EntryEvent.ReportFailed(read.target().name(), unavailable.answer()));
 			}
 			else {
 				EventLog.failure(LogEvent.EFFECT_FAILED, "report of " + read.target(), cause);
@@ -367,10 +367,10 @@
 
 	/**
 	 * Goes by other settings from now on; addresses hold for the life of the process.
-	 * @param read the settings
+	 * @param changed the settings to apply
 	 */
-	public void reload(EntrySettings read) {
-		post(new EntryEvent.SettingsRead(read));
+	public void reload(EntrySettings changed) {
+		post(new EntryEvent.SettingsRead(changed));
 	}
 
 	/**
@@ -380,27 +380,27 @@
 	public void stop() {
 		EventLog.write(LogLine.of(LogEvent.NODE_STOPPING, "node=" + this.settings.nodeName()));
 		post(new EntryEvent.StopOrdered());
-		this.ports.register().leave(this.settings.nodeName()).exceptionally((failure) -> {
+		this.ports.nodeRegistry().deregister(this.settings.nodeName()).exceptionally((failure) -> {
 			EventLog.write(LogLine.of(LogEvent.STORE_CONTACT, "this node is not taken out: " + failure.getMessage()));
 			return null;
 		});
-		Instant ordered = this.clock.instant();
-		this.loop.execute(this.callers::beginStop);
-		this.loop.scheduleWithFixedDelay(() -> lookForEnd(ordered), STOP_LOOK.toMillis(), STOP_LOOK.toMillis(),
-				TimeUnit.MILLISECONDS);
+		Instant stopRequested = this.clock.instant();
+		this.loop.execute(this.callerServer::startStopping);
+		this.loop.scheduleWithFixedDelay(() -> checkDrained(stopRequested), STOP_CHECK_INTERVAL.toMillis(),
+				STOP_CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
 	}
 
-	private void lookForEnd(Instant ordered) {
-		Duration since = Duration.between(ordered, this.clock.instant());
+	private void checkDrained(Instant stopRequested) {
+		Duration since = Duration.between(stopRequested, this.clock.instant());
 		if (since.compareTo(EntryReducer.ACCEPTANCE_AFTER_STOP) < 0) {
 			return;
 		}
-		this.callers.closeIdle();
-		boolean late = since.compareTo(this.settings.stopTime().minus(BEFORE_KILL)) > 0;
-		if (late || !this.callers.hasCallers()) {
+		this.callerServer.closeIdle();
+		boolean deadlineReached = since.compareTo(this.settings.stopTime().minus(KILL_MARGIN)) > 0;
+		if (deadlineReached || !this.callerServer.hasCallers()) {
 			EventLog.write(LogLine.of(LogEvent.REQUESTS_DRAINED, "node=" + this.settings.nodeName() + " millis="
-					+ since.toMillis() + " callers-left=" + this.callers.hasCallers()));
-			this.ended.complete(null);
+					+ since.toMillis() + " callers-left=" + this.callerServer.hasCallers()));
+			this.stopped.complete(null);
 		}
 	}
 
@@ -408,25 +408,25 @@
 	 * Completes when the node has stopped.
 	 * @return the end
 	 */
-	public CompletableFuture<Void> end() {
-		return this.ended;
+	public CompletableFuture<Void> whenStopped() {
+		return this.stopped;
 	}
 
 	/**
 	 * Passes configurations on to the decisions.
 	 */
-	private final class EachConfiguration implements FeedReader.Listener<StoredConfiguration> {
+	private final class ConfigurationListener implements FeedReader.Listener<StoredConfiguration> {
 
 		@Override
-		public void listed(Feed.Page<StoredConfiguration> all) {
-			changed(all, 0);
+		public void handleList(Feed.Page<StoredConfiguration> all) {
+			handleChanges(all, 0);
 		}
 
 		@Override
-		public void changed(Feed.Page<StoredConfiguration> changes, long since) {
-			changes.items().forEach(EntryNode.this::read);
-			if (changes.items().isEmpty() && EntryNode.this.newest != null) {
-				read(EntryNode.this.newest);
+		public void handleChanges(Feed.Page<StoredConfiguration> changes, long since) {
+			changes.items().forEach(EntryNode.this::handleReadConfiguration);
+			if (changes.items().isEmpty() && EntryNode.this.latestConfiguration != null) {
+				handleReadConfiguration(EntryNode.this.latestConfiguration);
 			}
 		}
 
@@ -435,22 +435,22 @@
 	/**
 	 * Passes the directory of targets on to the decisions.
 	 */
-	private final class EachTarget implements FeedReader.Listener<TargetChange> {
+	private final class TargetListener implements FeedReader.Listener<TargetChange> {
 
 		@Override
-		public void listed(Feed.Page<TargetChange> all) {
+		public void handleList(Feed.Page<TargetChange> all) {
 			List<TargetEntry> entries = all.items().stream().flatMap((change) -> change.entry().stream()).toList();
-			step(new EntryEvent.TargetsListed(entries, all.revision()));
+			processEvent(new EntryEvent.TargetsListed(entries, all.revision()));
 		}
 
 		@Override
-		public void changed(Feed.Page<TargetChange> changes, long since) {
-			step(new EntryEvent.TargetsChanged(changes.items(), since, changes.revision()));
+		public void handleChanges(Feed.Page<TargetChange> changes, long since) {
+			processEvent(new EntryEvent.TargetsChanged(changes.items(), since, changes.revision()));
 		}
 
 		@Override
-		public void notReached() {
-			step(new EntryEvent.DirectoryNotReached());
+		public void handleUnreachable() {
+			processEvent(new EntryEvent.DirectoryNotReached());
 		}
 
 	}
--- a/src/main/java/sycamorehill/entry/EntryPorts.java
+++ b/src/main/java/sycamorehill/entry/EntryPorts.java
@@ -13,13 +13,13 @@
  * @param configurationReader reads a configuration from its text; fails with an
  * {@link IllegalArgumentException} if it can't
  * @param targets the directory of targets in the store
- * @param register the entry nodes in the store
- * @param lease the lease on the control of groups
+ * @param nodeRegistry the entry nodes in the store
+ * @param leaseStore the lease on the control of groups
  * @param engines calls to engines
  */
 public record EntryPorts(ExchangeCodec codec, Feed<StoredConfiguration> configurations,
-		Function<String, StoredConfiguration> configurationReader, Feed<TargetChange> targets, NodeRegister register,
-		LeaseStore lease, EnginePort engines) {
+		Function<String, StoredConfiguration> configurationReader, Feed<TargetChange> targets,
+		NodeRegistry nodeRegistry, LeaseStore leaseStore, EnginePort engines) {
 
 	/**
 	 * Makes the ports over a client.
--- a/src/main/java/sycamorehill/entry/EventPost.java
+++ b/src/main/java/sycamorehill/entry/EventSink.java
@@ -5,7 +5,7 @@
 /**
  * Hands events to the decisions, which take them one after the other.
  */
-interface EventPost {
+interface EventSink {
 
 	/**
 	 * Hands an event over; never blocks.
--- a/src/main/java/sycamorehill/entry/EventSplitter.java
+++ b/src/main/java/sycamorehill/entry/EventSplitter.java
@@ -15,11 +15,11 @@
 final class EventSplitter {
 
 	/** Longest event; a longer one ends the stream. */
-	private static final int MOST_BYTES = 1024 * 1024;
+	private static final int MAXIMUM_EVENT_BYTES = 1024 * 1024;
 
 	private static final byte[] NUMBER_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
 
-	private static final int MOST_DIGITS = 18;
+	private static final int MAXIMUM_NUMBER_DIGITS = 18;
 
 	private final ByteBuf pending;
 
@@ -42,16 +42,16 @@
 		int end = endOfEvent();
 		while (end > 0) {
 			ByteBuf event = this.pending.readBytes(end - this.pending.readerIndex());
-			sink.accept(event, number(event));
+			sink.accept(event, eventNumber(event));
 			end = endOfEvent();
 		}
-		if (this.pending.readableBytes() > MOST_BYTES) {
-			throw new IllegalStateException("an event is longer than " + MOST_BYTES + " bytes");
+		if (this.pending.readableBytes() > MAXIMUM_EVENT_BYTES) {
+			throw new IllegalStateException("an event is longer than " + MAXIMUM_EVENT_BYTES + " bytes");
 		}
 		this.pending.discardSomeReadBytes();
 	}
 
-	boolean holdsPart() {
+	boolean hasPartialEvent() {
 		return this.pending.isReadable();
 	}
 
@@ -62,28 +62,28 @@
 	// Index after the blank line that ends the first event, or -1.
 	private int endOfEvent() {
 		int lineStart = this.pending.readerIndex();
-		int at = endOfLine(this.pending, lineStart);
-		while (at >= 0) {
-			int length = at - lineStart;
+		int lineEnd = endOfLine(this.pending, lineStart);
+		while (lineEnd >= 0) {
+			int length = lineEnd - lineStart;
 			boolean blank = length == 0 || (length == 1 && this.pending.getByte(lineStart) == '\r');
 			if (blank) {
-				return at + 1;
+				return lineEnd + 1;
 			}
-			lineStart = at + 1;
-			at = endOfLine(this.pending, lineStart);
+			lineStart = lineEnd + 1;
+			lineEnd = endOfLine(this.pending, lineStart);
 		}
 		return -1;
 	}
 
-	private static OptionalLong number(ByteBuf event) {
+	private static OptionalLong eventNumber(ByteBuf event) {
 		int lineStart = event.readerIndex();
-		int at = endOfLine(event, lineStart);
-		while (at >= 0) {
-			if (startsWithNumberField(event, lineStart, at)) {
-				return digits(event, lineStart + NUMBER_FIELD.length, at);
+		int lineEnd = endOfLine(event, lineStart);
+		while (lineEnd >= 0) {
+			if (startsWithNumberField(event, lineStart, lineEnd)) {
+				return parseNumber(event, lineStart + NUMBER_FIELD.length, lineEnd);
 			}
-			lineStart = at + 1;
-			at = endOfLine(event, lineStart);
+			lineStart = lineEnd + 1;
+			lineEnd = endOfLine(event, lineStart);
 		}
 		return OptionalLong.empty();
 	}
@@ -105,9 +105,10 @@
 		return true;
 	}
 
-	private static OptionalLong digits(ByteBuf event, int start, int end) {
+	private static OptionalLong parseNumber(ByteBuf event, int start, int end) {
 		String text = event.toString(start, end - start, StandardCharsets.US_ASCII).trim();
-		boolean number = !text.isEmpty() && text.length() <= MOST_DIGITS && text.chars().allMatch(Character::isDigit);
+		boolean number = !text.isEmpty() && text.length() <= MAXIMUM_NUMBER_DIGITS
+				&& text.chars().allMatch(Character::isDigit);
 		return number ? OptionalLong.of(Long.parseLong(text)) : OptionalLong.empty();
 	}
 
--- a/src/main/java/sycamorehill/entry/ExchangeCodec.java
+++ b/src/main/java/sycamorehill/entry/ExchangeCodec.java
@@ -17,7 +17,7 @@
 	 * @param request the head
 	 * @return what it says
 	 */
-	CallerHead readCaller(HttpRequest request);
+	CallerRequestHead readCallerRequest(HttpRequest request);
 
 	/**
 	 * Makes the headers of a request to a target.
@@ -25,14 +25,14 @@
 	 * @param forwarding what the target is told besides
 	 * @return the headers, without those that frame the body
 	 */
-	HttpHeaders targetHeaders(HttpRequest request, Forwarding forwarding);
+	HttpHeaders targetHeaders(HttpRequest request, ForwardingMetadata forwarding);
 
 	/**
 	 * Reads the head of a target's answer.
 	 * @param response the head
 	 * @return what it says
 	 */
-	TargetHead readTarget(HttpResponse response);
+	TargetResponseHead readTargetResponse(HttpResponse response);
 
 	/**
 	 * Makes the headers of a target's answer that go on to the caller.
@@ -47,7 +47,7 @@
 	 * @param retryAfter when to come back
 	 * @return the headers, without those that frame the body
 	 */
-	HttpHeaders ownHeaders(String identifier, Optional<Duration> retryAfter);
+	HttpHeaders localAnswerHeaders(String identifier, Optional<Duration> retryAfter);
 
 	/**
 	 * The path at which the balancer asks whether the node is ready.
--- a/src/main/java/sycamorehill/entry/FeedReader.java
+++ b/src/main/java/sycamorehill/entry/FeedReader.java
@@ -17,9 +17,9 @@
  */
 final class FeedReader<T> {
 
-	private static final Duration FIRST_RETRY = Duration.ofMillis(100);
+	private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(100);
 
-	private static final Duration LONGEST_RETRY = Duration.ofMillis(400);
+	private static final Duration MAXIMUM_RETRY_DELAY = Duration.ofMillis(400);
 
 	private final Supplier<Pace> pace;
 
@@ -27,46 +27,46 @@
 
 	private final Feed<T> feed;
 
-	private final ScheduledExecutorService control;
+	private final ScheduledExecutorService executor;
 
 	private final Listener<T> listener;
 
-	private boolean lost;
+	private boolean storeUnreachable;
 
-	private boolean wanted;
+	private boolean readRequested;
 
-	private boolean resting;
+	private boolean paused;
 
 	private long revision = -1;
 
-	private Duration retry = FIRST_RETRY;
+	private Duration retryDelay = INITIAL_RETRY_DELAY;
 
-	private FeedReader(Supplier<Pace> pace, String name, Feed<T> feed, ScheduledExecutorService control,
+	private FeedReader(Supplier<Pace> pace, String name, Feed<T> feed, ScheduledExecutorService executor,
 			Listener<T> listener) {
 		this.pace = pace;
 		this.name = name;
 		this.feed = feed;
-		this.control = control;
+		this.executor = executor;
 		this.listener = listener;
 	}
 
-	static <T> FeedReader<T> of(Supplier<Pace> pace, String name, Feed<T> feed, ScheduledExecutorService control,
+	static <T> FeedReader<T> of(Supplier<Pace> pace, String name, Feed<T> feed, ScheduledExecutorService executor,
 			Listener<T> listener) {
-		return new FeedReader<>(pace, name, feed, control, listener);
+		return new FeedReader<>(pace, name, feed, executor, listener);
 	}
 
 	void start() {
-		this.control.execute(this::next);
+		this.executor.execute(this::readNext);
 	}
 
 	/**
 	 * Reads the changes now, though this node rests.
 	 */
 	void readNow() {
-		this.wanted = true;
-		if (this.resting) {
-			this.resting = false;
-			next();
+		this.readRequested = true;
+		if (this.paused) {
+			this.paused = false;
+			readNext();
 		}
 	}
 
@@ -74,114 +74,114 @@
 	 * Looks whether a node that rests has to read for itself again. Called several times
 	 * a second, with all else that is looked at then: each wake-up costs processor time.
 	 */
-	void look() {
-		if (this.resting && !this.pace.get().rests()) {
-			this.resting = false;
-			next();
+	void resumeIfNeeded() {
+		if (this.paused && !this.pace.get().receivesStoreUpdates()) {
+			this.paused = false;
+			readNext();
 		}
 	}
 
 	/**
 	 * Goes on after a revision that this node was told of. What a list is still due for
 	 * was not told: it stays due.
-	 * @param known the revision
+	 * @param knownRevision the revision
 	 */
-	void known(long known) {
+	void advanceRevision(long knownRevision) {
 		if (this.revision >= 0) {
-			this.revision = Math.max(this.revision, known);
+			this.revision = Math.max(this.revision, knownRevision);
 		}
 	}
 
-	private void next() {
-		boolean all = this.revision < 0;
-		if (!all && !this.wanted && this.pace.get().rests()) {
-			this.resting = true;
+	private void readNext() {
+		boolean listing = this.revision < 0;
+		if (!listing && !this.readRequested && this.pace.get().receivesStoreUpdates()) {
+			this.paused = true;
 			return;
 		}
-		Duration wait = this.wanted ? Duration.ZERO : longestWait();
-		this.wanted = false;
+		Duration wait = this.readRequested ? Duration.ZERO : maximumWait();
+		this.readRequested = false;
 		long since = this.revision;
-		(all ? this.feed.list() : this.feed.changes(since, wait)).whenCompleteAsync((page, failure) -> {
+		(listing ? this.feed.list() : this.feed.changes(since, wait)).whenCompleteAsync((page, failure) -> {
 			if (failure != null) {
-				failed(failure);
+				handleFailure(failure);
 			}
 			else if (since != this.revision) {
-				passOver(page);
+				skipOutdated(page);
 			}
 			else {
-				read(page, all);
+				handlePage(page, listing);
 			}
-		}, this.control);
+		}, this.executor);
 	}
 
 	// While the call waited, another node told of changes that this answer may repeat: an
 	// older state would follow a newer one. What is not known yet is asked for again.
-	private void passOver(Feed.Page<T> page) {
-		this.lost = false;
-		this.wanted |= page.revision() > this.revision;
-		next();
+	private void skipOutdated(Feed.Page<T> page) {
+		this.storeUnreachable = false;
+		this.readRequested |= page.revision() > this.revision;
+		readNext();
 	}
 
 	// While the store is away a call that waits would hang on a dead connection long
 	// after the store is back: calls are short until one is answered.
-	private Duration longestWait() {
-		return this.lost ? Duration.ZERO : this.pace.get().longestWait();
+	private Duration maximumWait() {
+		return this.storeUnreachable ? Duration.ZERO : this.pace.get().maximumWait();
 	}
 
-	private void read(Feed.Page<T> page, boolean all) {
-		this.lost = false;
-		this.retry = FIRST_RETRY;
+	private void handlePage(Feed.Page<T> page, boolean listing) {
+		this.storeUnreachable = false;
+		this.retryDelay = INITIAL_RETRY_DELAY;
 		long since = this.revision;
-		if (!all && page.revision() < this.revision) {
+		if (!listing && page.revision() < this.revision) {
 			EventLog.failure(LogEvent.STORE_CONTACT,
 					this.name + ": the store went back from " + this.revision + " to " + page.revision(), null);
 			this.revision = -1;
-			later(this.pace.get().afterChange());
+			scheduleNext(this.pace.get().pauseAfterChange());
 			return;
 		}
 		this.revision = page.revision();
-		if (all) {
-			this.listener.listed(page);
+		if (listing) {
+			this.listener.handleList(page);
 		}
 		else {
-			this.listener.changed(page, since);
+			this.listener.handleChanges(page, since);
 		}
-		later((all || !page.items().isEmpty()) ? this.pace.get().afterChange() : Duration.ZERO);
+		scheduleNext((listing || !page.items().isEmpty()) ? this.pace.get().pauseAfterChange() : Duration.ZERO);
 	}
 
-	private void failed(Throwable failure) {
+	private void handleFailure(Throwable failure) {
 		Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
 		if (cause instanceof Feed.HistoryGoneException) {
 			this.revision = -1;
-			later(this.pace.get().afterChange());
+			scheduleNext(this.pace.get().pauseAfterChange());
 			return;
 		}
-		this.lost = true;
-		this.listener.notReached();
-		later(this.retry);
-		Duration longer = this.retry.multipliedBy(2);
-		this.retry = (longer.compareTo(LONGEST_RETRY) > 0) ? LONGEST_RETRY : longer;
+		this.storeUnreachable = true;
+		this.listener.handleUnreachable();
+		scheduleNext(this.retryDelay);
+		Duration doubled = this.retryDelay.multipliedBy(2);
+		this.retryDelay = (doubled.compareTo(MAXIMUM_RETRY_DELAY) > 0) ? MAXIMUM_RETRY_DELAY : doubled;
 	}
 
-	private void later(Duration pause) {
+	private void scheduleNext(Duration pause) {
 		if (pause.isZero()) {
-			next();
+			readNext();
 		}
 		else {
-			this.control.schedule(this::next, pause.toMillis(), TimeUnit.MILLISECONDS);
+			this.executor.schedule(this::readNext, pause.toMillis(), TimeUnit.MILLISECONDS);
 		}
 	}
 
 	/**
 	 * How often the store is called.
 	 *
-	 * @param longestWait how long a call waits in the store; a connection that went
+	 * @param maximumWait how long a call waits in the store; a connection that went
 	 * silent is found out this much later
-	 * @param afterChange pause after an answer that brought changes, so that many changes
-	 * in a row cost few calls
-	 * @param rests whether another node reads for this one
+	 * @param pauseAfterChange pause after an answer that brought changes, so that many
+	 * changes in a row cost few calls
+	 * @param receivesStoreUpdates whether another node reads for this one
 	 */
-	record Pace(Duration longestWait, Duration afterChange, boolean rests) {
+	record Pace(Duration maximumWait, Duration pauseAfterChange, boolean receivesStoreUpdates) {
 	}
 
 	/**
@@ -195,17 +195,17 @@
 		 * Takes all objects.
 		 * @param all the objects
 		 */
-		void listed(Feed.Page<T> all);
+		void handleList(Feed.Page<T> all);
 
 		/**
 		 * Takes changes.
 		 * @param changes the changes; none if the store had none to tell
 		 * @param since the revision after which they were asked for
 		 */
-		void changed(Feed.Page<T> changes, long since);
+		void handleChanges(Feed.Page<T> changes, long since);
 
 		/** The store did not answer. */
-		default void notReached() {
+		default void handleUnreachable() {
 		}
 
 	}
--- a/src/main/java/sycamorehill/entry/Forwarding.java
+++ b/src/main/java/sycamorehill/entry/ForwardingMetadata.java
@@ -16,6 +16,6 @@
  * @param resumeAfter the last event that the caller has
  * @param weightsVersion the version of the weights that a resumed answer began with
  */
-public record Forwarding(TargetName target, Optional<Duration> timeLeft, Optional<WorkspaceName> workspace,
+public record ForwardingMetadata(TargetName target, Optional<Duration> timeLeft, Optional<WorkspaceName> workspace,
 		int priority, Optional<String> resumeAfter, Optional<String> weightsVersion) {
 }
--- a/src/main/java/sycamorehill/entry/NodeMessageCodec.java
+++ b/src/main/java/sycamorehill/entry/NodeMessageCodec.java
@@ -137,7 +137,7 @@
 					.put(LEASE_REVISION, lease.revision()));
 		}
 		else if (message instanceof NodeMessage.ConfigurationTold told) {
-			body.put(CONFIGURATION, told.version()).put(TEXT, PackedText.pack(told.text()));
+			body.put(CONFIGURATION, told.version()).put(TEXT, CompressedText.compress(told.text()));
 		}
 		else if (message instanceof NodeMessage.TargetsSeen seen) {
 			TargetCodec.write(seen.changes(), body.putArray(CHANGES));
@@ -196,7 +196,7 @@
 					body.path(REVISION).asLong(), TargetCodec.read(body.path(CHANGES)), lease(body),
 					Duration.ofMillis(body.path(AGE_MILLIS).asLong()));
 			case CONFIGURATION_TOLD -> new NodeMessage.ConfigurationTold(sender, body.path(CONFIGURATION).asLong(),
-					PackedText.unpack(body.path(TEXT).binaryValue()));
+					CompressedText.decompress(body.path(TEXT).binaryValue()));
 			case TARGETS_SEEN -> new NodeMessage.TargetsSeen(sender, TargetCodec.read(body.path(CHANGES)));
 			case INTRODUCTION -> new NodeMessage.Introduction(node(sender, body));
 			case LEASE_GIVEN_UP -> new NodeMessage.LeaseGivenUp(sender, body.path(HOLDER).asText());
--- a/src/main/java/sycamorehill/entry/NodeMessenger.java
+++ b/src/main/java/sycamorehill/entry/NodeMessenger.java
@@ -31,35 +31,36 @@
 final class NodeMessenger {
 
 	/** Bytes of a datagram that are read, with room beyond what nodes send. */
-	private static final int MOST_RECEIVED = 2048;
+	private static final int RECEIVE_BUFFER_BYTES = 2048;
 
 	private final EventLoop loop;
 
-	private final EventPost control;
+	private final EventSink eventSink;
 
 	private final NodeMessageCodec codec = NodeMessageCodec.create();
 
-	private final DatagramJoiner joiner = DatagramJoiner.create();
+	private final DatagramAssembler joiner = DatagramAssembler.create();
 
 	/** Begins anywhere, so that parts of an earlier process's messages are not joined. */
-	private long lastNumber = ThreadLocalRandom.current().nextLong();
+	private long lastMessageNumber = ThreadLocalRandom.current().nextLong();
 
 	private Channel channel;
 
-	private NodeMessenger(EventLoop loop, EventPost control) {
+	private NodeMessenger(EventLoop loop, EventSink eventSink) {
 		this.loop = loop;
-		this.control = control;
+		this.eventSink = eventSink;
 	}
 
-	static NodeMessenger of(EventLoop loop, EventPost control) {
-		return new NodeMessenger(loop, control);
+	static NodeMessenger of(EventLoop loop, EventSink eventSink) {
+		return new NodeMessenger(loop, eventSink);
 	}
 
 	void start(Address address) throws InterruptedException {
 		this.channel = new Bootstrap().group(this.loop)
 			.channel(NioDatagramChannel.class)
-			.option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_RECEIVED).maxMessagesPerRead(1))
-			.handler(new Receiving())
+			.option(ChannelOption.RCVBUF_ALLOCATOR,
+					new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES).maxMessagesPerRead(1))
+			.handler(new DatagramHandler())
 			.bind(address.host(), address.port())
 			.sync()
 			.channel();
@@ -68,11 +69,11 @@
 	void send(List<Address> nodes, NodeMessage message) {
 		try {
 			byte[] bytes = this.codec.write(message);
-			if (bytes.length <= DatagramParts.MOST_BYTES * DatagramParts.MOST_PARTS) {
+			if (bytes.length <= DatagramSplitter.MAXIMUM_PART_BYTES * DatagramSplitter.MAXIMUM_PARTS) {
 				this.loop.execute(() -> send(nodes, bytes));
 			}
 			else {
-				tooLarge(nodes, message, bytes.length);
+				handleTooLargeMessage(nodes, message, bytes.length);
 			}
 		}
 		catch (IOException ex) {
@@ -80,17 +81,17 @@
 		}
 	}
 
-	private void tooLarge(List<Address> nodes, NodeMessage message, int bytes) {
+	private void handleTooLargeMessage(List<Address> nodes, NodeMessage message, int bytes) {
 		EventLog.write(LogLine.of(LogEvent.PEER_MESSAGE_TOO_LARGE,
 				"message=" + message.getClass().getSimpleName() + " bytes=" + bytes));
-		if (message instanceof NodeMessage.StoreNews news && !news.changes().isEmpty()) {
-			send(nodes, news.withoutChanges());
+		if (message instanceof NodeMessage.StoreNews update && !update.changes().isEmpty()) {
+			send(nodes, update.withoutChanges());
 		}
 	}
 
 	private void send(List<Address> nodes, byte[] message) {
-		this.lastNumber++;
-		List<byte[]> datagrams = DatagramParts.split(message, this.lastNumber);
+		this.lastMessageNumber++;
+		List<byte[]> datagrams = DatagramSplitter.split(message, this.lastMessageNumber);
 		for (Address node : nodes) {
 			InetSocketAddress receiver = new InetSocketAddress(node.host(), node.port());
 			datagrams.forEach((datagram) -> this.channel
@@ -99,11 +100,11 @@
 		this.channel.flush();
 	}
 
-	private void received(InetSocketAddress sender, byte[] datagram) {
+	private void handleDatagram(InetSocketAddress sender, byte[] datagram) {
 		try {
 			Optional<byte[]> message = this.joiner.add(sender, datagram, System.nanoTime());
 			if (message.isPresent()) {
-				this.control.post(new EntryEvent.MessageHeard(this.codec.read(message.get())));
+				this.eventSink.post(new EntryEvent.MessageHeard(this.codec.read(message.get())));
 			}
 		}
 		catch (IOException | IllegalArgumentException ex) {
@@ -115,13 +116,13 @@
 	/**
 	 * Takes datagrams.
 	 */
-	private final class Receiving extends SimpleChannelInboundHandler<DatagramPacket> {
+	private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
 
 		@Override
 		protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
 			byte[] bytes = new byte[packet.content().readableBytes()];
 			packet.content().readBytes(bytes);
-			received(packet.sender(), bytes);
+			handleDatagram(packet.sender(), bytes);
 		}
 
 		@Override
--- a/src/main/java/sycamorehill/entry/PageServer.java
+++ b/src/main/java/sycamorehill/entry/PageServer.java
@@ -30,18 +30,18 @@
  */
 final class PageServer {
 
-	private static final int MOST_BYTES = 8 * 1024;
+	private static final int MAXIMUM_REQUEST_BYTES = 8 * 1024;
 
 	private final EventLoop loop;
 
-	private final Pages pages;
+	private final PageSource pages;
 
-	private PageServer(EventLoop loop, Pages pages) {
+	private PageServer(EventLoop loop, PageSource pages) {
 		this.loop = loop;
 		this.pages = pages;
 	}
 
-	static PageServer of(EventLoop loop, Pages pages) {
+	static PageServer of(EventLoop loop, PageSource pages) {
 		return new PageServer(loop, pages);
 	}
 
@@ -53,7 +53,8 @@
 				@Override
 				protected void initChannel(Channel channel) {
 					channel.pipeline()
-						.addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BYTES), new Answering());
+						.addLast(new HttpServerCodec(), new HttpObjectAggregator(MAXIMUM_REQUEST_BYTES),
+								new PageRequestHandler());
 				}
 			})
 			.bind(address.host(), address.port())
@@ -63,7 +64,7 @@
 	/**
 	 * Gives the pages.
 	 */
-	interface Pages {
+	interface PageSource {
 
 		/**
 		 * Reads a page.
@@ -94,7 +95,7 @@
 	/**
 	 * Answers one question after the other.
 	 */
-	private final class Answering extends SimpleChannelInboundHandler<FullHttpRequest> {
+	private final class PageRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
 		@Override
 		protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
--- a/src/main/java/sycamorehill/entry/RequestForm.java
+++ b/src/main/java/sycamorehill/entry/RequestValidator.java
@@ -12,9 +12,9 @@
  * Finds what makes a request's head ambiguous. Where two readers could frame a request or
  * name its host in two ways, one caller's bytes could run as another's request.
  */
-final class RequestForm {
+final class RequestValidator {
 
-	private RequestForm() {
+	private RequestValidator() {
 	}
 
 	/**
@@ -22,7 +22,7 @@
 	 * @param head the request's head
 	 * @return the fault, or empty if the request may be passed on
 	 */
-	static Optional<String> fault(HttpRequest head) {
+	static Optional<String> findViolation(HttpRequest head) {
 		HttpHeaders headers = head.headers();
 		List<String> hosts = headers.getAll(HttpHeaderNames.HOST);
 		if (hosts.size() != 1 || hosts.get(0).isBlank()) {
--- a/src/main/java/sycamorehill/entry/TargetActivity.java
+++ b/src/main/java/sycamorehill/entry/TargetActivity.java
@@ -19,12 +19,12 @@
 	 * Pause of all begun streams of a target that counts as silence. Events are 30 to 80
 	 * ms apart, and up to 200 ms while long prompts are read beside them.
 	 */
-	private static final Duration SILENCE = Duration.ofMillis(450);
+	private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(450);
 
 	/** The same while no stream has begun: a first event takes up to 500 ms in time. */
-	private static final Duration FIRST_SILENCE = Duration.ofMillis(1100);
+	private static final Duration FIRST_EVENT_TIMEOUT = Duration.ofMillis(1100);
 
-	private final Map<TargetName, Progress> byTarget = new HashMap<>();
+	private final Map<TargetName, StreamProgress> byTarget = new HashMap<>();
 
 	private TargetActivity() {
 	}
@@ -33,44 +33,44 @@
 		return new TargetActivity();
 	}
 
-	void sent(TargetName target, long nowNanos) {
-		Progress progress = this.byTarget.computeIfAbsent(target, (name) -> new Progress());
-		if (progress.waiting + progress.begun == 0) {
-			progress.lastNanos = nowNanos;
-			progress.told = false;
+	void recordRequestSent(TargetName target, long nowNanos) {
+		StreamProgress progress = this.byTarget.computeIfAbsent(target, (name) -> new StreamProgress());
+		if (progress.waitingStreams + progress.startedStreams == 0) {
+			progress.lastProgressNanos = nowNanos;
+			progress.reported = false;
 		}
-		progress.waiting++;
+		progress.waitingStreams++;
 	}
 
-	void begun(TargetName target, long nowNanos) {
-		Progress progress = this.byTarget.get(target);
+	void recordStreamStarted(TargetName target, long nowNanos) {
+		StreamProgress progress = this.byTarget.get(target);
 		if (progress != null) {
-			progress.waiting--;
-			progress.begun++;
-			progressed(target, nowNanos);
+			progress.waitingStreams--;
+			progress.startedStreams++;
+			recordProgress(target, nowNanos);
 		}
 	}
 
-	void progressed(TargetName target, long nowNanos) {
-		Progress progress = this.byTarget.get(target);
+	void recordProgress(TargetName target, long nowNanos) {
+		StreamProgress progress = this.byTarget.get(target);
 		if (progress != null) {
-			progress.lastNanos = nowNanos;
-			progress.told = false;
+			progress.lastProgressNanos = nowNanos;
+			progress.reported = false;
 		}
 	}
 
-	void ended(TargetName target, boolean hadBegun, long nowNanos) {
-		Progress progress = this.byTarget.get(target);
+	void recordRequestEnded(TargetName target, boolean streamStarted, long nowNanos) {
+		StreamProgress progress = this.byTarget.get(target);
 		if (progress == null) {
 			return;
 		}
-		if (hadBegun) {
-			progress.begun--;
+		if (streamStarted) {
+			progress.startedStreams--;
 		}
 		else {
-			progress.waiting--;
+			progress.waitingStreams--;
 		}
-		if (progress.waiting + progress.begun <= 0) {
+		if (progress.waitingStreams + progress.startedStreams <= 0) {
 			this.byTarget.remove(target);
 		}
 	}
@@ -80,30 +80,30 @@
 	 * @param nowNanos the present time
 	 * @return the targets, each once for each silence
 	 */
-	List<TargetName> silent(long nowNanos) {
-		List<TargetName> found = new ArrayList<>();
+	List<TargetName> findSilentTargets(long nowNanos) {
+		List<TargetName> silentTargets = new ArrayList<>();
 		this.byTarget.forEach((name, progress) -> {
-			Duration most = (progress.begun > 0) ? SILENCE : FIRST_SILENCE;
-			if (!progress.told && nowNanos - progress.lastNanos > most.toNanos()) {
-				progress.told = true;
-				found.add(name);
+			Duration timeout = (progress.startedStreams > 0) ? SILENCE_TIMEOUT : FIRST_EVENT_TIMEOUT;
+			if (!progress.reported && nowNanos - progress.lastProgressNanos > timeout.toNanos()) {
+				progress.reported = true;
+				silentTargets.add(name);
 			}
 		});
-		return found;
+		return silentTargets;
 	}
 
 	/**
 	 * Streams of one target.
 	 */
-	private static final class Progress {
+	private static final class StreamProgress {
 
-		private int waiting;
+		private int waitingStreams;
 
-		private int begun;
+		private int startedStreams;
 
-		private long lastNanos;
+		private long lastProgressNanos;
 
-		private boolean told;
+		private boolean reported;
 
 	}
 
--- a/src/main/java/sycamorehill/entry/TargetAttempt.java
+++ b/src/main/java/sycamorehill/entry/TargetAttempt.java
@@ -24,48 +24,48 @@
  * One attempt to have a request answered by a target. It ends once, in one of the ways of
  * {@link AttemptEnd}; after it was cancelled nothing of it reaches the caller.
  */
-final class TargetAttempt implements AnswerReader {
+final class TargetAttempt implements AnswerHandler {
 
 	private static final int SUCCESS_CLASS = 2;
 
-	private static final int SERVER_ERROR = 500;
+	private static final int MINIMUM_SERVER_ERROR_STATUS = 500;
 
 	/** Largest plain answer that is held until it is whole. */
-	private static final int MOST_ANSWER_BYTES = 16 * 1024 * 1024;
+	private static final int MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024;
 
 	/**
 	 * How long a connection may have been idle for a request that must not be repeated: a
 	 * close by the target that crosses the request would leave its outcome unknown.
 	 */
-	private static final Duration YOUNG = Duration.ofMillis(400);
+	private static final Duration MAXIMUM_IDLE_NON_IDEMPOTENT = Duration.ofMillis(400);
 
-	private static final Duration ANY_AGE = Duration.ofMinutes(10);
+	private static final Duration MAXIMUM_IDLE_IDEMPOTENT = Duration.ofMinutes(10);
 
 	private final EntryEffect.StartAttempt start;
 
-	private final Exchange exchange;
+	private final CallerExchange exchange;
 
-	private final TargetConnections connections;
+	private final TargetConnectionPool connectionPool;
 
 	private final TargetActivity activity;
 
 	private final ExchangeCodec codec;
 
-	private final EventPost control;
+	private final EventSink eventSink;
 
 	private TargetConnection connection;
 
 	private boolean reused;
 
-	private boolean over;
+	private boolean finished;
 
-	private boolean watched;
+	private boolean activityTracked;
 
-	private boolean answerBegun;
+	private boolean answerStarted;
 
 	private HttpResponse head;
 
-	private TargetHead facts;
+	private TargetResponseHead parsedHead;
 
 	private boolean streaming;
 
@@ -73,39 +73,40 @@
 
 	private EventSplitter events;
 
-	private boolean numbered = true;
+	private boolean allEventsNumbered = true;
 
-	private TargetAttempt(EntryEffect.StartAttempt start, Exchange exchange, TargetConnections connections,
-			TargetActivity activity, ExchangeCodec codec, EventPost control) {
+	private TargetAttempt(EntryEffect.StartAttempt start, CallerExchange exchange, TargetConnectionPool connections,
+			TargetActivity activity, ExchangeCodec codec, EventSink eventSink) {
 		this.start = start;
 		this.exchange = exchange;
-		this.connections = connections;
+		this.connectionPool = connections;
 		this.activity = activity;
 		this.codec = codec;
-		this.control = control;
+		this.eventSink = eventSink;
 	}
 
-	static TargetAttempt begin(EntryEffect.StartAttempt start, Exchange exchange, TargetConnections connections,
-			TargetActivity activity, ExchangeCodec codec, EventPost control) {
-		TargetAttempt attempt = new TargetAttempt(start, exchange, connections, activity, codec, control);
-		attempt.begin();
+	static TargetAttempt start(EntryEffect.StartAttempt start, CallerExchange exchange,
+			TargetConnectionPool connections, TargetActivity activity, ExchangeCodec codec, EventSink eventSink) {
+		TargetAttempt attempt = new TargetAttempt(start, exchange, connections, activity, codec, eventSink);
+		attempt.start();
 		return attempt;
 	}
 
-	private void begin() {
-		Duration longestIdle = this.start.handling().kind().isRepeatable() ? ANY_AGE : YOUNG;
-		TargetConnection idle = this.connections.takeIdle(this.start.target(), longestIdle);
+	private void start() {
+		Duration maximumIdle = this.start.handling().kind().isRepeatable() ? MAXIMUM_IDLE_IDEMPOTENT
+				: MAXIMUM_IDLE_NON_IDEMPOTENT;
+		TargetConnection idle = this.connectionPool.acquireIdle(this.start.target(), maximumIdle);
 		if (idle != null) {
 			this.reused = true;
 			send(idle);
 			return;
 		}
-		ChannelFuture connecting = this.connections.connect(this.start.target());
+		ChannelFuture connecting = this.connectionPool.connect(this.start.target());
 		connecting.addListener((future) -> {
 			if (!future.isSuccess()) {
-				end(new AttemptEnd.NotRun(NotRunCause.NOT_SENT, Optional.empty()));
+				finish(new AttemptEnd.NotRun(NotRunCause.NOT_SENT, Optional.empty()));
 			}
-			else if (this.over) {
+			else if (this.finished) {
 				connecting.channel().close();
 			}
 			else {
@@ -114,29 +115,29 @@
 		});
 	}
 
-	private void send(TargetConnection taken) {
+	private void send(TargetConnection openConnection) {
 		Optional<Duration> left = this.exchange.timeLeft();
 		if (left.filter((time) -> time.isNegative() || time.isZero()).isPresent()) {
-			this.connections.giveBack(this.start.target(), taken, null);
-			end(new AttemptEnd.NotRun(NotRunCause.NOT_SENT, Optional.empty()));
+			this.connectionPool.release(this.start.target(), openConnection, null);
+			finish(new AttemptEnd.NotRun(NotRunCause.NOT_SENT, Optional.empty()));
 			return;
 		}
-		this.connection = taken;
-		taken.await(this);
+		this.connection = openConnection;
+		openConnection.expectAnswer(this);
 		if (this.start.handling().kind().isStreaming()) {
-			this.watched = true;
-			this.activity.sent(this.start.target().name(), System.nanoTime());
+			this.activityTracked = true;
+			this.activity.recordRequestSent(this.start.target().name(), System.nanoTime());
 		}
-		Forwarding forwarding = new Forwarding(this.start.target().name(), left, this.start.workspace(),
+		ForwardingMetadata forwarding = new ForwardingMetadata(this.start.target().name(), left, this.start.workspace(),
 				this.start.priority(), this.exchange.resumeAfter(), this.exchange.weightsVersion());
-		taken.context().writeAndFlush(request(forwarding)).addListener((future) -> {
+		openConnection.context().writeAndFlush(request(forwarding)).addListener((future) -> {
 			if (!future.isSuccess()) {
-				broken("write failed: " + future.cause().getMessage());
+				handleFailure("write failed: " + future.cause().getMessage());
 			}
 		});
 	}
 
-	private FullHttpRequest request(Forwarding forwarding) {
+	private FullHttpRequest request(ForwardingMetadata forwarding) {
 		ByteBuf content = this.exchange.requestBody();
 		HttpHeaders headers = this.codec.targetHeaders(this.exchange.request(), forwarding);
 		if (content.isReadable() || HttpUtil.isContentLengthSet(this.exchange.request())
@@ -148,24 +149,24 @@
 	}
 
 	@Override
-	public void head(HttpResponse response) {
+	public void handleHead(HttpResponse response) {
 		this.head = response;
-		this.facts = this.codec.readTarget(response);
-		boolean ours = this.facts.identifier().map(this.exchange.identifier()::equals).orElse(!this.reused);
-		if (!ours) {
-			drop();
-			end(new AttemptEnd.Unknown("an answer to another request"));
+		this.parsedHead = this.codec.readTargetResponse(response);
+		boolean matches = this.parsedHead.identifier().map(this.exchange.identifier()::equals).orElse(!this.reused);
+		if (!matches) {
+			closeConnection();
+			finish(new AttemptEnd.Unknown("an answer to another request"));
 			return;
 		}
-		boolean byTarget = this.facts.signed() || this.facts.notRun();
-		if (byTarget && !this.facts.otherTarget()) {
-			this.control.post(new EntryEvent.TargetTold(this.start.number(), this.start.target().name(),
-					this.facts.load(), this.facts.limit()));
+		boolean fromTarget = this.parsedHead.signed() || this.parsedHead.notRun();
+		if (fromTarget && !this.parsedHead.otherTarget()) {
+			this.eventSink.post(new EntryEvent.TargetTold(this.start.number(), this.start.target().name(),
+					this.parsedHead.load(), this.parsedHead.rateLimit()));
 		}
 		boolean success = response.status().code() / 100 == SUCCESS_CLASS;
-		if (success && (!this.facts.signed() || this.facts.identifier().isEmpty())) {
-			drop();
-			end(new AttemptEnd.Unknown("a success without the target's signature"));
+		if (success && (!this.parsedHead.signed() || this.parsedHead.identifier().isEmpty())) {
+			closeConnection();
+			finish(new AttemptEnd.Unknown("a success without the target's signature"));
 			return;
 		}
 		this.streaming = success && this.start.handling().kind().isStreaming();
@@ -178,90 +179,91 @@
 	}
 
 	@Override
-	public void body(ByteBuf bytes) {
-		if (this.over) {
+	public void handleBody(ByteBuf bytes) {
+		if (this.finished) {
 			return;
 		}
 		if (!this.streaming) {
 			this.body.writeBytes(bytes);
-			if (this.body.readableBytes() > MOST_ANSWER_BYTES) {
-				drop();
-				end(new AttemptEnd.Unknown("the answer is longer than " + MOST_ANSWER_BYTES + " bytes"));
+			if (this.body.readableBytes() > MAXIMUM_ANSWER_BYTES) {
+				closeConnection();
+				finish(new AttemptEnd.Unknown("the answer is longer than " + MAXIMUM_ANSWER_BYTES + " bytes"));
 			}
 			return;
 		}
-		this.activity.progressed(this.start.target().name(), System.nanoTime());
+		this.activity.recordProgress(this.start.target().name(), System.nanoTime());
 		try {
-			this.events.append(bytes, this::event);
+			this.events.append(bytes, this::handleEvent);
 		}
 		catch (IllegalStateException ex) {
-			drop();
-			streamBroken(ex.getMessage());
+			closeConnection();
+			handleStreamFailure(ex.getMessage());
 			return;
 		}
 		this.exchange.flush();
 	}
 
-	private void event(ByteBuf event, OptionalLong number) {
-		if (this.over) {
+	private void handleEvent(ByteBuf event, OptionalLong number) {
+		if (this.finished) {
 			event.release();
 			return;
 		}
-		this.numbered &= number.isPresent();
-		if (!this.answerBegun) {
-			this.answerBegun = true;
-			this.activity.begun(this.start.target().name(), System.nanoTime());
-			this.exchange.beginStream(this.head, this.facts);
-			this.control.post(new EntryEvent.AnswerBegun(this.start.number()));
+		this.allEventsNumbered &= number.isPresent();
+		if (!this.answerStarted) {
+			this.answerStarted = true;
+			this.activity.recordStreamStarted(this.start.target().name(), System.nanoTime());
+			this.exchange.startStream(this.head, this.parsedHead);
+			this.eventSink.post(new EntryEvent.AnswerBegun(this.start.number()));
 		}
-		this.exchange.event(event, number);
+		this.exchange.forwardEvent(event, number);
 	}
 
 	@Override
-	public void end() {
-		if (this.over) {
+	public void handleEnd() {
+		if (this.finished) {
 			return;
 		}
-		keep();
+		releaseConnection();
 		int status = this.head.status().code();
-		if (this.facts.otherTarget()) {
-			end(new AttemptEnd.NotRun(NotRunCause.WRONG_TARGET, this.facts.retryAfter()));
+		if (this.parsedHead.otherTarget()) {
+			finish(new AttemptEnd.NotRun(NotRunCause.WRONG_TARGET, this.parsedHead.retryAfter()));
 		}
-		else if (this.facts.notRun()) {
-			end(new AttemptEnd.NotRun(NotRunCause.REFUSED, this.facts.retryAfter()));
+		else if (this.parsedHead.notRun()) {
+			finish(new AttemptEnd.NotRun(NotRunCause.REFUSED, this.parsedHead.retryAfter()));
 		}
 		else if (this.streaming) {
 			endStream(status);
 		}
-		else if (status >= SERVER_ERROR && this.start.handling().holdFailures()) {
+		else if (status >= MINIMUM_SERVER_ERROR_STATUS && this.start.handling().holdFailures()) {
 			this.exchange.holdFailure(this.head, this.body.retain());
-			end(new AttemptEnd.Failed(status));
+			finish(new AttemptEnd.Failed(status));
 		}
-		else if (this.exchange.streamBegun()) {
-			end(new AttemptEnd.Broken("a resumed stream was answered with status " + status, true));
+		else if (this.exchange.streamStarted()) {
+			finish(new AttemptEnd.Broken("a resumed stream was answered with status " + status, true));
 		}
 		else {
 			this.exchange.deliver(this.head, this.body.retain());
-			end(new AttemptEnd.Delivered(status, Duration.ZERO));
+			finish(new AttemptEnd.Delivered(status, Duration.ZERO));
 		}
 	}
 
 	private void endStream(int status) {
-		if (this.events.holdsPart()) {
-			streamBroken("the stream ends within an event");
+		if (this.events.hasPartialEvent()) {
+			handleStreamFailure("the stream ends within an event");
 			return;
 		}
-		if (!this.answerBegun) {
-			this.exchange.beginStream(this.head, this.facts);
+		if (!this.answerStarted) {
+			this.exchange.startStream(this.head, this.parsedHead);
 		}
 		this.exchange.endStream();
-		end(new AttemptEnd.Delivered(status, this.exchange.longestPause()));
+		finish(new AttemptEnd.Delivered(status, this.exchange.maximumPause()));
 	}
 
-	private void keep() {
+	private void releaseConnection() {
 		if (HttpUtil.isKeepAlive(this.head) && this.connection.isOpen()) {
 			this.connection.pause(false);
-			this.connections.giveBack(this.start.target(), this.connection, this.facts.idleTimeout().orElse(null));
+			this.connectionPool.release(this.start.target(), this.connection,
+					this.parsedHead.idleTimeout().orElse(null));
 		}
 		else {
 			this.connection.close();
@@ -269,56 +271,56 @@
 	}
 
 	@Override
-	public void broken(String cause) {
-		if (this.over) {
+	public void handleFailure(String cause) {
+		if (this.finished) {
 			return;
 		}
 		if (this.head == null || !this.streaming) {
-			end(this.exchange.streamBegun() ? new AttemptEnd.Broken(cause, true) : new AttemptEnd.Unknown(cause));
+			finish(this.exchange.streamStarted() ? new AttemptEnd.Broken(cause, true) : new AttemptEnd.Unknown(cause));
 			return;
 		}
-		streamBroken(cause);
+		handleStreamFailure(cause);
 	}
 
-	private void streamBroken(String cause) {
-		boolean begun = this.exchange.streamBegun();
-		end(begun ? new AttemptEnd.Broken(cause, this.numbered) : new AttemptEnd.Unknown(cause));
+	private void handleStreamFailure(String cause) {
+		boolean streamStarted = this.exchange.streamStarted();
+		finish(streamStarted ? new AttemptEnd.Broken(cause, this.allEventsNumbered) : new AttemptEnd.Unknown(cause));
 	}
 
 	/**
 	 * Cancels the attempt: the target drops its work when the connection closes.
 	 */
 	void cancel() {
-		if (!this.over) {
-			drop();
-			over();
+		if (!this.finished) {
+			closeConnection();
+			finish();
 		}
 	}
 
 	void pause(boolean paused) {
-		if (this.connection != null && !this.over) {
+		if (this.connection != null && !this.finished) {
 			this.connection.pause(paused);
 		}
 	}
 
-	private void drop() {
+	private void closeConnection() {
 		if (this.connection != null) {
 			this.connection.close();
 		}
 	}
 
-	private void end(AttemptEnd end) {
-		if (this.over) {
+	private void finish(AttemptEnd end) {
+		if (this.finished) {
 			return;
 		}
-		over();
-		this.control.post(new EntryEvent.AttemptEnded(this.start.number(), this.start.attempt(), end));
+		finish();
+		this.eventSink.post(new EntryEvent.AttemptEnded(this.start.number(), this.start.attempt(), end));
 	}
 
-	private void over() {
-		this.over = true;
-		if (this.watched) {
-			this.activity.ended(this.start.target().name(), this.answerBegun, System.nanoTime());
+	private void finish() {
+		this.finished = true;
+		if (this.activityTracked) {
+			this.activity.recordRequestEnded(this.start.target().name(), this.answerStarted, System.nanoTime());
 		}
 		if (this.body != null) {
 			this.body.release();
--- a/src/main/java/sycamorehill/entry/TargetCodec.java
+++ b/src/main/java/sycamorehill/entry/TargetCodec.java
@@ -74,10 +74,10 @@
 		ArrayNode staged = node.putArray(STAGED);
 		entry.staged().forEach(staged::add);
 		entry.membership()
-			.ifPresent((seat) -> node.put(GROUP, seat.group())
-				.put(EPOCH, seat.epoch())
-				.put(RANK, seat.rank())
-				.put(STATE, seat.state().name()));
+			.ifPresent((membership) -> node.put(GROUP, membership.group())
+				.put(EPOCH, membership.epoch())
+				.put(RANK, membership.rank())
+				.put(STATE, membership.state().name()));
 	}
 
 	/**
--- a/src/main/java/sycamorehill/entry/TargetConnection.java
+++ b/src/main/java/sycamorehill/entry/TargetConnection.java
@@ -20,20 +20,20 @@
 
 	private ChannelHandlerContext context;
 
-	private AnswerReader reader;
+	private AnswerHandler answerHandler;
 
-	private boolean interim;
+	private boolean interimResponse;
 
-	private boolean answering;
+	private boolean answerStarted;
 
 	@Override
-	public void handlerAdded(ChannelHandlerContext added) {
-		this.context = added;
+	public void handlerAdded(ChannelHandlerContext addedContext) {
+		this.context = addedContext;
 	}
 
-	void await(AnswerReader next) {
-		this.reader = next;
-		this.answering = false;
+	void expectAnswer(AnswerHandler handler) {
+		this.answerHandler = handler;
+		this.answerStarted = false;
 	}
 
 	boolean isOpen() {
@@ -46,7 +46,7 @@
 
 	/** Closes the connection; its reader hears nothing more. */
 	void close() {
-		this.reader = null;
+		this.answerHandler = null;
 		this.context.close();
 	}
 
@@ -66,14 +66,14 @@
 	@Override
 	public void channelRead(ChannelHandlerContext ctx, Object message) {
 		try {
-			if (this.reader == null) {
+			if (this.answerHandler == null) {
 				ctx.close();
 			}
 			else if (message instanceof HttpObject object && object.decoderResult().isFailure()) {
 				fail("not an answer: " + object.decoderResult().cause().getMessage());
 			}
 			else {
-				read(message);
+				dispatch(message);
 			}
 		}
 		finally {
@@ -81,23 +81,24 @@
 		}
 	}
 
-	private void read(Object message) {
+	private void dispatch(Object message) {
 		if (message instanceof HttpResponse response) {
-			this.interim = response.status().codeClass() == HttpStatusClass.INFORMATIONAL
+			this.interimResponse = response.status().codeClass() == HttpStatusClass.INFORMATIONAL
 					&& response.status().code() != HttpResponseStatus.SWITCHING_PROTOCOLS.code();
-			if (!this.interim) {
-				this.answering = true;
-				this.reader.head(response);
+			if (!this.interimResponse) {
+				this.answerStarted = true;
+				this.answerHandler.handleHead(response);
 			}
 		}
-		if (message instanceof HttpContent content && !this.interim && this.reader != null && this.answering) {
+		if (message instanceof HttpContent content && !this.interimResponse && this.answerHandler != null
+				&& this.answerStarted) {
 			if (content.content().isReadable()) {
-				this.reader.body(content.content());
+				this.answerHandler.handleBody(content.content());
 			}
-			if (message instanceof LastHttpContent && this.reader != null) {
-				AnswerReader done = this.reader;
-				this.reader = null;
-				done.end();
+			if (message instanceof LastHttpContent && this.answerHandler != null) {
+				AnswerHandler handler = this.answerHandler;
+				this.answerHandler = null;
+				handler.handleEnd();
 			}
 		}
 	}
@@ -114,11 +115,11 @@
 	}
 
 	private void fail(String cause) {
-		AnswerReader awaiting = this.reader;
-		this.reader = null;
+		AnswerHandler handler = this.answerHandler;
+		this.answerHandler = null;
 		this.context.close();
-		if (awaiting != null) {
-			awaiting.broken(cause);
+		if (handler != null) {
+			handler.handleFailure(cause);
 		}
 	}
 
--- a/src/main/java/sycamorehill/entry/TargetConnections.java
+++ b/src/main/java/sycamorehill/entry/TargetConnectionPool.java
@@ -23,30 +23,30 @@
  * Keeps connections to targets. One connection serves one request at a time; only a
  * connection whose last answer ended cleanly, with no byte after it, is used again.
  */
-final class TargetConnections {
+final class TargetConnectionPool {
 
 	/**
 	 * Part of the target's idle timeout after which a connection isn't used again: the
 	 * target's close may be under way, and a request that crosses it has no known
 	 * outcome.
 	 */
-	private static final double IDLE_PART = 0.5;
+	private static final double IDLE_TIMEOUT_FRACTION = 0.5;
 
 	/** Idle timeout of targets that don't tell theirs. */
-	private static final Duration UNTOLD_IDLE = Duration.ofSeconds(2);
+	private static final Duration DEFAULT_IDLE_TIMEOUT = Duration.ofSeconds(2);
 
 	/** Idle connections kept to one target; more are needed only for bursts. */
-	private static final int MOST_IDLE = 12;
+	private static final int MAXIMUM_IDLE_CONNECTIONS = 12;
 
 	private final EventLoop loop;
 
 	private final Bootstrap bootstrap;
 
-	private final ConnectTimeout timeout = ConnectTimeout.create();
+	private final ConnectTimeout connectTimeout = ConnectTimeout.create();
 
-	private final Map<TargetAddress, Deque<Idle>> idle = new HashMap<>();
+	private final Map<TargetAddress, Deque<IdleConnection>> idleConnections = new HashMap<>();
 
-	private TargetConnections(EventLoop loop) {
+	private TargetConnectionPool(EventLoop loop) {
 		this.loop = loop;
 		this.bootstrap = new Bootstrap().group(loop)
 			.channel(NioSocketChannel.class)
@@ -60,26 +60,26 @@
 			});
 	}
 
-	static TargetConnections of(EventLoop loop) {
-		return new TargetConnections(loop);
+	static TargetConnectionPool of(EventLoop loop) {
+		return new TargetConnectionPool(loop);
 	}
 
 	/**
 	 * Takes an idle connection.
 	 * @param target the target
-	 * @param longestIdle how long it may have been idle
+	 * @param maximumIdle the longest time that it may have been idle
 	 * @return a connection, or null if there is none
 	 */
-	TargetConnection takeIdle(TargetAddress target, Duration longestIdle) {
-		Deque<Idle> ofTarget = this.idle.get(target);
-		if (ofTarget == null) {
+	TargetConnection acquireIdle(TargetAddress target, Duration maximumIdle) {
+		Deque<IdleConnection> connections = this.idleConnections.get(target);
+		if (connections == null) {
 			return null;
 		}
 		long now = System.nanoTime();
-		while (!ofTarget.isEmpty()) {
-			Idle last = ofTarget.removeLast();
-			boolean young = now - last.sinceNanos < Math.min(last.usableNanos, longestIdle.toNanos());
-			if (young && last.connection.isOpen()) {
+		while (!connections.isEmpty()) {
+			IdleConnection last = connections.removeLast();
+			boolean usable = now - last.sinceNanos < Math.min(last.usableNanos, maximumIdle.toNanos());
+			if (usable && last.connection.isOpen()) {
 				return last.connection;
 			}
 			last.connection.close();
@@ -88,50 +88,51 @@
 	}
 
 	ChannelFuture connect(TargetAddress target) {
-		long begun = System.nanoTime();
-		this.bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) this.timeout.present().toMillis());
+		long startNanos = System.nanoTime();
+		this.bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) this.connectTimeout.current().toMillis());
 		ChannelFuture connecting = this.bootstrap
 			.connect(new InetSocketAddress(target.address().host(), target.address().port()));
 		connecting.addListener((future) -> {
 			if (future.isSuccess()) {
-				this.timeout.connected(System.nanoTime() - begun);
+				this.connectTimeout.recordConnection(System.nanoTime() - startNanos);
 			}
 		});
 		return connecting;
 	}
 
-	void giveBack(TargetAddress target, TargetConnection connection, Duration idleTimeout) {
-		Duration told = (idleTimeout != null) ? idleTimeout : UNTOLD_IDLE;
-		Deque<Idle> ofTarget = this.idle.computeIfAbsent(target, (key) -> new ArrayDeque<>());
-		ofTarget.addLast(new Idle(connection, System.nanoTime(), (long) (told.toNanos() * IDLE_PART)));
-		if (ofTarget.size() > MOST_IDLE) {
-			ofTarget.removeFirst().connection.close();
+	void release(TargetAddress target, TargetConnection connection, Duration idleTimeout) {
+		Duration timeout = (idleTimeout != null) ? idleTimeout : DEFAULT_IDLE_TIMEOUT;
+		Deque<IdleConnection> connections = this.idleConnections.computeIfAbsent(target, (key) -> new ArrayDeque<>());
+		connections.addLast(
+				new IdleConnection(connection, System.nanoTime(), (long) (timeout.toNanos() * IDLE_TIMEOUT_FRACTION)));
+		if (connections.size() > MAXIMUM_IDLE_CONNECTIONS) {
+			connections.removeFirst().connection.close();
 		}
 	}
 
 	/** Closes connections that were idle for too long. */
-	void sweep() {
+	void closeExpired() {
 		long now = System.nanoTime();
-		Iterator<Deque<Idle>> targets = this.idle.values().iterator();
+		Iterator<Deque<IdleConnection>> targets = this.idleConnections.values().iterator();
 		while (targets.hasNext()) {
-			Deque<Idle> ofTarget = targets.next();
-			ofTarget.removeIf((each) -> {
-				boolean over = now - each.sinceNanos >= each.usableNanos || !each.connection.isOpen();
-				if (over) {
+			Deque<IdleConnection> connections = targets.next();
+			connections.removeIf((each) -> {
+				boolean expired = now - each.sinceNanos >= each.usableNanos || !each.connection.isOpen();
+				if (expired) {
 					each.connection.close();
 				}
-				return over;
+				return expired;
 			});
-			if (ofTarget.isEmpty()) {
+			if (connections.isEmpty()) {
 				targets.remove();
 			}
 		}
 	}
 
-	void forget(TargetAddress target) {
-		Deque<Idle> ofTarget = this.idle.remove(target);
-		if (ofTarget != null) {
-			ofTarget.forEach((each) -> each.connection.close());
+	void closeIdle(TargetAddress target) {
+		Deque<IdleConnection> connections = this.idleConnections.remove(target);
+		if (connections != null) {
+			connections.forEach((each) -> each.connection.close());
 		}
 	}
 
@@ -146,7 +147,7 @@
 	 * @param sinceNanos when its last answer ended
 	 * @param usableNanos how long it may be used again
 	 */
-	private record Idle(TargetConnection connection, long sinceNanos, long usableNanos) {
+	private record IdleConnection(TargetConnection connection, long sinceNanos, long usableNanos) {
 	}
 
 }
--- a/src/main/java/sycamorehill/entry/TargetHead.java
+++ b/src/main/java/sycamorehill/entry/TargetResponseHead.java
@@ -14,13 +14,13 @@
  * @param otherTarget whether another target than the expected one answered
  * @param signed whether the answer carries the target's signature
  * @param load the target's load
- * @param limit requests that the target takes from all nodes together; empty if it names
- * no limit
+ * @param rateLimit requests that the target takes from all nodes together; empty if it
+ * names no limit
  * @param weightsVersion version of the weights that the answer began with
  * @param retryAfter when to come back
  * @param idleTimeout how long the target keeps the idle connection
  */
-public record TargetHead(Optional<String> identifier, boolean notRun, boolean otherTarget, boolean signed,
-		Optional<EngineLoad> load, Optional<RequestRate> limit, Optional<String> weightsVersion,
+public record TargetResponseHead(Optional<String> identifier, boolean notRun, boolean otherTarget, boolean signed,
+		Optional<EngineLoad> load, Optional<RequestRate> rateLimit, Optional<String> weightsVersion,
 		Optional<Duration> retryAfter, Optional<Duration> idleTimeout) {
 }
--- a/src/main/java/sycamorehill/platform/PlatformEngines.java
+++ b/src/main/java/sycamorehill/platform/PlatformEngines.java
@@ -54,7 +54,7 @@
 	}
 
 	@Override
-	public CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommandRequest order,
+	public CompletableFuture<EngineCommandAnswer> sendCommand(TargetAddress engine, EngineCommandRequest order,
 			long ordersAccepted) {
 		ObjectNode body = body(order);
 		if (ordersAccepted != EntryEffect.SendCommand.ANY_COUNT) {
@@ -111,16 +111,16 @@
 	private static EngineCommandAnswer unanswered(Throwable failure) {
 		Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
 		boolean nothing = cause instanceof CallFailedException failed
-				&& failed.why() == CallFailedException.Cause.NOTHING_LISTENS;
+				&& failed.failureCause() == CallFailedException.Cause.NOTHING_LISTENS;
 		return nothing ? EngineCommandAnswer.NOTHING_LISTENS : EngineCommandAnswer.NOT_KNOWN;
 	}
 
 	@Override
-	public CompletableFuture<EngineReport> report(TargetAddress engine) {
+	public CompletableFuture<EngineReport> readReport(TargetAddress engine) {
 		return this.client.call(CallClient.Call.get(engine, REPORTS), expected(engine), REPORT_TIMEOUT)
 			.handle((answer, failure) -> {
 				if (failure != null) {
-					throw new CompletionException(new NoReportException(unanswered(failure)));
+					throw new CompletionException(new ReportUnavailableException(unanswered(failure)));
 				}
 				return report(answer);
 			});
@@ -133,9 +133,9 @@
 			}
 		}
 		catch (IOException | IllegalArgumentException ex) {
-			throw new CompletionException(new NoReportException(EngineCommandAnswer.NOT_KNOWN));
+			throw new CompletionException(new ReportUnavailableException(EngineCommandAnswer.NOT_KNOWN));
 		}
-		throw new CompletionException(new NoReportException(orderAnswer(answer.status())));
+		throw new CompletionException(new ReportUnavailableException(orderAnswer(answer.status())));
 	}
 
 }
--- a/src/main/java/sycamorehill/platform/PlatformExchangeCodec.java
+++ b/src/main/java/sycamorehill/platform/PlatformExchangeCodec.java
@@ -14,10 +14,10 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 
-import sycamorehill.entry.CallerHead;
+import sycamorehill.entry.CallerRequestHead;
 import sycamorehill.entry.ExchangeCodec;
-import sycamorehill.entry.Forwarding;
-import sycamorehill.entry.TargetHead;
+import sycamorehill.entry.ForwardingMetadata;
+import sycamorehill.entry.TargetResponseHead;
 import sycamorehill.model.serving.EngineLoad;
 import sycamorehill.model.serving.RequestRate;
 import sycamorehill.model.serving.TokenCounts;
@@ -41,9 +41,9 @@
 	}
 
 	@Override
-	public CallerHead readCaller(HttpRequest request) {
+	public CallerRequestHead readCallerRequest(HttpRequest request) {
 		HttpHeaders headers = request.headers();
-		return new CallerHead(headers.get(PlatformHeaders.ATTEMPT, ""), key(headers),
+		return new CallerRequestHead(headers.get(PlatformHeaders.ATTEMPT, ""), key(headers),
 				Optional.ofNullable(headers.get(PlatformHeaders.MODEL)), size(headers),
 				millis(headers.get(PlatformHeaders.TIME_LEFT)),
 				Optional.ofNullable(headers.get(PlatformHeaders.RESUME_AFTER)));
@@ -99,7 +99,7 @@
 	}
 
 	@Override
-	public HttpHeaders targetHeaders(HttpRequest request, Forwarding forwarding) {
+	public HttpHeaders targetHeaders(HttpRequest request, ForwardingMetadata forwarding) {
 		HttpHeaders headers = passedOn(request.headers(), true);
 		headers.set(PlatformHeaders.EXPECT_INSTANCE, forwarding.target().value());
 		forwarding.timeLeft().ifPresent((left) -> headers.set(PlatformHeaders.TIME_LEFT, Math.max(1, left.toMillis())));
@@ -127,9 +127,9 @@
 	}
 
 	@Override
-	public TargetHead readTarget(HttpResponse response) {
+	public TargetResponseHead readTargetResponse(HttpResponse response) {
 		HttpHeaders headers = response.headers();
-		return new TargetHead(Optional.ofNullable(headers.get(PlatformHeaders.ATTEMPT)),
+		return new TargetResponseHead(Optional.ofNullable(headers.get(PlatformHeaders.ATTEMPT)),
 				headers.contains(PlatformHeaders.NOT_RUN), response.status().code() == MISDIRECTED,
 				headers.contains(PlatformHeaders.SIGNATURE), load(headers), limit(headers),
 				Optional.ofNullable(headers.get(PlatformHeaders.WEIGHTS)),
@@ -167,7 +167,7 @@
 	}
 
 	@Override
-	public HttpHeaders ownHeaders(String identifier, Optional<Duration> retryAfter) {
+	public HttpHeaders localAnswerHeaders(String identifier, Optional<Duration> retryAfter) {
 		HttpHeaders headers = new DefaultHttpHeaders();
 		headers.set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
 		if (!identifier.isEmpty()) {
--- a/src/main/java/sycamorehill/platform/PlatformStore.java
+++ b/src/main/java/sycamorehill/platform/PlatformStore.java
@@ -22,7 +22,7 @@
 import sycamorehill.entry.CallClient;
 import sycamorehill.entry.Feed;
 import sycamorehill.entry.LeaseStore;
-import sycamorehill.entry.NodeRegister;
+import sycamorehill.entry.NodeRegistry;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.identity.DataCentreName;
 import sycamorehill.model.identity.TargetName;
@@ -40,7 +40,7 @@
 /**
  * The platform's metadata store.
  */
-final class PlatformStore implements LeaseStore, NodeRegister {
+final class PlatformStore implements LeaseStore, NodeRegistry {
 
 	private static final String OBJECTS = "/-/objects/";
 
@@ -126,7 +126,7 @@
 	}
 
 	@Override
-	public CompletableFuture<Void> enter(NodeRecord node) {
+	public CompletableFuture<Void> register(NodeRecord node) {
 		String name = node.name();
 		ObjectNode body = this.json.createObjectNode();
 		body.putObject("metadata").put("name", name);
@@ -144,7 +144,7 @@
 	}
 
 	@Override
-	public CompletableFuture<Void> leave(String name) {
+	public CompletableFuture<Void> deregister(String name) {
 		return done(new CallClient.Call(this.store, HttpMethod.DELETE, OBJECTS + NODES + '/' + name, new byte[0]))
 			.thenAccept(PlatformStore::requireDone);
 	}
--- a/src/test/java/sycamorehill/entry/CallClientTests.java
+++ b/src/test/java/sycamorehill/entry/CallClientTests.java
@@ -30,23 +30,23 @@
 
 	private static final Duration TIMEOUT = Duration.ofMillis(200);
 
-	private final NioEventLoopGroup threads = new NioEventLoopGroup(1);
+	private final NioEventLoopGroup eventLoops = new NioEventLoopGroup(1);
 
 	@AfterEach
 	void end() {
-		this.threads.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+		this.eventLoops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
 	}
 
 	// An engine behind a partition gets an order when the partition heals, seconds
 	// after the order was given up and others were given. The connection of a call
 	// that is given up is reset, so that what is still on its way is lost.
 	@Test
-	void whatACallThatWasGivenUpHasSentIsLost() throws Exception {
+	void timedOutCallResetsItsConnection() throws Exception {
 		try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-			EventLoop loop = this.threads.next();
+			EventLoop loop = this.eventLoops.next();
 			TargetAddress target = new TargetAddress(TargetName.of("engine"),
 					Address.of("127.0.0.1", listener.getLocalPort()));
-			CompletableFuture<CallAnswer> answer = CallClient.of(TargetConnections.of(loop))
+			CompletableFuture<CallAnswer> answer = CallClient.of(TargetConnectionPool.of(loop))
 				.call(new CallClient.Call(target, HttpMethod.POST, "/order", "leave".getBytes(StandardCharsets.UTF_8)),
 						null, TIMEOUT);
 			Socket accepted = listener.accept();
--- a/src/test/java/sycamorehill/entry/DatagramPartsTests.java
+++ b/src/test/java/sycamorehill/entry/DatagramSplitterTests.java
@@ -15,13 +15,13 @@
 /**
  * Messages that are larger than a datagram.
  */
-class DatagramPartsTests {
+class DatagramSplitterTests {
 
 	private static final InetSocketAddress ONE = new InetSocketAddress("127.0.0.1", 7001);
 
 	private static final InetSocketAddress TWO = new InetSocketAddress("127.0.0.1", 7002);
 
-	private final DatagramJoiner joiner = DatagramJoiner.create();
+	private final DatagramAssembler joiner = DatagramAssembler.create();
 
 	private static byte[] message(int size, int seed) {
 		byte[] bytes = new byte[size];
@@ -43,14 +43,14 @@
 	@Test
 	void noDatagramIsLargerThanAFrame() {
 		for (int size : new int[] { 0, 1, 1300, 1400, 5000, 90_000 }) {
-			assertThat(DatagramParts.split(message(size, 1), 7)).allMatch((datagram) -> datagram.length <= 1400);
+			assertThat(DatagramSplitter.split(message(size, 1), 7)).allMatch((datagram) -> datagram.length <= 1400);
 		}
 	}
 
 	@Test
 	void partsThatArriveInAnyOrderAreJoined() throws Exception {
 		byte[] sent = message(9000, 2);
-		List<byte[]> datagrams = DatagramParts.split(sent, 7);
+		List<byte[]> datagrams = DatagramSplitter.split(sent, 7);
 		assertThat(datagrams).hasSizeGreaterThan(1);
 		Collections.shuffle(datagrams, new Random(3));
 		assertThat(join(ONE, datagrams)).hasValue(sent);
@@ -59,8 +59,8 @@
 	// Two nodes start with the same message number: their parts must not be mixed.
 	@Test
 	void partsOfTwoSendersAreKeptApart() throws Exception {
-		List<byte[]> ofOne = DatagramParts.split(message(2000, 4), 7);
-		List<byte[]> ofTwo = DatagramParts.split(message(2000, 5), 7);
+		List<byte[]> ofOne = DatagramSplitter.split(message(2000, 4), 7);
+		List<byte[]> ofTwo = DatagramSplitter.split(message(2000, 5), 7);
 		assertThat(this.joiner.add(ONE, ofOne.get(0), 0)).isEmpty();
 		assertThat(this.joiner.add(TWO, ofTwo.get(1), 0)).isEmpty();
 		assertThat(this.joiner.add(TWO, ofTwo.get(0), 0)).hasValue(message(2000, 5));
@@ -68,8 +68,8 @@
 	}
 
 	@Test
-	void aPartThatComesTwiceCountsOnce() throws Exception {
-		List<byte[]> datagrams = DatagramParts.split(message(2000, 6), 7);
+	void duplicatePartCountsOnce() throws Exception {
+		List<byte[]> datagrams = DatagramSplitter.split(message(2000, 6), 7);
 		this.joiner.add(ONE, datagrams.get(0), 0);
 		assertThat(this.joiner.add(ONE, datagrams.get(0), 0)).isEmpty();
 		assertThat(this.joiner.add(ONE, datagrams.get(1), 0)).isPresent();
@@ -78,19 +78,19 @@
 	// A node whose link loses packets leaves incomplete messages behind, several a
 	// second: they must not fill the memory.
 	@Test
-	void incompleteMessagesAreForgotten() throws Exception {
+	void incompleteMessagesAreDiscarded() throws Exception {
 		for (int number = 0; number < 10_000; number++) {
-			this.joiner.add(ONE, DatagramParts.split(message(2000, 8), number).get(0), 0);
+			this.joiner.add(ONE, DatagramSplitter.split(message(2000, 8), number).get(0), 0);
 		}
-		assertThat(this.joiner.incomplete()).isLessThan(200);
-		this.joiner.add(ONE, DatagramParts.split(message(2000, 8), 1).get(0), Duration.ofSeconds(5).toNanos());
-		assertThat(this.joiner.incomplete()).isEqualTo(1);
+		assertThat(this.joiner.incompleteCount()).isLessThan(200);
+		this.joiner.add(ONE, DatagramSplitter.split(message(2000, 8), 1).get(0), Duration.ofSeconds(5).toNanos());
+		assertThat(this.joiner.incompleteCount()).isEqualTo(1);
 	}
 
 	@Test
-	void aPartThatClaimsAnotherNumberOfPartsIsRefused() throws Exception {
-		this.joiner.add(ONE, DatagramParts.split(message(2000, 9), 7).get(0), 0);
-		assertThatThrownBy(() -> this.joiner.add(ONE, DatagramParts.split(message(9000, 9), 7).get(5), 0))
+	void partWithAnotherPartCountIsRefused() throws Exception {
+		this.joiner.add(ONE, DatagramSplitter.split(message(2000, 9), 7).get(0), 0);
+		assertThatThrownBy(() -> this.joiner.add(ONE, DatagramSplitter.split(message(9000, 9), 7).get(5), 0))
 			.isInstanceOf(java.io.IOException.class);
 	}
 
--- a/src/test/java/sycamorehill/entry/EntryNodeTests.java
+++ b/src/test/java/sycamorehill/entry/EntryNodeTests.java
@@ -129,18 +129,18 @@
 	// An engineer sees requests fail and has only numbers to begin with: what came, what
 	// became of it, how long it took, by service.
 	@Test
-	void showsWhatBecameOfRequestsInNumbers() throws Exception {
+	void metricsCountRequestsByOutcome() throws Exception {
 		start((request) -> GOOD);
 		ask(request("POST", "/once/x", "Content-Length: 3\r\n\r\nabc"));
 		ask(request("GET", "/nowhere/", "\r\n"));
-		String page = numbers("/metrics");
+		String page = metricsPage("/metrics");
 		assertThat(page).startsWith("HTTP/1.1 200")
 			.contains("requests_desk_SERVED 1.0", "requests_desk_SERVED_time_count 1.0", "configuration_version 1.0",
 					"requests_active 0.0", "targets_known 1.0", "events_REQUEST_REFUSED");
-		assertThat(numbers("/other")).startsWith("HTTP/1.1 404");
+		assertThat(metricsPage("/other")).startsWith("HTTP/1.1 404");
 	}
 
-	private String numbers(String path) throws IOException {
+	private String metricsPage(String path) throws IOException {
 		try (Socket socket = new Socket("127.0.0.1", this.settings.peerAddress().port())) {
 			socket.setSoTimeout(3000);
 			socket.getOutputStream()
@@ -151,7 +151,7 @@
 	}
 
 	@Test
-	void passesARequestOnWithoutItsKeyAndItsAnswerBack() throws Exception {
+	void forwardsRequestWithoutApiKeyAndReturnsAnswer() throws Exception {
 		start((request) -> GOOD);
 		assertThat(ask(request("POST", "/once/x?y=1", "Content-Length: 3\r\n\r\nabc"))).startsWith("HTTP/1.1 200")
 			.contains("Server-Signature: s")
@@ -166,7 +166,7 @@
 	// A caller hides a second request in the body of the first, by giving it two
 	// lengths. A target that goes by the other length would run the hidden one.
 	@Test
-	void refusesARequestWithTwoLengths() throws Exception {
+	void refusesRequestWithAmbiguousLength() throws Exception {
 		start((request) -> GOOD);
 		for (String framing : List.of(
 				"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /once/h HTTP/1.1\r\n\r\n",
@@ -178,7 +178,7 @@
 	}
 
 	@Test
-	void refusesAHeadAndABodyThatAreTooLarge() throws Exception {
+	void refusesTooLargeHeadAndBody() throws Exception {
 		start((request) -> GOOD);
 		assertThat(ask(request("GET", "/once/x", "Filler: " + "x".repeat(20_000) + "\r\n\r\n")))
 			.startsWith("HTTP/1.1 431");
@@ -189,7 +189,7 @@
 	// An answer of another request arrives where the answer of this one is due: the
 	// caller must not get it, and an order must not be promised as not run.
 	@Test
-	void givesNobodyTheAnswerToAnotherRequest() throws Exception {
+	void rejectsAnswerToAnotherRequest() throws Exception {
 		start((request) -> GOOD.replace("a1", "other"));
 		assertThat(ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"))).startsWith("HTTP/1.1 502");
 	}
@@ -197,7 +197,7 @@
 	// A target breaks off within a plain answer: the caller gets no part of it as a
 	// success.
 	@Test
-	void holdsAPlainAnswerBackUntilItIsWhole() throws Exception {
+	void holdsPlainAnswerUntilComplete() throws Exception {
 		start((request) -> GOOD.replace("hello", "he") + '\0');
 		assertThat(ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"))).startsWith("HTTP/1.1 502")
 			.doesNotContain("he\r\n");
@@ -206,7 +206,7 @@
 	// A target sends more bytes after a whole answer. They belong to no request: the next
 	// request on the same connection of the caller gets its own answer.
 	@Test
-	void dropsBytesAfterAWholeAnswer() throws Exception {
+	void dropsBytesAfterCompleteAnswer() throws Exception {
 		start((request) -> GOOD + GOOD.replace("hello", "EXTRA"));
 		String kept = request("POST", "/once/x", "Content-Length: 0\r\n\r\n").replace("Connection: close\r\n", "");
 		try (Socket socket = connect()) {
@@ -219,21 +219,21 @@
 	}
 
 	@Test
-	void givesATargetsFailureAsItIs() throws Exception {
+	void forwardsFailureOfTarget() throws Exception {
 		start((request) -> GOOD.replace("200 OK", "500 Server Error"));
 		assertThat(ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"))).startsWith("HTTP/1.1 500")
 			.contains("Server-Signature: s");
 	}
 
 	@Test
-	void saysWhenToComeBackAfterARefusalByTheTarget() throws Exception {
+	void sendsRetryAfterWhenTargetRefuses() throws Exception {
 		start((request) -> "HTTP/1.1 503 Full\r\nAttempt-Id: a1\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n");
 		assertThat(ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"))).startsWith("HTTP/1.1 503")
 			.containsPattern("(?i)retry-after: 0\\.\\d+");
 	}
 
 	@Test
-	void refusesAnUnknownKeyAndPath() throws Exception {
+	void refusesUnknownApiKeyAndPath() throws Exception {
 		start((request) -> GOOD);
 		assertThat(ask(request("GET", "/once/x", "\r\n").replace("Token key", "Token other")))
 			.startsWith("HTTP/1.1 401");
@@ -242,7 +242,7 @@
 
 	// A target in need gets more requests than it said that it takes.
 	@Test
-	void aTargetThatNamedALimitGetsNoMoreThanItTakes() throws Exception {
+	void rateLimitOfTargetIsRespected() throws Exception {
 		start((request) -> GOOD.replace("Content-Length", "Server-Limit: 1.0\r\nContent-Length"));
 		ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"));
 		Thread.sleep(500);
@@ -257,7 +257,7 @@
 	// Wrong bytes that a target hands out are taken for its word that it is in need no
 	// more.
 	@Test
-	void anAnswerThatTheTargetDidNotSignLiftsNoLimit() throws Exception {
+	void unsignedAnswerDoesNotLiftRateLimit() throws Exception {
 		AtomicInteger answered = new AtomicInteger();
 		start((request) -> (answered.incrementAndGet() == 2) ? GOOD.replace("Server-Signature: s\r\n", "")
 				: GOOD.replace("Content-Length", "Server-Limit: 0.5\r\nContent-Length"));
@@ -304,20 +304,20 @@
 	/**
 	 * Takes entries and keeps none.
 	 */
-	private static final class NoRegister implements NodeRegister {
+	private static final class NoRegister implements NodeRegistry {
 
 		@Override
-		public CompletableFuture<Void> enter(NodeRecord node) {
+		public CompletableFuture<Void> register(NodeRecord node) {
 			return CompletableFuture.completedFuture(null);
 		}
 
 		@Override
-		public CompletableFuture<List<NodeRecord>> list(boolean present) {
+		public CompletableFuture<List<NodeRecord>> list(boolean consistent) {
 			return CompletableFuture.completedFuture(List.of());
 		}
 
 		@Override
-		public CompletableFuture<Void> leave(String name) {
+		public CompletableFuture<Void> deregister(String name) {
 			return CompletableFuture.completedFuture(null);
 		}
 
@@ -351,14 +351,14 @@
 	private static final class NoEngines implements EnginePort {
 
 		@Override
-		public CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommandRequest order,
+		public CompletableFuture<EngineCommandAnswer> sendCommand(TargetAddress engine, EngineCommandRequest command,
 				long count) {
 			return CompletableFuture.completedFuture(EngineCommandAnswer.NOT_KNOWN);
 		}
 
 		@Override
-		public CompletableFuture<EngineReport> report(TargetAddress engine) {
-			return CompletableFuture.failedFuture(new NoReportException(EngineCommandAnswer.NOT_KNOWN));
+		public CompletableFuture<EngineReport> readReport(TargetAddress engine) {
+			return CompletableFuture.failedFuture(new ReportUnavailableException(EngineCommandAnswer.NOT_KNOWN));
 		}
 
 	}
--- a/src/test/java/sycamorehill/entry/EventSplitterTests.java
+++ b/src/test/java/sycamorehill/entry/EventSplitterTests.java
@@ -20,7 +20,7 @@
 
 	// However the network cuts the bytes, the same whole events come out.
 	@Test
-	void findsTheSameEventsHoweverTheBytesAreCut() {
+	void findsSameEventsForAnyChunking() {
 		for (int seed = 0; seed < 200; seed++) {
 			assertThat(split(STREAM, new Random(seed))).containsExactly("1:id: 1\ndata: a\n\n",
 					"2:weight-versions: 2\nid:2\ndata: b\ndata: id: 9\n\n", "-:data: c\n\n");
@@ -29,7 +29,7 @@
 
 	// An engine dies within an event: the part is kept back, and known to be there.
 	@Test
-	void keepsAPartBack() {
+	void holdsPartialEventBack() {
 		EventSplitter splitter = EventSplitter.create(UnpooledByteBufAllocator.DEFAULT);
 		List<String> events = new ArrayList<>();
 		splitter.append(Unpooled.copiedBuffer("id: 1\ndata: a\n\nid: 2\nda", StandardCharsets.UTF_8),
@@ -38,7 +38,7 @@
 					event.release();
 				});
 		assertThat(events).containsExactly("id: 1\ndata: a\n\n");
-		assertThat(splitter.holdsPart()).isTrue();
+		assertThat(splitter.hasPartialEvent()).isTrue();
 		splitter.release();
 	}
 
@@ -56,7 +56,7 @@
 			});
 			from += length;
 		}
-		assertThat(splitter.holdsPart()).isFalse();
+		assertThat(splitter.hasPartialEvent()).isFalse();
 		splitter.release();
 		return events;
 	}
--- a/src/test/java/sycamorehill/entry/FeedReaderTests.java
+++ b/src/test/java/sycamorehill/entry/FeedReaderTests.java
@@ -25,11 +25,11 @@
 	private static final FeedReader.Pace PACE = new FeedReader.Pace(Duration.ofMillis(1500), Duration.ofMillis(1),
 			false);
 
-	private final ScheduledExecutorService control = Executors.newSingleThreadScheduledExecutor();
+	private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
 
 	@AfterEach
 	void end() {
-		this.control.shutdownNow();
+		this.executor.shutdownNow();
 	}
 
 	// The store goes silent and comes back while a call waits on a dead connection. A
@@ -37,30 +37,30 @@
 	// first failure calls don't wait, so that the store's return is noticed by the
 	// next one.
 	@Test
-	void callsDoNotWaitWhileTheStoreIsAway() throws Exception {
-		FakeFeed feed = new FakeFeed();
-		CountDownLatch back = new CountDownLatch(1);
+	void callsDoNotWaitWhileTheStoreIsUnreachable() throws Exception {
+		FailingFeed feed = new FailingFeed();
+		CountDownLatch reachableAgain = new CountDownLatch(1);
 		List<Boolean> contacts = new ArrayList<>();
-		FeedReader.of(() -> PACE, "test", feed, this.control, new FeedReader.Listener<>() {
+		FeedReader.of(() -> PACE, "test", feed, this.executor, new FeedReader.Listener<>() {
 
 			@Override
-			public void listed(Feed.Page<String> all) {
+			public void handleList(Feed.Page<String> all) {
 				contacts.add(true);
 			}
 
 			@Override
-			public void changed(Feed.Page<String> changes, long since) {
+			public void handleChanges(Feed.Page<String> changes, long since) {
 				contacts.add(true);
-				back.countDown();
+				reachableAgain.countDown();
 			}
 
 			@Override
-			public void notReached() {
+			public void handleUnreachable() {
 				contacts.add(false);
 			}
 
 		}).start();
-		assertThat(back.await(5, TimeUnit.SECONDS)).isTrue();
+		assertThat(reachableAgain.await(5, TimeUnit.SECONDS)).isTrue();
 		assertThat(feed.waits).containsExactly(Duration.ofMillis(1500), Duration.ZERO, Duration.ZERO);
 		assertThat(contacts).startsWith(true, false, false, true);
 	}
@@ -68,18 +68,18 @@
 	// The store has forgotten the changes: everything is read again.
 	@Test
 	void readsEverythingAgainWhenHistoryIsGone() throws Exception {
-		FakeFeed feed = new FakeFeed();
+		FailingFeed feed = new FailingFeed();
 		feed.historyGone = true;
 		CountDownLatch listedTwice = new CountDownLatch(2);
-		FeedReader.of(() -> PACE, "test", feed, this.control, new FeedReader.Listener<>() {
+		FeedReader.of(() -> PACE, "test", feed, this.executor, new FeedReader.Listener<>() {
 
 			@Override
-			public void listed(Feed.Page<String> all) {
+			public void handleList(Feed.Page<String> all) {
 				listedTwice.countDown();
 			}
 
 			@Override
-			public void changed(Feed.Page<String> changes, long since) {
+			public void handleChanges(Feed.Page<String> changes, long since) {
 				// Nothing changes here.
 			}
 
@@ -91,75 +91,75 @@
 	// telling it how far it has come. A target that left in between is only missed in a
 	// list: without it, the node would give work to that target for ever.
 	@Test
-	void listsWhatItMissedThoughItIsToldOfLaterRevisions() throws Exception {
-		FakeFeed feed = new FakeFeed();
+	void listsAgainAlthoughLaterRevisionsAreReported() throws Exception {
+		FailingFeed feed = new FailingFeed();
 		feed.historyGone = true;
 		CountDownLatch listed = new CountDownLatch(1);
 		CountDownLatch listedAgain = new CountDownLatch(2);
 		FeedReader<String> reader = FeedReader.of(
 				() -> new FeedReader.Pace(Duration.ofMillis(1500), Duration.ofMillis(500), true), "test", feed,
-				this.control, new FeedReader.Listener<>() {
+				this.executor, new FeedReader.Listener<>() {
 
 					@Override
-					public void listed(Feed.Page<String> all) {
+					public void handleList(Feed.Page<String> all) {
 						listed.countDown();
 						listedAgain.countDown();
 					}
 
 					@Override
-					public void changed(Feed.Page<String> changes, long since) {
+					public void handleChanges(Feed.Page<String> changes, long since) {
 						// History is gone: changes are not told.
 					}
 
 				});
 		reader.start();
 		assertThat(listed.await(5, TimeUnit.SECONDS)).isTrue();
-		this.control.execute(reader::readNow);
-		this.control.scheduleAtFixedRate(() -> reader.known(1), 50, 50, TimeUnit.MILLISECONDS);
+		this.executor.execute(reader::readNow);
+		this.executor.scheduleAtFixedRate(() -> reader.advanceRevision(1), 50, 50, TimeUnit.MILLISECONDS);
 		assertThat(listedAgain.await(5, TimeUnit.SECONDS)).isTrue();
 	}
 
 	// Another node reads for this one: it makes no calls, but for one when it is told
 	// that it missed something.
 	@Test
-	void makesNoCallsWhileItRestsButForOneThatIsWanted() throws Exception {
-		RestingFeed feed = new RestingFeed();
+	void makesNoCallsWhilePausedExceptOnRequest() throws Exception {
+		RecordingFeed feed = new RecordingFeed();
 		CountDownLatch listed = new CountDownLatch(1);
 		CountDownLatch read = new CountDownLatch(1);
 		FeedReader<String> reader = FeedReader.of(
 				() -> new FeedReader.Pace(Duration.ofMillis(1500), Duration.ofMillis(1), true), "test", feed,
-				this.control, listener(listed, read));
+				this.executor, listener(listed, read));
 		reader.start();
 		assertThat(listed.await(5, TimeUnit.SECONDS)).isTrue();
 		Thread.sleep(250);
-		assertThat(feed.asked).isEmpty();
-		this.control.execute(() -> {
-			reader.known(7);
+		assertThat(feed.requestedRevisions).isEmpty();
+		this.executor.execute(() -> {
+			reader.advanceRevision(7);
 			reader.readNow();
 		});
 		assertThat(read.await(5, TimeUnit.SECONDS)).isTrue();
 		Thread.sleep(250);
-		assertThat(feed.asked).containsExactly(7L);
+		assertThat(feed.requestedRevisions).containsExactly(7L);
 	}
 
 	// A call waits in the store while another node tells of the changes. Its answer
 	// repeats them: an entry of a target that has left would come back. It is passed
 	// over.
 	@Test
-	void anAnswerThatWasOvertakenIsPassedOver() throws Exception {
-		RestingFeed feed = new RestingFeed();
+	void outdatedAnswerIsSkipped() throws Exception {
+		RecordingFeed feed = new RecordingFeed();
 		CountDownLatch listed = new CountDownLatch(1);
 		CountDownLatch read = new CountDownLatch(1);
-		AtomicBoolean rests = new AtomicBoolean();
+		AtomicBoolean receivesStoreUpdates = new AtomicBoolean();
 		FeedReader<String> reader = FeedReader.of(
-				() -> new FeedReader.Pace(Duration.ofMillis(1500), Duration.ofMillis(1), rests.get()), "test", feed,
-				this.control, listener(listed, read));
+				() -> new FeedReader.Pace(Duration.ofMillis(1500), Duration.ofMillis(1), receivesStoreUpdates.get()),
+				"test", feed, this.executor, listener(listed, read));
 		feed.waits = true;
 		reader.start();
 		assertThat(feed.waiting.await(5, TimeUnit.SECONDS)).isTrue();
-		rests.set(true);
-		this.control.execute(() -> reader.known(9));
-		this.control.execute(() -> feed.answer.complete(new Feed.Page<>(List.of("old"), 8)));
+		receivesStoreUpdates.set(true);
+		this.executor.execute(() -> reader.advanceRevision(9));
+		this.executor.execute(() -> feed.answer.complete(new Feed.Page<>(List.of("old"), 8)));
 		assertThat(read.await(300, TimeUnit.MILLISECONDS)).isFalse();
 	}
 
@@ -167,12 +167,12 @@
 		return new FeedReader.Listener<>() {
 
 			@Override
-			public void listed(Feed.Page<String> all) {
+			public void handleList(Feed.Page<String> all) {
 				listed.countDown();
 			}
 
 			@Override
-			public void changed(Feed.Page<String> changes, long since) {
+			public void handleChanges(Feed.Page<String> changes, long since) {
 				read.countDown();
 			}
 
@@ -182,9 +182,9 @@
 	/**
 	 * Remembers after which revisions changes were asked for.
 	 */
-	private static final class RestingFeed extends ListedFeed {
+	private static final class RecordingFeed extends ListedFeed {
 
-		private final List<Long> asked = new CopyOnWriteArrayList<>();
+		private final List<Long> requestedRevisions = new CopyOnWriteArrayList<>();
 
 		private final CompletableFuture<Page<String>> answer = new CompletableFuture<>();
 
@@ -194,7 +194,7 @@
 
 		@Override
 		public CompletableFuture<Page<String>> changes(long since, Duration wait) {
-			this.asked.add(since);
+			this.requestedRevisions.add(since);
 			this.waiting.countDown();
 			return this.waits ? this.answer : CompletableFuture.completedFuture(new Page<>(List.of("b"), since + 1));
 		}
@@ -204,7 +204,7 @@
 	/**
 	 * Answers a list, fails twice, then brings one change.
 	 */
-	private static final class FakeFeed extends ListedFeed {
+	private static final class FailingFeed extends ListedFeed {
 
 		private final List<Duration> waits = new ArrayList<>();
 
--- a/src/test/java/sycamorehill/entry/NodeMessageCodecTests.java
+++ b/src/test/java/sycamorehill/entry/NodeMessageCodecTests.java
@@ -56,7 +56,7 @@
 	}
 
 	@Test
-	void readsWhatItWroteOfEveryKind() throws IOException {
+	void roundTripsEveryKind() throws IOException {
 		Set<Class<?>> kinds = oneOfEachKind().stream().map(Object::getClass).collect(Collectors.toSet());
 		assertThat(kinds).containsExactlyInAnyOrder(NodeMessage.class.getPermittedSubclasses());
 		for (NodeMessage message : oneOfEachKind()) {
@@ -66,7 +66,7 @@
 
 	// A node of a later version tells something that this one does not know.
 	@Test
-	void refusesAKindThatIsNotKnown() throws IOException {
+	void refusesUnknownKind() throws IOException {
 		byte[] bytes = this.codec.write(new NodeMessage.Silence("n1", TARGET));
 		for (int index = 0; index < bytes.length - 6; index++) {
 			if (new String(bytes, index, 7).equals("SILENCE")) {
--- a/src/test/java/sycamorehill/entry/NodeMessengerTests.java
+++ b/src/test/java/sycamorehill/entry/NodeMessengerTests.java
@@ -39,9 +39,9 @@
 
 	private static final DataCentreName NORTH = DataCentreName.of("north");
 
-	private final NioEventLoopGroup threads = new NioEventLoopGroup(1);
+	private final NioEventLoopGroup eventLoops = new NioEventLoopGroup(1);
 
-	private final BlockingQueue<EntryEvent> heard = new LinkedBlockingQueue<>();
+	private final BlockingQueue<EntryEvent> receivedEvents = new LinkedBlockingQueue<>();
 
 	private Address receiver;
 
@@ -51,34 +51,34 @@
 	void begin() throws InterruptedException {
 		List<Address> free = FreePorts.find(2);
 		this.receiver = free.get(0);
-		NodeMessenger.of(this.threads.next(), this.heard::add).start(this.receiver);
-		this.sender = NodeMessenger.of(this.threads.next(), (event) -> {
+		NodeMessenger.of(this.eventLoops.next(), this.receivedEvents::add).start(this.receiver);
+		this.sender = NodeMessenger.of(this.eventLoops.next(), (event) -> {
 		});
 		this.sender.start(free.get(1));
 	}
 
 	@AfterEach
 	void end() {
-		this.threads.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+		this.eventLoops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
 	}
 
-	private static NodeMessage.StoreNews news(int changes) {
-		List<TargetChange> told = new ArrayList<>();
+	private static NodeMessage.StoreNews storeUpdate(int changes) {
+		List<TargetChange> targetChanges = new ArrayList<>();
 		for (int number = 0; number < changes; number++) {
 			TargetName name = TargetName.of("i-" + number + "x".repeat(58));
-			Membership seat = new Membership("group-" + "y".repeat(57), Long.MAX_VALUE, 15, MemberState.JOINING);
-			told.add(new TargetChange(name,
+			Membership membership = new Membership("group-" + "y".repeat(57), Long.MAX_VALUE, 15, MemberState.JOINING);
+			targetChanges.add(new TargetChange(name,
 					Optional.of(new TargetEntry(name, ServiceName.of("s".repeat(63)),
 							Address.of("255.255.255.255", 65535), DataCentreName.of("d".repeat(63)), 1000, true,
 							Long.MAX_VALUE, Optional.of("domain-" + "z".repeat(56)), Set.of("m".repeat(63)),
-							Optional.of("m".repeat(63)), Optional.of(seat)))));
+							Optional.of("m".repeat(63)), Optional.of(membership)))));
 		}
-		return new NodeMessage.StoreNews("a", NORTH, 5, 100, 100, 103, told, Optional.of(new Lease("one#a", 3, 90)),
-				Duration.ofMillis(210));
+		return new NodeMessage.StoreNews("a", NORTH, 5, 100, 100, 103, targetChanges,
+				Optional.of(new Lease("one#a", 3, 90)), Duration.ofMillis(210));
 	}
 
-	private NodeMessage nextHeard() throws InterruptedException {
-		EntryEvent event = this.heard.poll(5, TimeUnit.SECONDS);
+	private NodeMessage nextMessage() throws InterruptedException {
+		EntryEvent event = this.receivedEvents.poll(5, TimeUnit.SECONDS);
 		return (event instanceof EntryEvent.MessageHeard message) ? message.message() : null;
 	}
 
@@ -86,10 +86,10 @@
 	// store tells the others of all of them at once, and each of the others read the
 	// store for itself: a datagram of more than 2,048 bytes was cut off and dropped.
 	@Test
-	void newsOfManyChangesArriveWhole() throws InterruptedException {
+	void updateWithManyChangesArrivesComplete() throws InterruptedException {
 		for (int changes : new int[] { 1, 24, 130 }) {
-			this.sender.send(List.of(this.receiver), news(changes));
-			assertThat(nextHeard()).as(changes + " changes").isEqualTo(news(changes));
+			this.sender.send(List.of(this.receiver), storeUpdate(changes));
+			assertThat(nextMessage()).as(changes + " changes").isEqualTo(storeUpdate(changes));
 		}
 	}
 
@@ -98,23 +98,23 @@
 	// are told that there are changes, and read them.
 	@Test
 	void tooManyChangesAreOnlyAnnounced() throws InterruptedException {
-		this.sender.send(List.of(this.receiver), news(400));
-		assertThat(nextHeard()).isEqualTo(new NodeMessage.StoreNews("a", NORTH, 5, 103, 103, 103, List.of(),
+		this.sender.send(List.of(this.receiver), storeUpdate(400));
+		assertThat(nextMessage()).isEqualTo(new NodeMessage.StoreNews("a", NORTH, 5, 103, 103, 103, List.of(),
 				Optional.of(new Lease("one#a", 3, 90)), Duration.ofMillis(210)));
 	}
 
 	// Bytes of another program, or of another version, arrive on the port. The next
 	// message is read as if nothing had come.
 	@Test
-	void whatIsNoMessageDisturbsNoOther() throws Exception {
-		try (DatagramSocket stranger = new DatagramSocket()) {
+	void invalidDatagramDoesNotAffectNextMessage() throws Exception {
+		try (DatagramSocket socket = new DatagramSocket()) {
 			for (byte[] bytes : List.of(new byte[] { 1 }, new byte[0], "no message".getBytes(), new byte[1400])) {
-				stranger.send(new DatagramPacket(bytes, bytes.length, InetAddress.getByName(this.receiver.host()),
+				socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getByName(this.receiver.host()),
 						this.receiver.port()));
 			}
 		}
-		this.sender.send(List.of(this.receiver), news(1));
-		assertThat(nextHeard()).isEqualTo(news(1));
+		this.sender.send(List.of(this.receiver), storeUpdate(1));
+		assertThat(nextMessage()).isEqualTo(storeUpdate(1));
 	}
 
 }
--- a/src/test/java/sycamorehill/entry/TargetCodecTests.java
+++ b/src/test/java/sycamorehill/entry/TargetCodecTests.java
@@ -26,18 +26,18 @@
 
 	private final ObjectMapper codec = new ObjectMapper(new MessagePackFactory());
 
-	private static TargetChange entered(TargetEntry entry) {
+	private static TargetChange changeWithEntry(TargetEntry entry) {
 		return new TargetChange(entry.name(), Optional.of(entry));
 	}
 
 	@Test
-	void readsWhatItWrote() throws IOException {
+	void roundTripsChanges() throws IOException {
 		TargetEntry engine = ServingSamples.engine("e1", "d0");
 		TargetEntry loaded = new TargetEntry(engine.name(), engine.service(), engine.address(), engine.dataCentre(), 12,
 				true, 1234567890123L, engine.domain(), Set.of("large", "small"), Optional.of("large"),
 				Optional.empty());
-		List<TargetChange> changes = List.of(entered(ServingSamples.plain("p1")), entered(loaded),
-				entered(ServingSamples.member("a1", "small.1", 1_000_001, 3, MemberState.CLOSING)),
+		List<TargetChange> changes = List.of(changeWithEntry(ServingSamples.plain("p1")), changeWithEntry(loaded),
+				changeWithEntry(ServingSamples.member("a1", "small.1", 1_000_001, 3, MemberState.CLOSING)),
 				new TargetChange(TargetName.of("gone"), Optional.empty()));
 		ArrayNode written = this.codec.createArrayNode();
 		TargetCodec.write(changes, written);
@@ -49,9 +49,10 @@
 	// message is dropped whole, as one that was lost, and what it told is read from
 	// the store.
 	@Test
-	void refusesAStateThatIsNotKnown() {
+	void refusesUnknownMemberState() {
 		ArrayNode written = this.codec.createArrayNode();
-		TargetCodec.write(List.of(entered(ServingSamples.member("a1", "small.1", 1, 0, MemberState.OPEN))), written);
+		TargetCodec.write(List.of(changeWithEntry(ServingSamples.member("a1", "small.1", 1, 0, MemberState.OPEN))),
+				written);
 		written.findParent("state").put("state", "DANCING");
 		assertThatThrownBy(() -> TargetCodec.read(written)).isInstanceOf(IllegalArgumentException.class);
 	}
--- a/src/test/java/sycamorehill/platform/PlatformLimitTests.java
+++ b/src/test/java/sycamorehill/platform/PlatformLimitTests.java
@@ -22,7 +22,7 @@
 	private static Optional<RequestRate> read(String limit) {
 		HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
 		response.headers().set("Server-Limit", limit);
-		return PlatformExchangeCodec.create().readTarget(response).limit();
+		return PlatformExchangeCodec.create().readTargetResponse(response).rateLimit();
 	}
 
 	@Test
