--- a/src/main/java/sycamorehill/entry/AnswerHandler.java
+++ b/src/main/java/sycamorehill/entry/AnswerHandler.java
@@ -4,28 +4,28 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Takes the answer to the request on a connection.
+ * Receives the answer to the request that was sent on a connection.
  */
 interface AnswerHandler {
 
 	/**
-	 * Takes the answer's head.
-	 * @param response the head
+	 * Handles the head of the answer.
+	 * @param response the head of the answer
 	 */
 	void handleHead(HttpResponse response);
 
 	/**
-	 * Takes bytes of the answer's body; the reader does not keep them.
-	 * @param bytes the bytes
+	 * Handles a part of the answer's body. The implementation must not keep the buffer.
+	 * @param bytes the part of the body
 	 */
 	void handleBody(ByteBuf bytes);
 
-	/** Hears that the answer is whole. */
+	/** Handles the end of a complete answer. */
 	void handleEnd();
 
 	/**
-	 * Hears that the connection broke, or carried something that is no answer.
-	 * @param cause what was seen
+	 * Handles a connection that failed, or that carried something other than an answer.
+	 * @param cause the description of the failure
 	 */
 	void handleFailure(String cause);
 
--- a/src/main/java/sycamorehill/entry/CallAnswer.java
+++ b/src/main/java/sycamorehill/entry/CallAnswer.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Whole answer to a call of our own.
+ * Complete answer to a call that the node makes itself.
  *
  * @param status the HTTP status
  * @param headers the headers
--- a/src/main/java/sycamorehill/entry/CallClient.java
+++ b/src/main/java/sycamorehill/entry/CallClient.java
@@ -22,11 +22,15 @@
 import sycamorehill.model.serving.TargetAddress;
 
 /**
- * Makes calls of our own, to the store and to engines, with a bound on each.
+ * Makes HTTP calls on behalf of the node itself, to the store and to engines. Each call
+ * has a timeout.
  */
 public final class CallClient {
 
-	/** Longest answer; the store's values are 1 MB at most, and lists a little more. */
+	/**
+	 * Maximum size of an answer: the store's values are at most 1 MB, and its lists are a
+	 * little larger.
+	 */
 	private static final int MAXIMUM_ANSWER_BYTES = 32 * 1024 * 1024;
 
 	private static final Duration MAXIMUM_IDLE_TIME = Duration.ofSeconds(5);
@@ -43,10 +47,10 @@
 
 	/**
 	 * Makes a call.
-	 * @param call what to call
-	 * @param header name and value of a header to set; null for none
-	 * @param timeout bound on the whole call
-	 * @return the answer, or a {@link CallFailedException}
+	 * @param call the call to make
+	 * @param header the header to set; null for none
+	 * @param timeout the timeout of the whole call
+	 * @return the answer; completes with a {@link CallFailedException} if there is none
 	 */
 	public CompletableFuture<CallAnswer> call(Call call, Header header, Duration timeout) {
 		CompletableFuture<CallAnswer> answer = new CompletableFuture<>();
@@ -97,19 +101,19 @@
 	}
 
 	/**
-	 * What to call.
+	 * Describes a call.
 	 *
-	 * @param address where
+	 * @param address the server to call
 	 * @param method the HTTP method
-	 * @param path the path with its query
-	 * @param body the body in JSON; empty for none
+	 * @param path the path, with the query
+	 * @param body the JSON body; empty for none
 	 */
 	public record Call(TargetAddress address, HttpMethod method, String path, byte[] body) {
 
 		/**
-		 * A call without a body.
-		 * @param address where
-		 * @param path the path with its query
+		 * Creates a GET call without a body.
+		 * @param address the server to call
+		 * @param path the path, with the query
 		 * @return the call
 		 */
 		public static Call get(TargetAddress address, String path) {
@@ -119,16 +123,16 @@
 	}
 
 	/**
-	 * A header of a call.
+	 * Header of a call.
 	 *
-	 * @param name its name
-	 * @param value its value
+	 * @param name the name of the header
+	 * @param value the value of the header
 	 */
 	public record Header(String name, String value) {
 	}
 
 	/**
-	 * Reads one answer.
+	 * Collects one answer and completes the call with it.
 	 */
 	private final class AnswerCollector implements AnswerHandler {
 
@@ -169,7 +173,8 @@
 			this.body.writeBytes(bytes);
 		}
 
-		// A timer that is not cancelled wakes the process though the answer is there.
+		// Cancels the timer, which would otherwise wake the process although the answer
+		// has arrived.
 		@Override
 		public void handleEnd() {
 			this.timer.cancel(false);
--- a/src/main/java/sycamorehill/entry/CallFailedException.java
+++ b/src/main/java/sycamorehill/entry/CallFailedException.java
@@ -1,7 +1,7 @@
 package sycamorehill.entry;
 
 /**
- * A call of our own got no answer.
+ * Thrown when a call that the node makes itself gets no answer.
  */
 public final class CallFailedException extends Exception {
 
@@ -19,7 +19,7 @@
 	}
 
 	/**
-	 * Why there is no answer.
+	 * Returns why there is no answer.
 	 * @return the cause
 	 */
 	public Cause failureCause() {
@@ -27,17 +27,17 @@
 	}
 
 	/**
-	 * Why there is no answer.
+	 * Lists the reasons for a missing answer.
 	 */
 	public enum Cause {
 
-		/** The connection was refused: nothing listens there. */
+		/** The connection was refused: no process listens at the address. */
 		NOTHING_LISTENS,
 
-		/** No connection came about in time: nothing was sent. */
+		/** No connection was established within the timeout: nothing was sent. */
 		NOT_CONNECTED,
 
-		/** The call was sent; it may have been carried out. */
+		/** The call was sent; the server may have executed it. */
 		NO_ANSWER
 
 	}
--- a/src/main/java/sycamorehill/entry/CallerConnection.java
+++ b/src/main/java/sycamorehill/entry/CallerConnection.java
@@ -35,16 +35,19 @@
 import sycamorehill.model.serving.CallerLimits;
 
 /**
- * One connection of a caller. Reads requests one after the other within the bounds of the
- * configuration, and writes their answers. A request reaches no target before it was read
- * whole.
+ * Connection of a caller. Reads one request after another within the configured limits
+ * and writes the answers. A request is forwarded to a target only after it has been read
+ * completely.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
 
-	/** Time that a caller is given to read a refusal before the connection is closed. */
+	/** Time that a caller has to read the last answer before the connection is closed. */
 	private static final Duration LINGER_TIMEOUT = Duration.ofMillis(1000);
 
-	/** Messages of later requests that may wait while one is served. */
+	/**
+	 * Number of messages of later requests that may wait while a request is served;
+	 * reading from the connection then stops.
+	 */
 	private static final int MAXIMUM_WAITING_MESSAGES = 64;
 
 	private final CallerServer server;
@@ -93,8 +96,8 @@
 	}
 
 	/**
-	 * Hears of the first bytes before they are decoded, to bound the time to the whole
-	 * head.
+	 * Starts the timeout of the request head with the first bytes, before they are
+	 * decoded.
 	 */
 	void handleFirstBytes() {
 		if (!this.readStarted && this.exchange == null && !this.closing) {
@@ -209,7 +212,7 @@
 		}
 	}
 
-	// Answers a request that was not read to its end, and closes the connection.
+	// Answers a request that was not read completely, and closes the connection.
 	private void refuse(HttpResponseStatus status, String detail) {
 		if (this.closing || this.exchange != null) {
 			return;
@@ -232,8 +235,8 @@
 		}
 	}
 
-	// Writes the last message and closes in a way that lets the caller read it: a close
-	// with unread bytes resets the connection, and the answer with it.
+	// Writes the last message, then shuts down only the output: closing a socket that has
+	// unread input resets the connection, and the caller would lose the answer.
 	private void closeAfter(Object last) {
 		this.closing = true;
 		this.context.channel().config().setAutoRead(true);
@@ -263,7 +266,7 @@
 	}
 
 	/**
-	 * Writes the end of an answer and reads the next request.
+	 * Writes the end of an answer and starts to read the next request.
 	 * @param last the last message of the answer
 	 */
 	void finish(Object last) {
@@ -308,7 +311,7 @@
 		this.context.close();
 	}
 
-	/** Closes the connection if no request is on it. */
+	/** Closes the connection if it carries no request. */
 	void closeIfIdle() {
 		if (this.exchange == null && this.request == null && !this.readStarted) {
 			this.closing = true;
--- a/src/main/java/sycamorehill/entry/CallerExchange.java
+++ b/src/main/java/sycamorehill/entry/CallerExchange.java
@@ -27,7 +27,7 @@
 import sycamorehill.model.serving.EntryEvent;
 
 /**
- * One request of a caller and its answer. Lives on the node's one thread.
+ * Request of a caller and its answer. Runs on the single event loop of the node.
  */
 final class CallerExchange {
 
@@ -159,9 +159,9 @@
 	}
 
 	/**
-	 * Gives the caller a target's whole answer.
-	 * @param head the answer's head
-	 * @param body the answer's body, which is released
+	 * Returns the complete answer of a target to the caller.
+	 * @param head the head of the answer
+	 * @param body the body of the answer; it is released
 	 */
 	void deliver(HttpResponse head, ByteBuf body) {
 		if (this.finished) {
@@ -173,10 +173,10 @@
 	}
 
 	/**
-	 * Gives the caller an answer of our own.
+	 * Returns an answer that the node produces itself.
 	 * @param status the HTTP status
-	 * @param detail why
-	 * @param retryAfter when to come back
+	 * @param detail the reason, sent as the body
+	 * @param retryAfter the time after which the caller may retry
 	 */
 	void answerLocally(int status, String detail, Optional<Duration> retryAfter) {
 		if (this.finished) {
@@ -195,9 +195,10 @@
 	}
 
 	/**
-	 * Begins the caller's stream with the head of the first target that sent an event.
-	 * @param head the target's head
-	 * @param parsedHead the parsed head
+	 * Starts the stream to the caller with the head of the first target that sent an
+	 * event.
+	 * @param head the head of the target's answer
+	 * @param parsedHead the same head, parsed
 	 */
 	void startStream(HttpResponse head, TargetResponseHead parsedHead) {
 		if (this.streamStarted || this.finished) {
@@ -211,10 +212,10 @@
 	}
 
 	/**
-	 * Passes an event on. Events that the caller has already, from the target before, are
-	 * left out.
-	 * @param event the event, which is released
-	 * @param eventNumber its number
+	 * Forwards an event. Drops events that the caller already received from a previous
+	 * target.
+	 * @param event the event; it is released
+	 * @param eventNumber the number of the event
 	 */
 	void forwardEvent(ByteBuf event, OptionalLong eventNumber) {
 		boolean known = eventNumber.isPresent() && this.lastEventNumber.isPresent()
@@ -252,8 +253,8 @@
 	}
 
 	/**
-	 * Closes the caller's connection within the answer, so that the answer can't look
-	 * whole.
+	 * Closes the connection to the caller within the answer, so that the caller can't
+	 * mistake the answer for a complete one.
 	 */
 	void abortAnswer() {
 		if (!this.finished) {
@@ -262,7 +263,7 @@
 		}
 	}
 
-	// The caller went away.
+	// Cancels the attempt after the caller disconnected.
 	void handleCallerDisconnected(EventSink eventSink) {
 		if (!this.finished) {
 			cancelAttempt();
--- a/src/main/java/sycamorehill/entry/CallerServer.java
+++ b/src/main/java/sycamorehill/entry/CallerServer.java
@@ -32,15 +32,17 @@
 import sycamorehill.runtime.EventLog;
 
 /**
- * Takes callers' connections and carries out what the decisions want for their requests.
- * All of it happens on the node's one thread.
+ * Accepts the connections of callers and executes the effects that concern their
+ * requests. All methods run on the single event loop of the node.
  */
 final class CallerServer {
 
-	/** Connections that may wait to be accepted: a burst of a second. */
+	/** Length of the accept queue: holds the connections of a burst of one second. */
 	private static final int ACCEPT_BACKLOG = 512;
 
-	/** Bytes of an answer that may wait for a slow caller before the target is paused. */
+	/**
+	 * Unsent bytes of an answer to a slow caller at which reading from the target pauses.
+	 */
 	private static final int MAXIMUM_UNSENT_BYTES = 256 * 1024;
 
 	private final EventLoop loop;
@@ -97,8 +99,8 @@
 	}
 
 	/**
-	 * Finds targets that have fallen silent, and closes connections that were idle for
-	 * too long. Called several times a second.
+	 * Reports targets that have become silent and closes connections that have been idle
+	 * for too long. Called several times a second.
 	 */
 	void checkTargets() {
 		this.connections.closeExpired();
@@ -129,8 +131,8 @@
 	}
 
 	/**
-	 * Carries out what is wanted for requests and connections.
-	 * @param effects what is wanted, in order
+	 * Executes the effects that concern requests and connections.
+	 * @param effects the effects, in order
 	 */
 	void execute(List<EntryEffect> effects) {
 		for (EntryEffect effect : effects) {
@@ -206,7 +208,7 @@
 		return this.stopping;
 	}
 
-	/** From now on each answer closes its connection. */
+	/** Makes each further answer close its connection. */
 	void startStopping() {
 		this.stopping = true;
 	}
@@ -220,7 +222,7 @@
 	}
 
 	/**
-	 * Tells the connection of bytes before they are decoded.
+	 * Notifies the connection of received bytes before they are decoded.
 	 */
 	private static final class FirstBytesHandler extends ChannelInboundHandlerAdapter {
 
--- a/src/main/java/sycamorehill/entry/CompressedText.java
+++ b/src/main/java/sycamorehill/entry/CompressedText.java
@@ -10,12 +10,12 @@
 import java.util.zip.InflaterInputStream;
 
 /**
- * Texts in few bytes: a message that fits in few datagrams is seldom lost with one of
- * them. The check sum within finds a text that was changed on its way.
+ * Compresses texts for messages: the fewer datagrams a message takes, the less likely it
+ * is lost. The checksum of the format detects a text that was corrupted in transit.
  */
 final class CompressedText {
 
-	/** Longest text that is read. */
+	/** Maximum size of a decompressed text. */
 	private static final int MAXIMUM_BYTES = 4 * 1024 * 1024;
 
 	private CompressedText() {
--- a/src/main/java/sycamorehill/entry/ConnectTimeout.java
+++ b/src/main/java/sycamorehill/entry/ConnectTimeout.java
@@ -3,25 +3,28 @@
 import java.time.Duration;
 
 /**
- * How long a connection attempt may take, learned from those that succeeded.
+ * Timeout of connection attempts, derived from the recent successful ones.
  *
- * A target that has lost power answers nothing, and a request that was sent there waits
- * until the attempt is given up. Connections within a region take some milliseconds: an
- * attempt that takes many times longer will not succeed before its first packet is sent
- * again, a second later.
+ * A target that has lost power does not answer, and a request to it waits until the
+ * connection attempt times out. Connections within a region take a few milliseconds. An
+ * attempt that takes many times longer will not succeed before its first packet is
+ * retransmitted, one second later.
  */
 final class ConnectTimeout {
 
-	/** Timeout while little is known. */
+	/** Upper limit of the timeout; used until enough connections are recorded. */
 	static final Duration MAXIMUM_TIMEOUT = Duration.ofMillis(300);
 
-	/** A busy process at either end may answer this late. */
+	/**
+	 * Lower limit of the timeout: a busy process at either end may take this long to
+	 * answer.
+	 */
 	static final Duration MINIMUM_TIMEOUT = Duration.ofMillis(100);
 
-	/** The timeout against the slowest connection of late. */
+	/** Ratio of the timeout to the slowest recent connection. */
 	private static final int SLOWEST_MULTIPLIER = 5;
 
-	/** Connections that are looked at: the latest. */
+	/** Number of recent connections that determine the timeout. */
 	private static final int WINDOW_SIZE = 32;
 
 	private final long[] connectNanos = new long[WINDOW_SIZE];
@@ -36,7 +39,7 @@
 	}
 
 	/**
-	 * Notes a connection.
+	 * Records a successful connection.
 	 * @param elapsedNanos the time that it took to connect, in nanoseconds
 	 */
 	void recordConnection(long elapsedNanos) {
@@ -45,7 +48,7 @@
 	}
 
 	/**
-	 * The timeout for the next attempt.
+	 * Returns the timeout for the next attempt.
 	 * @return the timeout
 	 */
 	Duration current() {
--- a/src/main/java/sycamorehill/entry/DatagramAssembler.java
+++ b/src/main/java/sycamorehill/entry/DatagramAssembler.java
@@ -15,14 +15,17 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Puts messages together from the datagrams of {@link DatagramSplitter}.
+ * Assembles messages from the datagrams of a {@link DatagramSplitter}.
  */
 final class DatagramAssembler {
 
-	/** Parts of one message are sent together; after this time one was lost. */
+	/**
+	 * Time to wait for the parts of a message. They are sent together, so a part that is
+	 * missing after this time was lost.
+	 */
 	private static final Duration ASSEMBLY_TIMEOUT = Duration.ofSeconds(2);
 
-	/** Incomplete messages that are kept; the oldest goes first. */
+	/** Number of incomplete messages that are kept; the oldest is discarded first. */
 	private static final int MAXIMUM_INCOMPLETE_MESSAGES = 100;
 
 	private final Map<MessageKey, IncompleteMessage> incompleteMessages = new LinkedHashMap<>();
@@ -35,12 +38,12 @@
 	}
 
 	/**
-	 * Takes a datagram.
-	 * @param sender where it came from
-	 * @param datagram its bytes
-	 * @param nowNanos the present time
-	 * @return the message that it completes; empty if parts are missing
-	 * @throws IOException if it is no part of a message
+	 * Adds a datagram.
+	 * @param sender the address that sent it
+	 * @param datagram the bytes of the datagram
+	 * @param nowNanos the current time, in nanoseconds
+	 * @return the message that the datagram completes; empty if parts are missing
+	 * @throws IOException if the datagram is not a part of a message
 	 */
 	Optional<byte[]> add(InetSocketAddress sender, byte[] datagram, long nowNanos) throws IOException {
 		try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(datagram)) {
@@ -83,14 +86,14 @@
 	/**
 	 * Identifies a message.
 	 *
-	 * @param sender where it comes from
-	 * @param number the sender's number of it
+	 * @param sender the address of the sender
+	 * @param number the number that the sender gave the message
 	 */
 	private record MessageKey(InetSocketAddress sender, long number) {
 	}
 
 	/**
-	 * A message of which parts are missing.
+	 * Message of which some parts have not arrived.
 	 */
 	private static final class IncompleteMessage {
 
--- a/src/main/java/sycamorehill/entry/DatagramSplitter.java
+++ b/src/main/java/sycamorehill/entry/DatagramSplitter.java
@@ -9,17 +9,18 @@
 import org.msgpack.core.MessagePack;
 
 /**
- * Splits messages into datagrams that cross a network unfragmented: a fragmented datagram
- * is lost with any of its fragments, and some networks drop fragments altogether.
+ * Splits messages into datagrams that fit into one network packet. A fragmented datagram
+ * is lost if any of its fragments is lost, and some networks drop all fragments.
  */
 final class DatagramSplitter {
 
 	/**
-	 * Bytes of a message in one datagram; with headers it fits a frame of 1,500 bytes.
+	 * Bytes of a message in one datagram; with all headers it fits into a frame of 1,500
+	 * bytes.
 	 */
 	static final int MAXIMUM_PART_BYTES = 1350;
 
-	/** Parts of one message: a socket's buffer holds about 90 of them. */
+	/** Number of parts of one message; the receive buffer of a socket holds about 90. */
 	static final int MAXIMUM_PARTS = 64;
 
 	private DatagramSplitter() {
@@ -28,7 +29,7 @@
 	/**
 	 * Splits a message.
 	 * @param message the message
-	 * @param number tells the sender's messages apart
+	 * @param number the number that distinguishes the messages of a sender
 	 * @return the datagrams
 	 */
 	static List<byte[]> split(byte[] message, long number) {
--- a/src/main/java/sycamorehill/entry/EnginePort.java
+++ b/src/main/java/sycamorehill/entry/EnginePort.java
@@ -8,29 +8,30 @@
 import sycamorehill.model.serving.TargetAddress;
 
 /**
- * Calls to engines that are no requests of callers.
+ * Sends calls to engines other than the requests of callers.
  */
 public interface EnginePort {
 
 	/**
-	 * Sends an order.
+	 * Sends a command to an engine.
 	 * @param engine the engine
 	 * @param command the command
 	 * @param acceptedCommands the number of accepted commands for which it is valid
-	 * @return what became of it; never fails
+	 * @return the outcome of the command; never fails
 	 */
 	CompletableFuture<EngineCommandAnswer> sendCommand(TargetAddress engine, EngineCommandRequest command,
 			long acceptedCommands);
 
 	/**
-	 * Asks for an engine's state.
+	 * Reads the state of an engine.
 	 * @param engine the engine
-	 * @return its state, or a {@link ReportUnavailableException}
+	 * @return the state; completes with a {@link ReportUnavailableException} if it can't
+	 * be read
 	 */
 	CompletableFuture<EngineReport> readReport(TargetAddress engine);
 
 	/**
-	 * An engine's state could not be read.
+	 * Thrown when the state of an engine can't be read.
 	 */
 	final class ReportUnavailableException extends Exception {
 
@@ -40,7 +41,7 @@
 
 		/**
 		 * Creates the exception.
-		 * @param answer what was observed instead
+		 * @param answer the answer that was received instead of a report
 		 */
 		public ReportUnavailableException(EngineCommandAnswer answer) {
 			super(answer.toString());
@@ -48,8 +49,8 @@
 		}
 
 		/**
-		 * What was seen instead of a report.
-		 * @return what was seen
+		 * Returns the answer that was received instead of a report.
+		 * @return the answer
 		 */
 		public EngineCommandAnswer answer() {
 			return this.answer;
--- a/src/main/java/sycamorehill/entry/EntryMetrics.java
+++ b/src/main/java/sycamorehill/entry/EntryMetrics.java
@@ -22,8 +22,8 @@
 import sycamorehill.model.serving.EntryEffect;
 
 /**
- * What operators watch of an entry node. Counted from effects, so that each decision
- * shows in the log and in the numbers alike. All is touched by the node's one thread.
+ * Metrics of an entry node. They are counted from effects, so that the log and the
+ * metrics agree on each decision. All methods run on the single event loop of the node.
  */
 final class EntryMetrics {
 
@@ -50,15 +50,15 @@
 	}
 
 	/**
-	 * Counts a decision by its numbered event.
-	 * @param line the decision's log line
+	 * Counts a decision by the event code of its log line.
+	 * @param line the log line of the decision
 	 */
 	void countEvent(LogLine line) {
 		this.registry.counter("events." + line.event().name()).inc();
 	}
 
 	/**
-	 * Counts a final answer and measures its times.
+	 * Counts a final answer and records its times.
 	 * @param finished the answer
 	 */
 	void recordAnswer(EntryEffect.Finished finished) {
@@ -75,7 +75,7 @@
 	}
 
 	/**
-	 * All numbers, in the text format of Prometheus.
+	 * Returns all metrics in the text format of Prometheus.
 	 * @return the page
 	 */
 	PageServer.Page page() {
--- a/src/main/java/sycamorehill/entry/EntryNode.java
+++ b/src/main/java/sycamorehill/entry/EntryNode.java
@@ -29,8 +29,9 @@
 import sycamorehill.runtime.MonotonicClock;
 
 /**
- * The process of an entry VM. One thread moves the bytes and decides: small VMs have less
- * than one processor, and what comes need not wait for a second thread.
+ * Process of an entry VM. One thread performs all input and output and makes the
+ * decisions: small VMs have less than one processor, and events need no hand-over to a
+ * second thread.
  */
 public final class EntryNode implements EventSink {
 
@@ -38,17 +39,17 @@
 
 	private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
 
-	/** Time before the process is killed at which it ends by itself. */
+	/** Margin before the process is killed at which it stops by itself. */
 	private static final Duration KILL_MARGIN = Duration.ofMillis(300);
 
 	private static final Duration STOP_CHECK_INTERVAL = Duration.ofMillis(100);
 
-	/** Pause after a call about the entry nodes that failed. */
+	/** Delay before a failed call to the registry of entry nodes is retried. */
 	private static final Duration REGISTRY_RETRY_DELAY = Duration.ofSeconds(1);
 
 	/**
-	 * Pause between two lists of the entry nodes. Nodes introduce themselves to each
-	 * other; the list is for introductions that were lost, and for nodes that are gone.
+	 * Interval at which the entry nodes are listed. Nodes introduce themselves to each
+	 * other; the list covers lost introductions and nodes that are gone.
 	 */
 	private static final Duration NODE_LIST_INTERVAL = Duration.ofSeconds(20);
 
@@ -99,13 +100,13 @@
 	}
 
 	/**
-	 * Starts the process's work.
-	 * @param settings the node's settings
-	 * @param factory makes what the node speaks to
-	 * @param wallClock the time of day
-	 * @param random feeds all random choices
-	 * @return the node
-	 * @throws InterruptedException if the thread is interrupted while addresses are bound
+	 * Starts the node.
+	 * @param settings the settings of the node
+	 * @param factory creates the external services
+	 * @param wallClock the wall clock
+	 * @param random the source of all random choices
+	 * @return the started node
+	 * @throws InterruptedException if the thread is interrupted while it binds addresses
 	 */
 	public static EntryNode start(EntrySettings settings, EntryPorts.Factory factory, InstantSource wallClock,
 			RandomGenerator random) throws InterruptedException {
@@ -131,10 +132,10 @@
 		this.readinessServer.start(this.settings.readinessAddress());
 	}
 
-	// All that is looked at regularly, in one go: each timer of its own would wake the
-	// process some more times a second. Failure: one look fails, and the timer ends with
-	// it; it shows as a node that never reads or tells anything again. So failures are
-	// logged and the next tick comes.
+	// Runs all periodic checks in one task, because each further timer would wake the
+	// process several more times a second. Logs failures and continues: an exception that
+	// left this method would cancel the timer, and the node would never read from the
+	// store or send messages again.
 	private void tick() {
 		try {
 			processEvent(new EntryEvent.Ticked());
@@ -143,7 +144,7 @@
 			this.targetReader.resumeIfNeeded();
 		}
 		catch (RuntimeException ex) {
-			EventLog.failure(LogEvent.INVARIANT_BROKEN, "regular looks", ex);
+			EventLog.failure(LogEvent.INVARIANT_BROKEN, "periodic checks", ex);
 		}
 	}
 
@@ -163,12 +164,13 @@
 		return new FeedReader.Pace(maximumWait, this.reducer.readPause(now), this.reducer.receivesStoreUpdates(now));
 	}
 
-	// Of two nodes that start at once, the one that lists after the other was entered
-	// finds it, and introduces itself to it.
+	// Lists the nodes after this one is registered. Of two nodes that start at the same
+	// time, the one that lists later finds the other and introduces itself.
 	private void registerNode() {
 		this.ports.nodeRegistry().register(this.settings.toNodeRecord()).whenCompleteAsync((entered, failure) -> {
 			if (failure != null) {
-				EventLog.write(LogLine.of(LogEvent.STORE_CONTACT, "this node is not entered: " + failure.getMessage()));
+				EventLog
+					.write(LogLine.of(LogEvent.STORE_CONTACT, "registering this node failed: " + failure.getMessage()));
 				schedule(this::registerNode, REGISTRY_RETRY_DELAY);
 			}
 			else {
@@ -180,7 +182,7 @@
 	private void listNodes(boolean consistent) {
 		this.ports.nodeRegistry().list(consistent).whenCompleteAsync((nodes, failure) -> {
 			if (failure != null) {
-				EventLog.write(LogLine.of(LogEvent.STORE_CONTACT, "nodes are not listed: " + failure.getMessage()));
+				EventLog.write(LogLine.of(LogEvent.STORE_CONTACT, "listing the nodes failed: " + failure.getMessage()));
 				schedule(() -> listNodes(consistent), REGISTRY_RETRY_DELAY);
 			}
 			else {
@@ -270,9 +272,10 @@
 		return true;
 	}
 
-	// The text of the version did not come. A copy costs the store less than a read of
-	// the present state, which follows where the copy doesn't hold the version yet. While
-	// the store turns this node away both fail, and the next news asks again.
+	// Reads a configuration whose text was not received. A copy costs the store less than
+	// a consistent read, which follows if the copy doesn't hold the version yet. While
+	// the store refuses calls of this node both fail, and the next store update triggers
+	// another read.
 	private void readConfiguration(long version) {
 		if (this.configurationReadPending) {
 			return;
@@ -282,7 +285,7 @@
 			this.configurationReadPending = false;
 			if (failure != null) {
 				EventLog.write(LogLine.of(LogEvent.STORE_CONTACT,
-						"configuration " + version + " is not read from a copy: " + failure.getMessage()));
+						"reading configuration " + version + " from a copy failed: " + failure.getMessage()));
 			}
 			else {
 				page.items().forEach(this::handleReceivedConfiguration);
@@ -317,15 +320,15 @@
 		}
 	}
 
-	// A text that can't be read is left out; this node reads the store instead when the
-	// other one tells of the version again.
+	// Ignores a text that can't be parsed. This node reads the store instead when the
+	// peer reports the version again.
 	private void parseConfiguration(String text) {
 		try {
 			handleReceivedConfiguration(this.ports.configurationReader().apply(text));
 		}
 		catch (IllegalArgumentException ex) {
 			EventLog.write(LogLine.of(LogEvent.STORE_CONTENT_UNREADABLE,
-					"configuration told by another node cause='" + ex.getMessage() + "'"));
+					"configuration sent by another node cause='" + ex.getMessage() + "'"));
 		}
 	}
 
@@ -366,7 +369,7 @@
 	}
 
 	/**
-	 * Goes by other settings from now on; addresses hold for the life of the process.
+	 * Applies changed settings. Changes of addresses take effect only after a restart.
 	 * @param changed the settings to apply
 	 */
 	public void reload(EntrySettings changed) {
@@ -374,14 +377,16 @@
 	}
 
 	/**
-	 * Begins a planned stop: takes no new connections after the balancer has noticed, and
-	 * finishes what arrives on open ones until shortly before the process is killed.
+	 * Starts a planned stop. The node accepts connections until the load balancer has
+	 * noticed the stop, and serves the requests on open connections until shortly before
+	 * the process is killed.
 	 */
 	public void stop() {
 		EventLog.write(LogLine.of(LogEvent.NODE_STOPPING, "node=" + this.settings.nodeName()));
 		post(new EntryEvent.StopOrdered());
 		this.ports.nodeRegistry().deregister(this.settings.nodeName()).exceptionally((failure) -> {
-			EventLog.write(LogLine.of(LogEvent.STORE_CONTACT, "this node is not taken out: " + failure.getMessage()));
+			EventLog
+				.write(LogLine.of(LogEvent.STORE_CONTACT, "deregistering this node failed: " + failure.getMessage()));
 			return null;
 		});
 		Instant stopRequested = this.clock.instant();
@@ -405,15 +410,15 @@
 	}
 
 	/**
-	 * Completes when the node has stopped.
-	 * @return the end
+	 * Returns a future that completes when the node has stopped.
+	 * @return the future
 	 */
 	public CompletableFuture<Void> whenStopped() {
 		return this.stopped;
 	}
 
 	/**
-	 * Passes configurations on to the decisions.
+	 * Posts configurations to the reducer.
 	 */
 	private final class ConfigurationListener implements FeedReader.Listener<StoredConfiguration> {
 
@@ -433,7 +438,7 @@
 	}
 
 	/**
-	 * Passes the directory of targets on to the decisions.
+	 * Posts the entries and changes of the target directory to the reducer.
 	 */
 	private final class TargetListener implements FeedReader.Listener<TargetChange> {
 
--- a/src/main/java/sycamorehill/entry/EntryPorts.java
+++ b/src/main/java/sycamorehill/entry/EntryPorts.java
@@ -6,29 +6,29 @@
 import sycamorehill.model.serving.TargetChange;
 
 /**
- * What an entry node speaks to, behind the product's own interfaces.
+ * External services that an entry node uses, behind interfaces of this project.
  *
- * @param codec heads of requests and answers
+ * @param codec translates the heads of requests and answers
  * @param configurations the configurations in the store
- * @param configurationReader reads a configuration from its text; fails with an
- * {@link IllegalArgumentException} if it can't
+ * @param configurationReader parses the text of a configuration; throws an
+ * {@link IllegalArgumentException} if it is invalid
  * @param targets the directory of targets in the store
- * @param nodeRegistry the entry nodes in the store
- * @param leaseStore the lease on the control of groups
- * @param engines calls to engines
+ * @param nodeRegistry the registry of entry nodes in the store
+ * @param leaseStore the lease of the group controller in the store
+ * @param engines sends calls to engines
  */
 public record EntryPorts(ExchangeCodec codec, Feed<StoredConfiguration> configurations,
 		Function<String, StoredConfiguration> configurationReader, Feed<TargetChange> targets,
 		NodeRegistry nodeRegistry, LeaseStore leaseStore, EnginePort engines) {
 
 	/**
-	 * Makes the ports over a client.
+	 * Creates the ports from an HTTP client.
 	 */
 	public interface Factory {
 
 		/**
-		 * Makes the ports.
-		 * @param client makes calls
+		 * Creates the ports.
+		 * @param client the HTTP client
 		 * @return the ports
 		 */
 		EntryPorts create(CallClient client);
--- a/src/main/java/sycamorehill/entry/EventSink.java
+++ b/src/main/java/sycamorehill/entry/EventSink.java
@@ -3,12 +3,12 @@
 import sycamorehill.model.serving.EntryEvent;
 
 /**
- * Hands events to the decisions, which take them one after the other.
+ * Receives events for the reducer, which processes them one at a time.
  */
 interface EventSink {
 
 	/**
-	 * Hands an event over; never blocks.
+	 * Posts an event without blocking.
 	 * @param event the event
 	 */
 	void post(EntryEvent event);
--- a/src/main/java/sycamorehill/entry/EventSplitter.java
+++ b/src/main/java/sycamorehill/entry/EventSplitter.java
@@ -8,13 +8,13 @@
 import io.netty.buffer.ByteBufAllocator;
 
 /**
- * Cuts a stream into whole events and finds their numbers. An engine that dies may stop
- * in the middle of an event: such a part is never passed on, so that another engine can
- * go on after the last whole event.
+ * Splits an event stream into complete events and reads their numbers. An engine that
+ * crashes may stop within an event. The partial event is never forwarded, so that another
+ * engine can resume after the last complete one.
  */
 final class EventSplitter {
 
-	/** Longest event; a longer one ends the stream. */
+	/** Maximum size of an event in bytes; a larger one ends the stream. */
 	private static final int MAXIMUM_EVENT_BYTES = 1024 * 1024;
 
 	private static final byte[] NUMBER_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
@@ -32,9 +32,9 @@
 	}
 
 	/**
-	 * Takes bytes of the stream.
+	 * Appends bytes of the stream.
 	 * @param bytes the bytes
-	 * @param sink takes each whole event, with the blank line that ends it, and its
+	 * @param sink receives each complete event, with the blank line that ends it, and its
 	 * number
 	 */
 	void append(ByteBuf bytes, BiConsumer<ByteBuf, OptionalLong> sink) {
@@ -59,7 +59,7 @@
 		this.pending.release();
 	}
 
-	// Index after the blank line that ends the first event, or -1.
+	// Returns the index after the blank line that ends the first event, or -1.
 	private int endOfEvent() {
 		int lineStart = this.pending.readerIndex();
 		int lineEnd = endOfLine(this.pending, lineStart);
@@ -88,7 +88,7 @@
 		return OptionalLong.empty();
 	}
 
-	// Several bytes at a time: this is done for each byte of each answer.
+	// Searches several bytes at a time, because this runs for every byte of every answer.
 	private static int endOfLine(ByteBuf bytes, int from) {
 		return bytes.indexOf(from, bytes.writerIndex(), (byte) '\n');
 	}
--- a/src/main/java/sycamorehill/entry/ExchangeCodec.java
+++ b/src/main/java/sycamorehill/entry/ExchangeCodec.java
@@ -8,49 +8,49 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Translates heads of requests and answers.
+ * Translates the heads of requests and answers between HTTP and the types of the node.
  */
 public interface ExchangeCodec {
 
 	/**
-	 * Reads the head of a caller's request.
-	 * @param request the head
-	 * @return what it says
+	 * Parses the head of a caller's request.
+	 * @param request the head of the request
+	 * @return the parsed head
 	 */
 	CallerRequestHead readCallerRequest(HttpRequest request);
 
 	/**
-	 * Makes the headers of a request to a target.
+	 * Creates the headers of a request to a target.
 	 * @param request the caller's request
-	 * @param forwarding what the target is told besides
+	 * @param forwarding the information that the node adds for the target
 	 * @return the headers, without those that frame the body
 	 */
 	HttpHeaders targetHeaders(HttpRequest request, ForwardingMetadata forwarding);
 
 	/**
-	 * Reads the head of a target's answer.
-	 * @param response the head
-	 * @return what it says
+	 * Parses the head of a target's answer.
+	 * @param response the head of the answer
+	 * @return the parsed head
 	 */
 	TargetResponseHead readTargetResponse(HttpResponse response);
 
 	/**
-	 * Makes the headers of a target's answer that go on to the caller.
+	 * Creates the headers with which a target's answer is returned to the caller.
 	 * @param response the target's answer
 	 * @return the headers, without those that frame the body
 	 */
 	HttpHeaders callerHeaders(HttpResponse response);
 
 	/**
-	 * Makes the headers of an answer of our own.
+	 * Creates the headers of an answer that the node produces itself.
 	 * @param identifier the caller's identifier of the attempt
-	 * @param retryAfter when to come back
+	 * @param retryAfter the time after which the caller may retry
 	 * @return the headers, without those that frame the body
 	 */
 	HttpHeaders localAnswerHeaders(String identifier, Optional<Duration> retryAfter);
 
 	/**
-	 * The path at which the balancer asks whether the node is ready.
+	 * Returns the path of the readiness check of the load balancer.
 	 * @return the path
 	 */
 	String readinessPath();
--- a/src/main/java/sycamorehill/entry/Feed.java
+++ b/src/main/java/sycamorehill/entry/Feed.java
@@ -5,45 +5,45 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Objects of one kind in the store, and their changes.
+ * Objects of one kind in the store, with their changes.
  *
- * @param <T> what is told of an object
+ * @param <T> the type of an object or change
  */
 public interface Feed<T> {
 
 	/**
-	 * Reads all objects.
+	 * Lists all objects.
 	 * @return the objects
 	 */
 	CompletableFuture<Page<T>> list();
 
 	/**
-	 * Reads all objects from a copy that may be seconds old, which costs the store less.
+	 * Lists all objects from a copy that may be seconds old, which costs the store less.
 	 * @return the objects
 	 */
 	CompletableFuture<Page<T>> listCopy();
 
 	/**
-	 * Waits for changes.
-	 * @param since revision after which changes are wanted
-	 * @param wait how long the store may wait for one
-	 * @return the changes; a {@link HistoryGoneException} if the store doesn't know them
-	 * any more
+	 * Waits for changes (long poll).
+	 * @param since the revision after which to return changes
+	 * @param wait the time that the store may wait for a change
+	 * @return the changes; completes with a {@link HistoryGoneException} if the store no
+	 * longer holds them
 	 */
 	CompletableFuture<Page<T>> changes(long since, Duration wait);
 
 	/**
-	 * Some objects or changes.
+	 * Page of objects or changes.
 	 *
-	 * @param items the objects or changes in their order
-	 * @param revision the store's revision that they bring the reader to
-	 * @param <T> what is told of an object
+	 * @param items the objects or changes, in order
+	 * @param revision the revision of the store that the reader has reached with them
+	 * @param <T> the type of an object or change
 	 */
 	record Page<T>(List<T> items, long revision) {
 	}
 
 	/**
-	 * The store has forgotten the changes since a revision.
+	 * Thrown when the store no longer holds the changes since a revision.
 	 */
 	final class HistoryGoneException extends Exception {
 
@@ -53,7 +53,7 @@
 		 * Creates the exception.
 		 */
 		public HistoryGoneException() {
-			super("the store has forgotten these changes");
+			super("the store no longer holds these changes");
 		}
 
 	}
--- a/src/main/java/sycamorehill/entry/FeedReader.java
+++ b/src/main/java/sycamorehill/entry/FeedReader.java
@@ -10,10 +10,11 @@
 import sycamorehill.runtime.EventLog;
 
 /**
- * Follows one kind of objects: reads all, then the changes, and all again when the store
- * has forgotten the changes or shows an older state than before.
+ * Follows the objects of one kind: lists all of them, then reads their changes. Lists
+ * them again when the store no longer holds the changes or returns an older revision than
+ * before.
  *
- * @param <T> what is told of an object
+ * @param <T> the type of an object or change
  */
 final class FeedReader<T> {
 
@@ -60,7 +61,7 @@
 	}
 
 	/**
-	 * Reads the changes now, though this node rests.
+	 * Reads the changes now, even if the reader is paused.
 	 */
 	void readNow() {
 		this.readRequested = true;
@@ -71,8 +72,9 @@
 	}
 
 	/**
-	 * Looks whether a node that rests has to read for itself again. Called several times
-	 * a second, with all else that is looked at then: each wake-up costs processor time.
+	 * Resumes reading when no other node forwards store updates any more. Called several
+	 * times a second together with the other periodic checks, because each wake-up costs
+	 * processor time.
 	 */
 	void resumeIfNeeded() {
 		if (this.paused && !this.pace.get().receivesStoreUpdates()) {
@@ -82,8 +84,8 @@
 	}
 
 	/**
-	 * Goes on after a revision that this node was told of. What a list is still due for
-	 * was not told: it stays due.
+	 * Advances to a revision whose changes another node forwarded. A list that is still
+	 * due stays due, because the forwarded changes don't replace it.
 	 * @param knownRevision the revision
 	 */
 	void advanceRevision(long knownRevision) {
@@ -114,16 +116,17 @@
 		}, this.executor);
 	}
 
-	// While the call waited, another node told of changes that this answer may repeat: an
-	// older state would follow a newer one. What is not known yet is asked for again.
+	// While the call waited, another node forwarded changes that this answer may repeat,
+	// and an older state would replace a newer one. Skips the answer and asks again for
+	// the changes that are not known yet.
 	private void skipOutdated(Feed.Page<T> page) {
 		this.storeUnreachable = false;
 		this.readRequested |= page.revision() > this.revision;
 		readNext();
 	}
 
-	// While the store is away a call that waits would hang on a dead connection long
-	// after the store is back: calls are short until one is answered.
+	// While the store is unreachable, a call that waits would hang on a dead connection
+	// long after the store is reachable again. Calls don't wait until one is answered.
 	private Duration maximumWait() {
 		return this.storeUnreachable ? Duration.ZERO : this.pace.get().maximumWait();
 	}
@@ -133,8 +136,8 @@
 		this.retryDelay = INITIAL_RETRY_DELAY;
 		long since = this.revision;
 		if (!listing && page.revision() < this.revision) {
-			EventLog.failure(LogEvent.STORE_CONTACT,
-					this.name + ": the store went back from " + this.revision + " to " + page.revision(), null);
+			EventLog.failure(LogEvent.STORE_CONTACT, this.name + ": the revision of the store decreased from "
+					+ this.revision + " to " + page.revision(), null);
 			this.revision = -1;
 			scheduleNext(this.pace.get().pauseAfterChange());
 			return;
@@ -173,38 +176,38 @@
 	}
 
 	/**
-	 * How often the store is called.
+	 * Determines how often the store is called.
 	 *
-	 * @param maximumWait how long a call waits in the store; a connection that went
-	 * silent is found out this much later
-	 * @param pauseAfterChange pause after an answer that brought changes, so that many
-	 * changes in a row cost few calls
-	 * @param receivesStoreUpdates whether another node reads for this one
+	 * @param maximumWait the time that a call waits in the store; a dead connection is
+	 * detected this much later
+	 * @param pauseAfterChange the pause after an answer that contained changes, so that a
+	 * series of changes takes few calls
+	 * @param receivesStoreUpdates whether another node reads the store for this one
 	 */
 	record Pace(Duration maximumWait, Duration pauseAfterChange, boolean receivesStoreUpdates) {
 	}
 
 	/**
-	 * Takes what is read.
+	 * Receives the objects and changes.
 	 *
-	 * @param <T> what is told of an object
+	 * @param <T> the type of an object or change
 	 */
 	interface Listener<T> {
 
 		/**
-		 * Takes all objects.
+		 * Handles a list of all objects.
 		 * @param all the objects
 		 */
 		void handleList(Feed.Page<T> all);
 
 		/**
-		 * Takes changes.
-		 * @param changes the changes; none if the store had none to tell
-		 * @param since the revision after which they were asked for
+		 * Handles changes.
+		 * @param changes the changes; empty if the store had none
+		 * @param since the revision after which they were requested
 		 */
 		void handleChanges(Feed.Page<T> changes, long since);
 
-		/** The store did not answer. */
+		/** Handles a call that the store did not answer. */
 		default void handleUnreachable() {
 		}
 
--- a/src/main/java/sycamorehill/entry/LeaseStore.java
+++ b/src/main/java/sycamorehill/entry/LeaseStore.java
@@ -6,25 +6,25 @@
 import sycamorehill.model.serving.LeaseAnswer;
 
 /**
- * The lease on the control of groups, in the platform's store.
+ * Lease of the group controller, in the store of the platform.
  */
 public interface LeaseStore {
 
 	/**
-	 * Reads the lease, maybe from a copy that is seconds old.
+	 * Reads the lease, possibly from a copy that is seconds old.
 	 * @return the answer; never fails
 	 */
 	CompletableFuture<LeaseAnswer> read();
 
 	/**
-	 * Creates the lease if there is none.
-	 * @param holder who holds it
+	 * Creates the lease if none exists.
+	 * @param holder the holder of the lease
 	 * @return the answer; never fails
 	 */
 	CompletableFuture<LeaseAnswer> create(String holder);
 
 	/**
-	 * Replaces the lease if it still has the revision named.
+	 * Replaces the lease if its revision is still the one given.
 	 * @param lease the lease to write
 	 * @return the answer; never fails
 	 */
--- a/src/main/java/sycamorehill/entry/NodeMessageCodec.java
+++ b/src/main/java/sycamorehill/entry/NodeMessageCodec.java
@@ -26,7 +26,7 @@
 import sycamorehill.model.serving.RequestRate;
 
 /**
- * Messages between entry nodes as they stand on the wire, in MessagePack.
+ * Encodes messages between entry nodes as MessagePack.
  */
 final class NodeMessageCodec {
 
@@ -96,11 +96,11 @@
 	}
 
 	/**
-	 * Reads a message.
-	 * @param bytes the message as it was written
+	 * Decodes a message.
+	 * @param bytes the encoded message
 	 * @return the message
-	 * @throws IOException if the bytes are no message
-	 * @throws IllegalArgumentException if a field can't be read
+	 * @throws IOException if the bytes are not a message
+	 * @throws IllegalArgumentException if a field is invalid
 	 */
 	NodeMessage read(byte[] bytes) throws IOException {
 		if (this.codec.readTree(bytes) instanceof ObjectNode body) {
@@ -245,7 +245,7 @@
 	}
 
 	/**
-	 * Kinds of messages as they stand on the wire.
+	 * Kinds of messages. Their names are part of the wire format.
 	 */
 	private enum Kind {
 
--- a/src/main/java/sycamorehill/entry/NodeMessenger.java
+++ b/src/main/java/sycamorehill/entry/NodeMessenger.java
@@ -25,12 +25,13 @@
 import sycamorehill.runtime.EventLog;
 
 /**
- * Carries messages between entry nodes in datagrams. A datagram needs no connection that
- * could go silent, and what matters of a lost one is told again.
+ * Sends and receives messages between entry nodes as datagrams. Datagrams need no
+ * connection, which could fail without notice, and the senders repeat the information
+ * that must not be lost.
  */
 final class NodeMessenger {
 
-	/** Bytes of a datagram that are read, with room beyond what nodes send. */
+	/** Maximum size of a received datagram in bytes; larger than any that nodes send. */
 	private static final int RECEIVE_BUFFER_BYTES = 2048;
 
 	private final EventLoop loop;
@@ -41,7 +42,10 @@
 
 	private final DatagramAssembler joiner = DatagramAssembler.create();
 
-	/** Begins anywhere, so that parts of an earlier process's messages are not joined. */
+	/**
+	 * Starts at a random number, so that parts of messages of an earlier process are not
+	 * joined with new ones.
+	 */
 	private long lastMessageNumber = ThreadLocalRandom.current().nextLong();
 
 	private Channel channel;
@@ -77,7 +81,7 @@
 			}
 		}
 		catch (IOException ex) {
-			EventLog.failure(LogEvent.EFFECT_FAILED, "message to " + nodes, ex);
+			EventLog.failure(LogEvent.EFFECT_FAILED, "sending a message to " + nodes, ex);
 		}
 	}
 
@@ -114,7 +118,7 @@
 	}
 
 	/**
-	 * Takes datagrams.
+	 * Receives datagrams.
 	 */
 	private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
 
@@ -127,7 +131,7 @@
 
 		@Override
 		public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-			EventLog.failure(LogEvent.NODE_MESSAGE_UNREADABLE, "the socket for messages of nodes", cause);
+			EventLog.failure(LogEvent.NODE_MESSAGE_UNREADABLE, "the socket for messages between nodes", cause);
 		}
 
 	}
--- a/src/main/java/sycamorehill/entry/NodeRegistry.java
+++ b/src/main/java/sycamorehill/entry/NodeRegistry.java
@@ -6,29 +6,29 @@
 import sycamorehill.model.serving.NodeRecord;
 
 /**
- * The entry nodes, in the platform's store.
+ * Registry of the entry nodes, in the store of the platform.
  */
 public interface NodeRegistry {
 
 	/**
-	 * Enters a node, over any entry of an earlier life of it.
+	 * Registers a node and replaces any entry of an earlier incarnation.
 	 * @param node the node
-	 * @return completes when it is entered, or fails
+	 * @return completes when the node is registered, or fails
 	 */
 	CompletableFuture<Void> register(NodeRecord node);
 
 	/**
 	 * Lists all nodes.
-	 * @param consistent whether the list must hold what was entered before; a copy that
-	 * is seconds old costs the store less
+	 * @param consistent whether the list must contain all nodes registered before the
+	 * call; a copy that is seconds old costs the store less
 	 * @return the nodes, or a failure
 	 */
 	CompletableFuture<List<NodeRecord>> list(boolean consistent);
 
 	/**
-	 * Takes a node out.
-	 * @param name the node's name
-	 * @return completes when it is out, or fails
+	 * Removes a node.
+	 * @param name the name of the node
+	 * @return completes when the node is removed, or fails
 	 */
 	CompletableFuture<Void> deregister(String name);
 
--- a/src/main/java/sycamorehill/entry/PageServer.java
+++ b/src/main/java/sycamorehill/entry/PageServer.java
@@ -26,7 +26,8 @@
 import sycamorehill.runtime.EventLog;
 
 /**
- * Answers what the balancer and operators ask a node: one page a path.
+ * Serves the pages that the load balancer and operators request from a node, one page for
+ * each path.
  */
 final class PageServer {
 
@@ -62,13 +63,13 @@
 	}
 
 	/**
-	 * Gives the pages.
+	 * Provides the pages.
 	 */
 	interface PageSource {
 
 		/**
-		 * Reads a page.
-		 * @param path the path asked for
+		 * Returns a page.
+		 * @param path the requested path
 		 * @return the page
 		 */
 		Page read(String path);
@@ -76,11 +77,11 @@
 	}
 
 	/**
-	 * A page.
+	 * Page with its status.
 	 *
 	 * @param status the HTTP status
-	 * @param contentType what the text is
-	 * @param text the page's text
+	 * @param contentType the content type of the text
+	 * @param text the text of the page
 	 */
 	record Page(HttpResponseStatus status, String contentType, String text) {
 
@@ -93,7 +94,7 @@
 	}
 
 	/**
-	 * Answers one question after the other.
+	 * Handles the requests of a connection one after another.
 	 */
 	private final class PageRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
@@ -108,7 +109,7 @@
 				return PageServer.this.pages.read(path);
 			}
 			catch (RuntimeException ex) {
-				EventLog.failure(LogEvent.EFFECT_FAILED, "a page could not be made", ex);
+				EventLog.failure(LogEvent.EFFECT_FAILED, "a page could not be created", ex);
 				return Page.empty(HttpResponseStatus.INTERNAL_SERVER_ERROR);
 			}
 		}
--- a/src/main/java/sycamorehill/entry/RequestValidator.java
+++ b/src/main/java/sycamorehill/entry/RequestValidator.java
@@ -9,8 +9,9 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * Finds what makes a request's head ambiguous. Where two readers could frame a request or
- * name its host in two ways, one caller's bytes could run as another's request.
+ * Detects ambiguous request heads. If a node and a target could frame a request in two
+ * ways or disagree about its host, the bytes of one caller could be executed as the
+ * request of another (request smuggling).
  */
 final class RequestValidator {
 
@@ -18,9 +19,9 @@
 	}
 
 	/**
-	 * Looks for a fault.
-	 * @param head the request's head
-	 * @return the fault, or empty if the request may be passed on
+	 * Returns the reason why a request is refused.
+	 * @param head the head of the request
+	 * @return the violation; empty if the request may be forwarded
 	 */
 	static Optional<String> findViolation(HttpRequest head) {
 		HttpHeaders headers = head.headers();
--- a/src/main/java/sycamorehill/entry/StrictRequestDecoder.java
+++ b/src/main/java/sycamorehill/entry/StrictRequestDecoder.java
@@ -7,9 +7,9 @@
 import sycamorehill.model.serving.CallerLimits;
 
 /**
- * Reads requests and refuses those that a target could frame otherwise. A request with
- * two framings would let a caller hide a second request in the body of the first, which a
- * target would run as somebody else's.
+ * Decodes requests and refuses those that a target could frame differently. With
+ * ambiguous framing a caller could hide a second request in the body of the first, and a
+ * target would execute it as the request of somebody else.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
--- a/src/main/java/sycamorehill/entry/StrictResponseDecoder.java
+++ b/src/main/java/sycamorehill/entry/StrictResponseDecoder.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpResponseDecoder;
 
 /**
- * Reads answers of targets and refuses those whose end is not certain.
+ * Decodes answers of targets and refuses those whose length is ambiguous.
  */
 final class StrictResponseDecoder extends HttpResponseDecoder {
 
--- a/src/main/java/sycamorehill/entry/TargetActivity.java
+++ b/src/main/java/sycamorehill/entry/TargetActivity.java
@@ -9,19 +9,23 @@
 import sycamorehill.model.identity.TargetName;
 
 /**
- * Watches whether the targets that stream answers make progress. A group that lost a
- * member stands still on all its streams at once, while its head goes on accepting
- * requests: this is the first sign of it, seconds before the directory tells.
+ * Tracks whether targets that stream answers make progress. When a group loses a member,
+ * all its streams stall at once while its head still accepts requests. This is the first
+ * indication of the failure, seconds before the directory reports it.
  */
 final class TargetActivity {
 
 	/**
-	 * Pause of all begun streams of a target that counts as silence. Events are 30 to 80
-	 * ms apart, and up to 200 ms while long prompts are read beside them.
+	 * Time without any event on the started streams of a target after which the target is
+	 * silent. Events are 30 to 80 ms apart, and up to 200 ms while long prompts are
+	 * prefilled beside them.
 	 */
 	private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(450);
 
-	/** The same while no stream has begun: a first event takes up to 500 ms in time. */
+	/**
+	 * The same while no stream has started: a first event that is on time takes up to 500
+	 * ms.
+	 */
 	private static final Duration FIRST_EVENT_TIMEOUT = Duration.ofMillis(1100);
 
 	private final Map<TargetName, StreamProgress> byTarget = new HashMap<>();
@@ -76,9 +80,9 @@
 	}
 
 	/**
-	 * Finds the targets that have fallen silent since the last look.
-	 * @param nowNanos the present time
-	 * @return the targets, each once for each silence
+	 * Returns the targets that have become silent since the last call.
+	 * @param nowNanos the current time, in nanoseconds
+	 * @return the targets, each once per silence
 	 */
 	List<TargetName> findSilentTargets(long nowNanos) {
 		List<TargetName> silentTargets = new ArrayList<>();
@@ -93,7 +97,7 @@
 	}
 
 	/**
-	 * Streams of one target.
+	 * Progress of the streams of one target.
 	 */
 	private static final class StreamProgress {
 
--- a/src/main/java/sycamorehill/entry/TargetAttempt.java
+++ b/src/main/java/sycamorehill/entry/TargetAttempt.java
@@ -21,8 +21,8 @@
 import sycamorehill.model.serving.NotRunCause;
 
 /**
- * One attempt to have a request answered by a target. It ends once, in one of the ways of
- * {@link AttemptEnd}; after it was cancelled nothing of it reaches the caller.
+ * Attempt to get the answer to a request from a target. Each attempt ends once, with an
+ * {@link AttemptEnd}; after a cancellation nothing of it reaches the caller.
  */
 final class TargetAttempt implements AnswerHandler {
 
@@ -30,12 +30,13 @@
 
 	private static final int MINIMUM_SERVER_ERROR_STATUS = 500;
 
-	/** Largest plain answer that is held until it is whole. */
+	/** Maximum size of a non-streaming answer, which is held until it is complete. */
 	private static final int MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024;
 
 	/**
-	 * How long a connection may have been idle for a request that must not be repeated: a
-	 * close by the target that crosses the request would leave its outcome unknown.
+	 * Maximum idle time of a connection that is reused for a non-idempotent request: if
+	 * the target closes the connection while the request is in transit, the outcome is
+	 * unknown.
 	 */
 	private static final Duration MAXIMUM_IDLE_NON_IDEMPOTENT = Duration.ofMillis(400);
 
@@ -288,7 +289,7 @@
 	}
 
 	/**
-	 * Cancels the attempt: the target drops its work when the connection closes.
+	 * Cancels the attempt. The target stops the request when its connection closes.
 	 */
 	void cancel() {
 		if (!this.finished) {
--- a/src/main/java/sycamorehill/entry/TargetCodec.java
+++ b/src/main/java/sycamorehill/entry/TargetCodec.java
@@ -20,7 +20,7 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Changes of targets in messages between nodes.
+ * Encodes changes of targets in messages between nodes.
  */
 final class TargetCodec {
 
@@ -81,9 +81,9 @@
 	}
 
 	/**
-	 * Reads changes.
-	 * @param changes the changes as they stand in a message
-	 * @return the changes; an {@link IllegalArgumentException} if one can't be read
+	 * Decodes changes.
+	 * @param changes the encoded changes
+	 * @return the changes; throws an {@link IllegalArgumentException} if one is invalid
 	 */
 	static List<TargetChange> read(JsonNode changes) {
 		List<TargetChange> read = new ArrayList<>();
--- a/src/main/java/sycamorehill/entry/TargetConnection.java
+++ b/src/main/java/sycamorehill/entry/TargetConnection.java
@@ -12,9 +12,9 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * One connection to a target or another HTTP server. Whatever arrives while no answer is
- * awaited belongs to no request: the connection is closed, so that it can't be taken for
- * the answer to the next one.
+ * Connection to a target or another HTTP server. Data that arrives while no answer is
+ * expected belongs to no request. The connection is then closed, so that the data can't
+ * be mistaken for the answer to the next request.
  */
 final class TargetConnection extends ChannelInboundHandlerAdapter {
 
@@ -44,15 +44,16 @@
 		return this.context;
 	}
 
-	/** Closes the connection; its reader hears nothing more. */
+	/** Closes the connection without notifying its handler. */
 	void close() {
 		this.answerHandler = null;
 		this.context.close();
 	}
 
 	/**
-	 * Closes the connection so that bytes on their way are lost. Behind a partition, an
-	 * order that was given up would else arrive when it heals, seconds after newer ones.
+	 * Closes the connection with a TCP reset, which discards bytes in transit. Otherwise
+	 * a command that timed out during a network partition would arrive when the partition
+	 * ends, seconds after newer commands.
 	 */
 	void reset() {
 		this.context.channel().config().setOption(ChannelOption.SO_LINGER, 0);
--- a/src/main/java/sycamorehill/entry/TargetConnectionPool.java
+++ b/src/main/java/sycamorehill/entry/TargetConnectionPool.java
@@ -20,22 +20,22 @@
 import sycamorehill.model.serving.TargetAddress;
 
 /**
- * Keeps connections to targets. One connection serves one request at a time; only a
- * connection whose last answer ended cleanly, with no byte after it, is used again.
+ * Pools connections to targets. A connection serves one request at a time. It is reused
+ * only if its last answer ended cleanly and no byte followed.
  */
 final class TargetConnectionPool {
 
 	/**
-	 * Part of the target's idle timeout after which a connection isn't used again: the
-	 * target's close may be under way, and a request that crosses it has no known
-	 * outcome.
+	 * Fraction of the idle timeout of the target after which a connection is not reused:
+	 * the target may be closing it, and the outcome of a request that is in transit at
+	 * that moment is unknown.
 	 */
 	private static final double IDLE_TIMEOUT_FRACTION = 0.5;
 
-	/** Idle timeout of targets that don't tell theirs. */
+	/** Idle timeout of targets that don't report one. */
 	private static final Duration DEFAULT_IDLE_TIMEOUT = Duration.ofSeconds(2);
 
-	/** Idle connections kept to one target; more are needed only for bursts. */
+	/** Number of idle connections kept for one target; only bursts need more. */
 	private static final int MAXIMUM_IDLE_CONNECTIONS = 12;
 
 	private final EventLoop loop;
@@ -65,10 +65,10 @@
 	}
 
 	/**
-	 * Takes an idle connection.
+	 * Returns an idle connection and removes it from the pool.
 	 * @param target the target
 	 * @param maximumIdle the longest time that it may have been idle
-	 * @return a connection, or null if there is none
+	 * @return the connection, or null if there is none
 	 */
 	TargetConnection acquireIdle(TargetAddress target, Duration maximumIdle) {
 		Deque<IdleConnection> connections = this.idleConnections.get(target);
@@ -110,7 +110,7 @@
 		}
 	}
 
-	/** Closes connections that were idle for too long. */
+	/** Closes connections that have been idle for too long. */
 	void closeExpired() {
 		long now = System.nanoTime();
 		Iterator<Deque<IdleConnection>> targets = this.idleConnections.values().iterator();
@@ -141,11 +141,11 @@
 	}
 
 	/**
-	 * An idle connection.
+	 * Idle connection.
 	 *
 	 * @param connection the connection
-	 * @param sinceNanos when its last answer ended
-	 * @param usableNanos how long it may be used again
+	 * @param sinceNanos the time when its last answer ended
+	 * @param usableNanos the time for which it may be reused
 	 */
 	private record IdleConnection(TargetConnection connection, long sinceNanos, long usableNanos) {
 	}
--- a/src/main/java/sycamorehill/entry/package-info.java
+++ b/src/main/java/sycamorehill/entry/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The process of an entry VM: connections of callers and to targets, and calls to the
- * store and to engines. Bytes move here; decisions are in
- * {@code sycamorehill.logic.entry}.
+ * The process of an entry VM: the connections of callers and to targets, and the calls to
+ * the store and to engines. This package performs the input and output; the decisions are
+ * made in {@code sycamorehill.logic.entry}.
  */
 package sycamorehill.entry;
