--- a/src/main/java/sycamorehill/entry/NodeMessageCodec.java
+++ b/src/main/java/sycamorehill/entry/NodeMessageCodec.java
@@ -116,39 +116,39 @@
 			body.put(DATA_CENTRE, loads.dataCentre().value()).put(STORE_REACHED, loads.storeReachable());
 			write(loads.requests(), body);
 		}
-		else if (message instanceof NodeMessage.LoadsAdded added) {
+		else if (message instanceof NodeMessage.LoadsAdded aggregated) {
 			ArrayNode sums = body.putArray(SUMS);
-			added.sums().forEach((sum) -> write(sum, sums.addObject()));
+			aggregated.sums().forEach((sum) -> write(sum, sums.addObject()));
 		}
 		else if (message instanceof NodeMessage.Placed placed) {
 			body.put(TARGET, placed.target().value()).put(READING_MICROS, placed.prefillTime().toNanos() / 1000);
 		}
-		else if (message instanceof NodeMessage.StoreNews news) {
-			body.put(DATA_CENTRE, news.dataCentre().value())
-				.put(CONFIGURATION, news.configurationVersion())
-				.put(CHANGED_BEFORE, news.previousChangeRevision())
-				.put(SINCE, news.since())
-				.put(REVISION, news.revision())
-				.put(AGE_MILLIS, news.age().toMillis());
-			TargetCodec.write(news.changes(), body.putArray(CHANGES));
-			news.lease()
+		else if (message instanceof NodeMessage.StoreNews update) {
+			body.put(DATA_CENTRE, update.dataCentre().value())
+				.put(CONFIGURATION, update.configurationVersion())
+				.put(CHANGED_BEFORE, update.previousChangeRevision())
+				.put(SINCE, update.since())
+				.put(REVISION, update.revision())
+				.put(AGE_MILLIS, update.age().toMillis());
+			TargetCodec.write(update.changes(), body.putArray(CHANGES));
+			update.lease()
 				.ifPresent((lease) -> body.put(HOLDER, lease.holder())
 					.put(TERM, lease.term())
 					.put(LEASE_REVISION, lease.revision()));
 		}
-		else if (message instanceof NodeMessage.ConfigurationTold told) {
-			body.put(CONFIGURATION, told.version()).put(TEXT, CompressedText.compress(told.text()));
+		else if (message instanceof NodeMessage.ConfigurationTold configuration) {
+			body.put(CONFIGURATION, configuration.version()).put(TEXT, CompressedText.compress(configuration.text()));
 		}
-		else if (message instanceof NodeMessage.TargetsSeen seen) {
-			TargetCodec.write(seen.changes(), body.putArray(CHANGES));
+		else if (message instanceof NodeMessage.TargetsSeen targets) {
+			TargetCodec.write(targets.changes(), body.putArray(CHANGES));
 		}
 		else if (message instanceof NodeMessage.Introduction introduction) {
 			body.put(ADDRESS, introduction.node().address().toString())
 				.put(DATA_CENTRE, introduction.node().dataCentre().value())
 				.put(PROCESSOR, introduction.node().processorCores());
 		}
-		else if (message instanceof NodeMessage.LeaseGivenUp given) {
-			body.put(HOLDER, given.holder());
+		else if (message instanceof NodeMessage.LeaseGivenUp released) {
+			body.put(HOLDER, released.holder());
 		}
 		else if (message instanceof NodeMessage.Silence silence) {
 			body.put(TARGET, silence.target().value());
--- a/src/test/java/sycamorehill/entry/CompressedTextTests.java
+++ b/src/test/java/sycamorehill/entry/CompressedTextTests.java
@@ -13,18 +13,18 @@
 
 	@Test
 	void roundTripsInFewBytes() throws IOException {
-		byte[] packed = CompressedText.compress(TEXT);
-		assertThat(packed.length).isLessThan(TEXT.length() / 10);
-		assertThat(CompressedText.decompress(packed)).isEqualTo(TEXT);
+		byte[] compressed = CompressedText.compress(TEXT);
+		assertThat(compressed.length).isLessThan(TEXT.length() / 10);
+		assertThat(CompressedText.decompress(compressed)).isEqualTo(TEXT);
 	}
 
 	// A byte of a datagram was changed on its way. Read on, it would become a
 	// configuration that nobody has written, in force until a newer one comes.
 	@Test
 	void refusesCorruptedText() throws IOException {
-		byte[] packed = CompressedText.compress(TEXT);
-		for (int index = 0; index < packed.length; index++) {
-			byte[] changed = packed.clone();
+		byte[] compressed = CompressedText.compress(TEXT);
+		for (int index = 0; index < compressed.length; index++) {
+			byte[] changed = compressed.clone();
 			changed[index] ^= 0x10;
 			assertThatThrownBy(() -> CompressedText.decompress(changed)).as("byte " + index)
 				.isInstanceOf(IOException.class);
@@ -35,8 +35,8 @@
 	// A few bytes that unpack to gigabytes would fill the memory of each node.
 	@Test
 	void refusesTooLongText() throws IOException {
-		byte[] packed = CompressedText.compress("a".repeat(5 * 1024 * 1024));
-		assertThatThrownBy(() -> CompressedText.decompress(packed)).isInstanceOf(IOException.class)
+		byte[] compressed = CompressedText.compress("a".repeat(5 * 1024 * 1024));
+		assertThatThrownBy(() -> CompressedText.decompress(compressed)).isInstanceOf(IOException.class)
 			.hasMessageContaining("longer");
 	}
 
--- a/src/test/java/sycamorehill/entry/DatagramSplitterTests.java
+++ b/src/test/java/sycamorehill/entry/DatagramSplitterTests.java
@@ -17,11 +17,11 @@
  */
 class DatagramSplitterTests {
 
-	private static final InetSocketAddress ONE = new InetSocketAddress("127.0.0.1", 7001);
+	private static final InetSocketAddress FIRST_SENDER = new InetSocketAddress("127.0.0.1", 7001);
 
-	private static final InetSocketAddress TWO = new InetSocketAddress("127.0.0.1", 7002);
+	private static final InetSocketAddress SECOND_SENDER = new InetSocketAddress("127.0.0.1", 7002);
 
-	private final DatagramAssembler joiner = DatagramAssembler.create();
+	private final DatagramAssembler assembler = DatagramAssembler.create();
 
 	private static byte[] message(int size, int seed) {
 		byte[] bytes = new byte[size];
@@ -29,13 +29,13 @@
 		return bytes;
 	}
 
-	private Optional<byte[]> join(InetSocketAddress sender, List<byte[]> datagrams) throws Exception {
-		Optional<byte[]> joined = Optional.empty();
+	private Optional<byte[]> assemble(InetSocketAddress sender, List<byte[]> datagrams) throws Exception {
+		Optional<byte[]> assembled = Optional.empty();
 		for (byte[] datagram : datagrams) {
-			assertThat(joined).isEmpty();
-			joined = this.joiner.add(sender, datagram, 0);
+			assertThat(assembled).isEmpty();
+			assembled = this.assembler.add(sender, datagram, 0);
 		}
-		return joined;
+		return assembled;
 	}
 
 	// A datagram that is larger than the path's unit is sent in fragments, and is lost
@@ -48,31 +48,31 @@
 	}
 
 	@Test
-	void partsThatArriveInAnyOrderAreJoined() throws Exception {
+	void partsThatArriveInAnyOrderAreAssembled() throws Exception {
 		byte[] sent = message(9000, 2);
 		List<byte[]> datagrams = DatagramSplitter.split(sent, 7);
 		assertThat(datagrams).hasSizeGreaterThan(1);
 		Collections.shuffle(datagrams, new Random(3));
-		assertThat(join(ONE, datagrams)).hasValue(sent);
+		assertThat(assemble(FIRST_SENDER, datagrams)).hasValue(sent);
 	}
 
 	// Two nodes start with the same message number: their parts must not be mixed.
 	@Test
 	void partsOfTwoSendersAreKeptApart() throws Exception {
-		List<byte[]> ofOne = DatagramSplitter.split(message(2000, 4), 7);
-		List<byte[]> ofTwo = DatagramSplitter.split(message(2000, 5), 7);
-		assertThat(this.joiner.add(ONE, ofOne.get(0), 0)).isEmpty();
-		assertThat(this.joiner.add(TWO, ofTwo.get(1), 0)).isEmpty();
-		assertThat(this.joiner.add(TWO, ofTwo.get(0), 0)).hasValue(message(2000, 5));
-		assertThat(this.joiner.add(ONE, ofOne.get(1), 0)).hasValue(message(2000, 4));
+		List<byte[]> partsOfOne = DatagramSplitter.split(message(2000, 4), 7);
+		List<byte[]> partsOfTwo = DatagramSplitter.split(message(2000, 5), 7);
+		assertThat(this.assembler.add(FIRST_SENDER, partsOfOne.get(0), 0)).isEmpty();
+		assertThat(this.assembler.add(SECOND_SENDER, partsOfTwo.get(1), 0)).isEmpty();
+		assertThat(this.assembler.add(SECOND_SENDER, partsOfTwo.get(0), 0)).hasValue(message(2000, 5));
+		assertThat(this.assembler.add(FIRST_SENDER, partsOfOne.get(1), 0)).hasValue(message(2000, 4));
 	}
 
 	@Test
 	void duplicatePartCountsOnce() throws Exception {
 		List<byte[]> datagrams = DatagramSplitter.split(message(2000, 6), 7);
-		this.joiner.add(ONE, datagrams.get(0), 0);
-		assertThat(this.joiner.add(ONE, datagrams.get(0), 0)).isEmpty();
-		assertThat(this.joiner.add(ONE, datagrams.get(1), 0)).isPresent();
+		this.assembler.add(FIRST_SENDER, datagrams.get(0), 0);
+		assertThat(this.assembler.add(FIRST_SENDER, datagrams.get(0), 0)).isEmpty();
+		assertThat(this.assembler.add(FIRST_SENDER, datagrams.get(1), 0)).isPresent();
 	}
 
 	// A node whose link loses packets leaves incomplete messages behind, several a
@@ -80,17 +80,19 @@
 	@Test
 	void incompleteMessagesAreDiscarded() throws Exception {
 		for (int number = 0; number < 10_000; number++) {
-			this.joiner.add(ONE, DatagramSplitter.split(message(2000, 8), number).get(0), 0);
+			this.assembler.add(FIRST_SENDER, DatagramSplitter.split(message(2000, 8), number).get(0), 0);
 		}
-		assertThat(this.joiner.incompleteCount()).isLessThan(200);
-		this.joiner.add(ONE, DatagramSplitter.split(message(2000, 8), 1).get(0), Duration.ofSeconds(5).toNanos());
-		assertThat(this.joiner.incompleteCount()).isEqualTo(1);
+		assertThat(this.assembler.incompleteCount()).isLessThan(200);
+		this.assembler.add(FIRST_SENDER, DatagramSplitter.split(message(2000, 8), 1).get(0),
+				Duration.ofSeconds(5).toNanos());
+		assertThat(this.assembler.incompleteCount()).isEqualTo(1);
 	}
 
 	@Test
 	void partWithAnotherPartCountIsRefused() throws Exception {
-		this.joiner.add(ONE, DatagramSplitter.split(message(2000, 9), 7).get(0), 0);
-		assertThatThrownBy(() -> this.joiner.add(ONE, DatagramSplitter.split(message(9000, 9), 7).get(5), 0))
+		this.assembler.add(FIRST_SENDER, DatagramSplitter.split(message(2000, 9), 7).get(0), 0);
+		assertThatThrownBy(
+				() -> this.assembler.add(FIRST_SENDER, DatagramSplitter.split(message(9000, 9), 7).get(5), 0))
 			.isInstanceOf(java.io.IOException.class);
 	}
 
--- a/src/test/java/sycamorehill/entry/EntryNodeTests.java
+++ b/src/test/java/sycamorehill/entry/EntryNodeTests.java
@@ -43,7 +43,7 @@
  */
 class EntryNodeTests {
 
-	private static final String GOOD = "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Signature: s\r\n"
+	private static final String SIGNED_ANSWER = "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Signature: s\r\n"
 			+ "Content-Length: 5\r\n\r\nhello";
 
 	private RawTarget target;
@@ -90,8 +90,8 @@
 		return new EntryPorts(PlatformTestCodec.create(),
 				Fixed.of(new StoredConfiguration(ServingSamples.configuration(1), "")),
 				(text) -> new StoredConfiguration(ServingSamples.configuration(2), text),
-				Fixed.of(new TargetChange(entry.name(), Optional.of(entry))), new NoRegister(), new NoLease(),
-				new NoEngines());
+				Fixed.of(new TargetChange(entry.name(), Optional.of(entry))), new EmptyRegistry(),
+				new UnavailableLeaseStore(), new UnreachableEngines());
 	}
 
 	private Socket connect() throws IOException {
@@ -130,7 +130,7 @@
 	// became of it, how long it took, by service.
 	@Test
 	void metricsCountRequestsByOutcome() throws Exception {
-		start((request) -> GOOD);
+		start((request) -> SIGNED_ANSWER);
 		ask(request("POST", "/once/x", "Content-Length: 3\r\n\r\nabc"));
 		ask(request("GET", "/nowhere/", "\r\n"));
 		String page = metricsPage("/metrics");
@@ -152,7 +152,7 @@
 
 	@Test
 	void forwardsRequestWithoutApiKeyAndReturnsAnswer() throws Exception {
-		start((request) -> GOOD);
+		start((request) -> SIGNED_ANSWER);
 		assertThat(ask(request("POST", "/once/x?y=1", "Content-Length: 3\r\n\r\nabc"))).startsWith("HTTP/1.1 200")
 			.contains("Server-Signature: s")
 			.endsWith("hello");
@@ -167,7 +167,7 @@
 	// lengths. A target that goes by the other length would run the hidden one.
 	@Test
 	void refusesRequestWithAmbiguousLength() throws Exception {
-		start((request) -> GOOD);
+		start((request) -> SIGNED_ANSWER);
 		for (String framing : List.of(
 				"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /once/h HTTP/1.1\r\n\r\n",
 				"Content-Length: 4\r\nContent-Length: 5\r\n\r\nabcde", "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
@@ -179,7 +179,7 @@
 
 	@Test
 	void refusesTooLargeHeadAndBody() throws Exception {
-		start((request) -> GOOD);
+		start((request) -> SIGNED_ANSWER);
 		assertThat(ask(request("GET", "/once/x", "Filler: " + "x".repeat(20_000) + "\r\n\r\n")))
 			.startsWith("HTTP/1.1 431");
 		assertThat(ask(request("POST", "/once/x", "Content-Length: 99999999\r\n\r\n"))).startsWith("HTTP/1.1 413");
@@ -190,7 +190,7 @@
 	// caller must not get it, and an order must not be promised as not run.
 	@Test
 	void rejectsAnswerToAnotherRequest() throws Exception {
-		start((request) -> GOOD.replace("a1", "other"));
+		start((request) -> SIGNED_ANSWER.replace("a1", "other"));
 		assertThat(ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"))).startsWith("HTTP/1.1 502");
 	}
 
@@ -198,7 +198,7 @@
 	// success.
 	@Test
 	void holdsPlainAnswerUntilComplete() throws Exception {
-		start((request) -> GOOD.replace("hello", "he") + '\0');
+		start((request) -> SIGNED_ANSWER.replace("hello", "he") + '\0');
 		assertThat(ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"))).startsWith("HTTP/1.1 502")
 			.doesNotContain("he\r\n");
 	}
@@ -207,7 +207,7 @@
 	// request on the same connection of the caller gets its own answer.
 	@Test
 	void dropsBytesAfterCompleteAnswer() throws Exception {
-		start((request) -> GOOD + GOOD.replace("hello", "EXTRA"));
+		start((request) -> SIGNED_ANSWER + SIGNED_ANSWER.replace("hello", "EXTRA"));
 		String kept = request("POST", "/once/x", "Content-Length: 0\r\n\r\n").replace("Connection: close\r\n", "");
 		try (Socket socket = connect()) {
 			socket.setSoTimeout(600);
@@ -220,7 +220,7 @@
 
 	@Test
 	void forwardsFailureOfTarget() throws Exception {
-		start((request) -> GOOD.replace("200 OK", "500 Server Error"));
+		start((request) -> SIGNED_ANSWER.replace("200 OK", "500 Server Error"));
 		assertThat(ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"))).startsWith("HTTP/1.1 500")
 			.contains("Server-Signature: s");
 	}
@@ -234,7 +234,7 @@
 
 	@Test
 	void refusesUnknownApiKeyAndPath() throws Exception {
-		start((request) -> GOOD);
+		start((request) -> SIGNED_ANSWER);
 		assertThat(ask(request("GET", "/once/x", "\r\n").replace("Token key", "Token other")))
 			.startsWith("HTTP/1.1 401");
 		assertThat(ask(request("GET", "/elsewhere/x", "\r\n"))).startsWith("HTTP/1.1 404");
@@ -243,7 +243,7 @@
 	// A target in need gets more requests than it said that it takes.
 	@Test
 	void rateLimitOfTargetIsRespected() throws Exception {
-		start((request) -> GOOD.replace("Content-Length", "Server-Limit: 1.0\r\nContent-Length"));
+		start((request) -> SIGNED_ANSWER.replace("Content-Length", "Server-Limit: 1.0\r\nContent-Length"));
 		ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"));
 		Thread.sleep(500);
 		int before = this.target.requests().size();
@@ -259,8 +259,8 @@
 	@Test
 	void unsignedAnswerDoesNotLiftRateLimit() throws Exception {
 		AtomicInteger answered = new AtomicInteger();
-		start((request) -> (answered.incrementAndGet() == 2) ? GOOD.replace("Server-Signature: s\r\n", "")
-				: GOOD.replace("Content-Length", "Server-Limit: 0.5\r\nContent-Length"));
+		start((request) -> (answered.incrementAndGet() == 2) ? SIGNED_ANSWER.replace("Server-Signature: s\r\n", "")
+				: SIGNED_ANSWER.replace("Content-Length", "Server-Limit: 0.5\r\nContent-Length"));
 		ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"));
 		Thread.sleep(2200);
 		ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"));
@@ -304,7 +304,7 @@
 	/**
 	 * Takes entries and keeps none.
 	 */
-	private static final class NoRegister implements NodeRegistry {
+	private static final class EmptyRegistry implements NodeRegistry {
 
 		@Override
 		public CompletableFuture<Void> register(NodeRecord node) {
@@ -326,7 +326,7 @@
 	/**
 	 * A lease that nobody gets.
 	 */
-	private static final class NoLease implements LeaseStore {
+	private static final class UnavailableLeaseStore implements LeaseStore {
 
 		@Override
 		public CompletableFuture<LeaseAnswer> read() {
@@ -348,7 +348,7 @@
 	/**
 	 * Engines that answer nothing.
 	 */
-	private static final class NoEngines implements EnginePort {
+	private static final class UnreachableEngines implements EnginePort {
 
 		@Override
 		public CompletableFuture<EngineCommandAnswer> sendCommand(TargetAddress engine, EngineCommandRequest command,
--- a/src/test/java/sycamorehill/entry/RawTarget.java
+++ b/src/test/java/sycamorehill/entry/RawTarget.java
@@ -99,9 +99,9 @@
 			text.append((char) next);
 		}
 		int length = text.toString().toLowerCase().indexOf("content-length: ");
-		int left = (length < 0) ? 0
+		int bodyLength = (length < 0) ? 0
 				: Integer.parseInt(text.substring(length + 16, text.indexOf("\r\n", length)).trim());
-		for (int index = 0; index < left; index++) {
+		for (int index = 0; index < bodyLength; index++) {
 			text.append((char) in.read());
 		}
 		return text.toString();
