--- /dev/null
+++ b/src/main/java/sycamorehill/entry/AnswerHandler.java
@@ -0,0 +1,32 @@
+package sycamorehill.entry;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.handler.codec.http.HttpResponse;
+
+/**
+ * Receives the answer to the request that was sent on a connection.
+ */
+interface AnswerHandler {
+
+	/**
+	 * Handles the head of the answer.
+	 * @param response the head of the answer
+	 */
+	void handleHead(HttpResponse response);
+
+	/**
+	 * Handles a part of the answer's body. The implementation must not keep the buffer.
+	 * @param bytes the part of the body
+	 */
+	void handleBody(ByteBuf bytes);
+
+	/** Handles the end of a complete answer. */
+	void handleEnd();
+
+	/**
+	 * Handles a connection that failed, or that carried something other than an answer.
+	 * @param cause the description of the failure
+	 */
+	void handleFailure(String cause);
+
+}
--- a/src/main/java/sycamorehill/entry/CallClient.java
+++ b/src/main/java/sycamorehill/entry/CallClient.java
@@ -22,40 +22,44 @@
 import sycamorehill.model.serving.TargetAddress;
 
 /**
- * Makes calls of our own, to the store and to engines, with a bound on each.
+ * Makes HTTP calls on behalf of the node itself, to the store and to engines. Each call
+ * has a timeout.
  */
 public final class CallClient {
 
-	/** Longest answer; the store's values are 1 MB at most, and lists a little more. */
-	private static final int MOST_BYTES = 32 * 1024 * 1024;
+	/**
+	 * Maximum size of an answer: the store's values are at most 1 MB, and its lists are a
+	 * little larger.
+	 */
+	private static final int MAXIMUM_ANSWER_BYTES = 32 * 1024 * 1024;
 
-	private static final Duration LONGEST_IDLE = Duration.ofSeconds(5);
+	private static final Duration MAXIMUM_IDLE_TIME = Duration.ofSeconds(5);
 
-	private final TargetConnections connections;
+	private final TargetConnectionPool connections;
 
-	private CallClient(TargetConnections connections) {
+	private CallClient(TargetConnectionPool connections) {
 		this.connections = connections;
 	}
 
-	static CallClient of(TargetConnections connections) {
+	static CallClient of(TargetConnectionPool connections) {
 		return new CallClient(connections);
 	}
 
 	/**
 	 * Makes a call.
-	 * @param call what to call
-	 * @param expected name and value of a header to set; null for none
-	 * @param timeout bound on the whole call
-	 * @return the answer, or a {@link CallFailedException}
+	 * @param call the call to make
+	 * @param header the header to set; null for none
+	 * @param timeout the timeout of the whole call
+	 * @return the answer; completes with a {@link CallFailedException} if there is none
 	 */
-	public CompletableFuture<CallAnswer> call(Call call, Header expected, Duration timeout) {
+	public CompletableFuture<CallAnswer> call(Call call, Header header, Duration timeout) {
 		CompletableFuture<CallAnswer> answer = new CompletableFuture<>();
-		this.connections.loop().execute(() -> start(call, expected, timeout, answer));
+		this.connections.loop().execute(() -> start(call, header, timeout, answer));
 		return answer;
 	}
 
 	private void start(Call call, Header header, Duration timeout, CompletableFuture<CallAnswer> answer) {
-		TargetConnection idle = this.connections.takeIdle(call.address(), LONGEST_IDLE);
+		TargetConnection idle = this.connections.acquireIdle(call.address(), MAXIMUM_IDLE_TIME);
 		if (idle != null) {
 			send(idle, call, header, timeout, answer);
 			return;
@@ -90,26 +94,26 @@
 		if (header != null) {
 			request.headers().set(header.name(), header.value());
 		}
-		Reading reading = new Reading(connection, call.address(), answer);
-		connection.await(reading);
-		reading.bound(timeout);
+		AnswerCollector reading = new AnswerCollector(connection, call.address(), answer);
+		connection.expectAnswer(reading);
+		reading.startTimer(timeout);
 		connection.context().writeAndFlush(request);
 	}
 
 	/**
-	 * What to call.
+	 * Describes a call.
 	 *
-	 * @param address where
+	 * @param address the server to call
 	 * @param method the HTTP method
-	 * @param path the path with its query
-	 * @param body the body in JSON; empty for none
+	 * @param path the path, with the query
+	 * @param body the JSON body; empty for none
 	 */
 	public record Call(TargetAddress address, HttpMethod method, String path, byte[] body) {
 
 		/**
-		 * A call without a body.
-		 * @param address where
-		 * @param path the path with its query
+		 * Creates a GET call without a body.
+		 * @param address the server to call
+		 * @param path the path, with the query
 		 * @return the call
 		 */
 		public static Call get(TargetAddress address, String path) {
@@ -119,18 +123,18 @@
 	}
 
 	/**
-	 * A header of a call.
+	 * Header of a call.
 	 *
-	 * @param name its name
-	 * @param value its value
+	 * @param name the name of the header
+	 * @param value the value of the header
 	 */
 	public record Header(String name, String value) {
 	}
 
 	/**
-	 * Reads one answer.
+	 * Collects one answer and completes the call with it.
 	 */
-	private final class Reading implements AnswerReader {
+	private final class AnswerCollector implements AnswerHandler {
 
 		private final TargetConnection connection;
 
@@ -144,37 +148,38 @@
 
 		private ScheduledFuture<?> timer;
 
-		Reading(TargetConnection connection, TargetAddress address, CompletableFuture<CallAnswer> answer) {
+		AnswerCollector(TargetConnection connection, TargetAddress address, CompletableFuture<CallAnswer> answer) {
 			this.connection = connection;
 			this.address = address;
 			this.answer = answer;
 		}
 
-		void bound(Duration timeout) {
+		void startTimer(Duration timeout) {
 			this.timer = CallClient.this.connections.loop()
-				.schedule(() -> giveUp("no answer in " + timeout), timeout.toNanos(), TimeUnit.NANOSECONDS);
+				.schedule(() -> abort("no answer in " + timeout), timeout.toNanos(), TimeUnit.NANOSECONDS);
 		}
 
 		@Override
-		public void head(HttpResponse response) {
+		public void handleHead(HttpResponse response) {
 			this.head = response;
 		}
 
 		@Override
-		public void body(ByteBuf bytes) {
-			if (this.body.readableBytes() + bytes.readableBytes() > MOST_BYTES) {
-				giveUp("the answer is longer than " + MOST_BYTES + " bytes");
+		public void handleBody(ByteBuf bytes) {
+			if (this.body.readableBytes() + bytes.readableBytes() > MAXIMUM_ANSWER_BYTES) {
+				abort("the answer is longer than " + MAXIMUM_ANSWER_BYTES + " bytes");
 				return;
 			}
 			this.body.writeBytes(bytes);
 		}
 
-		// A timer that is not cancelled wakes the process though the answer is there.
+		// Cancels the timer, which would otherwise wake the process although the answer
+		// has arrived.
 		@Override
-		public void end() {
+		public void handleEnd() {
 			this.timer.cancel(false);
 			if (HttpUtil.isKeepAlive(this.head)) {
-				CallClient.this.connections.giveBack(this.address, this.connection, LONGEST_IDLE.multipliedBy(2));
+				CallClient.this.connections.release(this.address, this.connection, MAXIMUM_IDLE_TIME.multipliedBy(2));
 			}
 			else {
 				this.connection.close();
@@ -185,15 +190,15 @@
 		}
 
 		@Override
-		public void broken(String cause) {
+		public void handleFailure(String cause) {
 			this.timer.cancel(false);
 			this.answer.completeExceptionally(CallFailedException.of(CallFailedException.Cause.NO_ANSWER, cause));
 		}
 
-		void giveUp(String cause) {
+		void abort(String cause) {
 			if (!this.answer.isDone()) {
 				this.connection.reset();
-				broken(cause);
+				handleFailure(cause);
 			}
 		}
 
--- /dev/null
+++ b/src/main/java/sycamorehill/entry/CallerExchange.java
@@ -0,0 +1,292 @@
+package sycamorehill.entry;
+
+import java.time.Duration;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.concurrent.TimeUnit;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.EventLoop;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.DefaultHttpContent;
+import io.netty.handler.codec.http.DefaultHttpResponse;
+import io.netty.handler.codec.http.EmptyHttpHeaders;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaderValues;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.util.CharsetUtil;
+import io.netty.util.concurrent.ScheduledFuture;
+
+import sycamorehill.model.serving.EntryEffect;
+import sycamorehill.model.serving.EntryEvent;
+
+/**
+ * Request of a caller and its answer. Runs on the single event loop of the node.
+ */
+final class CallerExchange {
+
+	private final long number;
+
+	private final CallerConnection callerConnection;
+
+	private final HttpRequest request;
+
+	private final ByteBuf requestBody;
+
+	private final CallerRequestHead caller;
+
+	private final long arrivedNanos;
+
+	private final ExchangeCodec codec;
+
+	private Optional<Duration> timeLimit = Optional.empty();
+
+	private ScheduledFuture<?> timer;
+
+	private TargetAttempt attempt;
+
+	private HttpResponse heldHead;
+
+	private ByteBuf heldBody;
+
+	private boolean streamStarted;
+
+	private boolean finished;
+
+	private OptionalLong lastEventNumber = OptionalLong.empty();
+
+	private Optional<String> weightsVersion = Optional.empty();
+
+	private long lastEventNanos;
+
+	private long maximumPauseNanos;
+
+	private CallerExchange(long number, CallerConnection connection, HttpRequest request, ByteBuf requestBody,
+			CallerRequestHead caller, long arrivedNanos, ExchangeCodec codec) {
+		this.number = number;
+		this.callerConnection = connection;
+		this.request = request;
+		this.requestBody = requestBody;
+		this.caller = caller;
+		this.arrivedNanos = arrivedNanos;
+		this.codec = codec;
+	}
+
+	static CallerExchange of(long number, CallerConnection connection, HttpRequest request, ByteBuf requestBody,
+			CallerRequestHead caller, long arrivedNanos, ExchangeCodec codec) {
+		return new CallerExchange(number, connection, request, requestBody, caller, arrivedNanos, codec);
+	}
+
+	long number() {
+		return this.number;
+	}
+
+	String identifier() {
+		return this.caller.identifier();
+	}
+
+	HttpRequest request() {
+		return this.request;
+	}
+
+	ByteBuf requestBody() {
+		return this.requestBody.retainedDuplicate();
+	}
+
+	Optional<String> resumeAfter() {
+		return this.lastEventNumber.isPresent() ? Optional.of(String.valueOf(this.lastEventNumber.getAsLong()))
+				: this.caller.resumeAfter();
+	}
+
+	Optional<String> weightsVersion() {
+		return this.streamStarted ? this.weightsVersion : Optional.empty();
+	}
+
+	boolean streamStarted() {
+		return this.streamStarted;
+	}
+
+	void limitTime(Duration timeout, EventLoop loop, EventSink eventSink) {
+		this.timeLimit = Optional.of(timeout);
+		long left = timeout.toNanos() - (System.nanoTime() - this.arrivedNanos);
+		this.timer = loop.schedule(() -> eventSink.post(new EntryEvent.TimedOut(this.number)), Math.max(0, left),
+				TimeUnit.NANOSECONDS);
+	}
+
+	Optional<Duration> timeLeft() {
+		return this.timeLimit.map((timeout) -> timeout.minusNanos(System.nanoTime() - this.arrivedNanos));
+	}
+
+	void startAttempt(EntryEffect.StartAttempt start, TargetConnectionPool connections, TargetActivity activity,
+			EventSink eventSink) {
+		if (this.finished) {
+			return;
+		}
+		this.attempt = TargetAttempt.start(start, this, connections, activity, this.codec, eventSink);
+	}
+
+	void cancelAttempt() {
+		if (this.attempt != null) {
+			this.attempt.cancel();
+		}
+	}
+
+	void pause(boolean paused) {
+		if (this.attempt != null) {
+			this.attempt.pause(paused);
+		}
+	}
+
+	void holdFailure(HttpResponse head, ByteBuf body) {
+		releaseHeldFailure();
+		this.heldHead = head;
+		this.heldBody = body;
+	}
+
+	void returnHeldFailure() {
+		if (this.heldHead == null || this.finished) {
+			return;
+		}
+		ByteBuf body = this.heldBody;
+		this.heldBody = null;
+		deliver(this.heldHead, body);
+	}
+
+	/**
+	 * Returns the complete answer of a target to the caller.
+	 * @param head the head of the answer
+	 * @param body the body of the answer; it is released
+	 */
+	void deliver(HttpResponse head, ByteBuf body) {
+		if (this.finished) {
+			body.release();
+			return;
+		}
+		HttpHeaders headers = this.codec.callerHeaders(head);
+		finishWithFullAnswer(head.status(), headers, body);
+	}
+
+	/**
+	 * Returns an answer that the node produces itself.
+	 * @param status the HTTP status
+	 * @param detail the reason, sent as the body
+	 * @param retryAfter the time after which the caller may retry
+	 */
+	void answerLocally(int status, String detail, Optional<Duration> retryAfter) {
+		if (this.finished) {
+			return;
+		}
+		HttpHeaders headers = this.codec.localAnswerHeaders(identifier(), retryAfter);
+		finishWithFullAnswer(HttpResponseStatus.valueOf(status), headers,
+				Unpooled.copiedBuffer(detail + "\n", CharsetUtil.UTF_8));
+	}
+
+	private void finishWithFullAnswer(HttpResponseStatus status, HttpHeaders headers, ByteBuf body) {
+		headers.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+		finish();
+		this.callerConnection.finish(
+				new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body, headers, EmptyHttpHeaders.INSTANCE));
+	}
+
+	/**
+	 * Starts the stream to the caller with the head of the first target that sent an
+	 * event.
+	 * @param head the head of the target's answer
+	 * @param parsedHead the same head, parsed
+	 */
+	void startStream(HttpResponse head, TargetResponseHead parsedHead) {
+		if (this.streamStarted || this.finished) {
+			return;
+		}
+		this.streamStarted = true;
+		this.weightsVersion = parsedHead.weightsVersion();
+		HttpHeaders headers = this.codec.callerHeaders(head);
+		headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+		this.callerConnection.write(new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status(), headers));
+	}
+
+	/**
+	 * Forwards an event. Drops events that the caller already received from a previous
+	 * target.
+	 * @param event the event; it is released
+	 * @param eventNumber the number of the event
+	 */
+	void forwardEvent(ByteBuf event, OptionalLong eventNumber) {
+		boolean known = eventNumber.isPresent() && this.lastEventNumber.isPresent()
+				&& eventNumber.getAsLong() <= this.lastEventNumber.getAsLong();
+		if (this.finished || known) {
+			event.release();
+			return;
+		}
+		if (eventNumber.isPresent()) {
+			this.lastEventNumber = eventNumber;
+		}
+		long now = System.nanoTime();
+		if (this.lastEventNanos != 0) {
+			this.maximumPauseNanos = Math.max(this.maximumPauseNanos, now - this.lastEventNanos);
+		}
+		this.lastEventNanos = now;
+		this.callerConnection.write(new DefaultHttpContent(event));
+	}
+
+	Duration maximumPause() {
+		return Duration.ofNanos(this.maximumPauseNanos);
+	}
+
+	void flush() {
+		if (!this.finished) {
+			this.callerConnection.flush();
+		}
+	}
+
+	void endStream() {
+		if (!this.finished) {
+			finish();
+			this.callerConnection.finish(LastHttpContent.EMPTY_LAST_CONTENT);
+		}
+	}
+
+	/**
+	 * Closes the connection to the caller within the answer, so that the caller can't
+	 * mistake the answer for a complete one.
+	 */
+	void abortAnswer() {
+		if (!this.finished) {
+			finish();
+			this.callerConnection.abort();
+		}
+	}
+
+	// Cancels the attempt after the caller disconnected.
+	void handleCallerDisconnected(EventSink eventSink) {
+		if (!this.finished) {
+			cancelAttempt();
+			finish();
+			eventSink.post(new EntryEvent.CallerGone(this.number));
+		}
+	}
+
+	private void finish() {
+		this.finished = true;
+		this.callerConnection.removeExchange(this);
+		if (this.timer != null) {
+			this.timer.cancel(false);
+		}
+		releaseHeldFailure();
+		this.requestBody.release();
+	}
+
+	private void releaseHeldFailure() {
+		if (this.heldBody != null) {
+			this.heldBody.release();
+			this.heldBody = null;
+		}
+	}
+
+}
--- a/src/main/java/sycamorehill/entry/FeedReader.java
+++ b/src/main/java/sycamorehill/entry/FeedReader.java
@@ -10,16 +10,17 @@
 import sycamorehill.runtime.EventLog;
 
 /**
- * Follows one kind of objects: reads all, then the changes, and all again when the store
- * has forgotten the changes or shows an older state than before.
+ * Follows the objects of one kind: lists all of them, then reads their changes. Lists
+ * them again when the store no longer holds the changes or returns an older revision than
+ * before.
  *
- * @param <T> what is told of an object
+ * @param <T> the type of an object or change
  */
 final class FeedReader<T> {
 
-	private static final Duration FIRST_RETRY = Duration.ofMillis(100);
+	private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(100);
 
-	private static final Duration LONGEST_RETRY = Duration.ofMillis(400);
+	private static final Duration MAXIMUM_RETRY_DELAY = Duration.ofMillis(400);
 
 	private final Supplier<Pace> pace;
 
@@ -27,185 +28,187 @@
 
 	private final Feed<T> feed;
 
-	private final ScheduledExecutorService control;
+	private final ScheduledExecutorService executor;
 
 	private final Listener<T> listener;
 
-	private boolean lost;
+	private boolean storeUnreachable;
 
-	private boolean wanted;
+	private boolean readRequested;
 
-	private boolean resting;
+	private boolean paused;
 
 	private long revision = -1;
 
-	private Duration retry = FIRST_RETRY;
+	private Duration retryDelay = INITIAL_RETRY_DELAY;
 
-	private FeedReader(Supplier<Pace> pace, String name, Feed<T> feed, ScheduledExecutorService control,
+	private FeedReader(Supplier<Pace> pace, String name, Feed<T> feed, ScheduledExecutorService executor,
 			Listener<T> listener) {
 		this.pace = pace;
 		this.name = name;
 		this.feed = feed;
-		this.control = control;
+		this.executor = executor;
 		this.listener = listener;
 	}
 
-	static <T> FeedReader<T> of(Supplier<Pace> pace, String name, Feed<T> feed, ScheduledExecutorService control,
+	static <T> FeedReader<T> of(Supplier<Pace> pace, String name, Feed<T> feed, ScheduledExecutorService executor,
 			Listener<T> listener) {
-		return new FeedReader<>(pace, name, feed, control, listener);
+		return new FeedReader<>(pace, name, feed, executor, listener);
 	}
 
 	void start() {
-		this.control.execute(this::next);
+		this.executor.execute(this::readNext);
 	}
 
 	/**
-	 * Reads the changes now, though this node rests.
+	 * Reads the changes now, even if the reader is paused.
 	 */
 	void readNow() {
-		this.wanted = true;
-		if (this.resting) {
-			this.resting = false;
-			next();
+		this.readRequested = true;
+		if (this.paused) {
+			this.paused = false;
+			readNext();
 		}
 	}
 
 	/**
-	 * Looks whether a node that rests has to read for itself again. Called several times
-	 * a second, with all else that is looked at then: each wake-up costs processor time.
+	 * Resumes reading when no other node forwards store updates any more. Called several
+	 * times a second together with the other periodic checks, because each wake-up costs
+	 * processor time.
 	 */
-	void look() {
-		if (this.resting && !this.pace.get().rests()) {
-			this.resting = false;
-			next();
+	void resumeIfNeeded() {
+		if (this.paused && !this.pace.get().receivesStoreUpdates()) {
+			this.paused = false;
+			readNext();
 		}
 	}
 
 	/**
-	 * Goes on after a revision that this node was told of. What a list is still due for
-	 * was not told: it stays due.
-	 * @param known the revision
+	 * Advances to a revision whose changes another node forwarded. A list that is still
+	 * due stays due, because the forwarded changes don't replace it.
+	 * @param knownRevision the revision
 	 */
-	void known(long known) {
+	void advanceRevision(long knownRevision) {
 		if (this.revision >= 0) {
-			this.revision = Math.max(this.revision, known);
+			this.revision = Math.max(this.revision, knownRevision);
 		}
 	}
 
-	private void next() {
-		boolean all = this.revision < 0;
-		if (!all && !this.wanted && this.pace.get().rests()) {
-			this.resting = true;
+	private void readNext() {
+		boolean listing = this.revision < 0;
+		if (!listing && !this.readRequested && this.pace.get().receivesStoreUpdates()) {
+			this.paused = true;
 			return;
 		}
-		Duration wait = this.wanted ? Duration.ZERO : longestWait();
-		this.wanted = false;
+		Duration wait = this.readRequested ? Duration.ZERO : maximumWait();
+		this.readRequested = false;
 		long since = this.revision;
-		(all ? this.feed.list() : this.feed.changes(since, wait)).whenCompleteAsync((page, failure) -> {
+		(listing ? this.feed.list() : this.feed.changes(since, wait)).whenCompleteAsync((page, failure) -> {
 			if (failure != null) {
-				failed(failure);
+				handleFailure(failure);
 			}
 			else if (since != this.revision) {
-				passOver(page);
+				skipOutdated(page);
 			}
 			else {
-				read(page, all);
+				handlePage(page, listing);
 			}
-		}, this.control);
+		}, this.executor);
 	}
 
-	// While the call waited, another node told of changes that this answer may repeat: an
-	// older state would follow a newer one. What is not known yet is asked for again.
-	private void passOver(Feed.Page<T> page) {
-		this.lost = false;
-		this.wanted |= page.revision() > this.revision;
-		next();
+	// While the call waited, another node forwarded changes that this answer may repeat,
+	// and an older state would replace a newer one. Skips the answer and asks again for
+	// the changes that are not known yet.
+	private void skipOutdated(Feed.Page<T> page) {
+		this.storeUnreachable = false;
+		this.readRequested |= page.revision() > this.revision;
+		readNext();
 	}
 
-	// While the store is away a call that waits would hang on a dead connection long
-	// after the store is back: calls are short until one is answered.
-	private Duration longestWait() {
-		return this.lost ? Duration.ZERO : this.pace.get().longestWait();
+	// While the store is unreachable, a call that waits would hang on a dead connection
+	// long after the store is reachable again. Calls don't wait until one is answered.
+	private Duration maximumWait() {
+		return this.storeUnreachable ? Duration.ZERO : this.pace.get().maximumWait();
 	}
 
-	private void read(Feed.Page<T> page, boolean all) {
-		this.lost = false;
-		this.retry = FIRST_RETRY;
+	private void handlePage(Feed.Page<T> page, boolean listing) {
+		this.storeUnreachable = false;
+		this.retryDelay = INITIAL_RETRY_DELAY;
 		long since = this.revision;
-		if (!all && page.revision() < this.revision) {
-			EventLog.failure(LogEvent.STORE_CONTACT,
-					this.name + ": the store went back from " + this.revision + " to " + page.revision(), null);
+		if (!listing && page.revision() < this.revision) {
+			EventLog.failure(LogEvent.STORE_CONTACT, this.name + ": the revision of the store decreased from "
+					+ this.revision + " to " + page.revision(), null);
 			this.revision = -1;
-			later(this.pace.get().afterChange());
+			scheduleNext(this.pace.get().pauseAfterChange());
 			return;
 		}
 		this.revision = page.revision();
-		if (all) {
-			this.listener.listed(page);
+		if (listing) {
+			this.listener.handleList(page);
 		}
 		else {
-			this.listener.changed(page, since);
+			this.listener.handleChanges(page, since);
 		}
-		later((all || !page.items().isEmpty()) ? this.pace.get().afterChange() : Duration.ZERO);
+		scheduleNext((listing || !page.items().isEmpty()) ? this.pace.get().pauseAfterChange() : Duration.ZERO);
 	}
 
-	private void failed(Throwable failure) {
+	private void handleFailure(Throwable failure) {
 		Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
 		if (cause instanceof Feed.HistoryGoneException) {
 			this.revision = -1;
-			later(this.pace.get().afterChange());
+			scheduleNext(this.pace.get().pauseAfterChange());
 			return;
 		}
-		this.lost = true;
-		this.listener.notReached();
-		later(this.retry);
-		Duration longer = this.retry.multipliedBy(2);
-		this.retry = (longer.compareTo(LONGEST_RETRY) > 0) ? LONGEST_RETRY : longer;
+		this.storeUnreachable = true;
+		this.listener.handleUnreachable();
+		scheduleNext(this.retryDelay);
+		Duration doubled = this.retryDelay.multipliedBy(2);
+		this.retryDelay = (doubled.compareTo(MAXIMUM_RETRY_DELAY) > 0) ? MAXIMUM_RETRY_DELAY : doubled;
 	}
 
-	private void later(Duration pause) {
+	private void scheduleNext(Duration pause) {
 		if (pause.isZero()) {
-			next();
+			readNext();
 		}
 		else {
-			this.control.schedule(this::next, pause.toMillis(), TimeUnit.MILLISECONDS);
+			this.executor.schedule(this::readNext, pause.toMillis(), TimeUnit.MILLISECONDS);
 		}
 	}
 
 	/**
-	 * How often the store is called.
+	 * Determines how often the store is called.
 	 *
-	 * @param longestWait how long a call waits in the store; a connection that went
-	 * silent is found out this much later
-	 * @param afterChange pause after an answer that brought changes, so that many changes
-	 * in a row cost few calls
-	 * @param rests whether another node reads for this one
+	 * @param maximumWait the time that a call waits in the store; a dead connection is
+	 * detected this much later
+	 * @param pauseAfterChange the pause after an answer that contained changes, so that a
+	 * series of changes takes few calls
+	 * @param receivesStoreUpdates whether another node reads the store for this one
 	 */
-	record Pace(Duration longestWait, Duration afterChange, boolean rests) {
+	record Pace(Duration maximumWait, Duration pauseAfterChange, boolean receivesStoreUpdates) {
 	}
 
 	/**
-	 * Takes what is read.
+	 * Receives the objects and changes.
 	 *
-	 * @param <T> what is told of an object
+	 * @param <T> the type of an object or change
 	 */
 	interface Listener<T> {
 
 		/**
-		 * Takes all objects.
+		 * Handles a list of all objects.
 		 * @param all the objects
 		 */
-		void listed(Feed.Page<T> all);
+		void handleList(Feed.Page<T> all);
 
 		/**
-		 * Takes changes.
-		 * @param changes the changes; none if the store had none to tell
-		 * @param since the revision after which they were asked for
+		 * Handles changes.
+		 * @param changes the changes; empty if the store had none
+		 * @param since the revision after which they were requested
 		 */
-		void changed(Feed.Page<T> changes, long since);
+		void handleChanges(Feed.Page<T> changes, long since);
 
-		/** The store did not answer. */
-		default void notReached() {
+		/** Handles a call that the store did not answer. */
+		default void handleUnreachable() {
 		}
 
 	}
--- a/src/main/java/sycamorehill/entry/PageServer.java
+++ b/src/main/java/sycamorehill/entry/PageServer.java
@@ -26,22 +26,23 @@
 import sycamorehill.runtime.EventLog;
 
 /**
- * Answers what the balancer and operators ask a node: one page a path.
+ * Serves the pages that the load balancer and operators request from a node, one page for
+ * each path.
  */
 final class PageServer {
 
-	private static final int MOST_BYTES = 8 * 1024;
+	private static final int MAXIMUM_REQUEST_BYTES = 8 * 1024;
 
 	private final EventLoop loop;
 
-	private final Pages pages;
+	private final PageSource pages;
 
-	private PageServer(EventLoop loop, Pages pages) {
+	private PageServer(EventLoop loop, PageSource pages) {
 		this.loop = loop;
 		this.pages = pages;
 	}
 
-	static PageServer of(EventLoop loop, Pages pages) {
+	static PageServer of(EventLoop loop, PageSource pages) {
 		return new PageServer(loop, pages);
 	}
 
@@ -53,7 +54,8 @@
 				@Override
 				protected void initChannel(Channel channel) {
 					channel.pipeline()
-						.addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BYTES), new Answering());
+						.addLast(new HttpServerCodec(), new HttpObjectAggregator(MAXIMUM_REQUEST_BYTES),
+								new PageRequestHandler());
 				}
 			})
 			.bind(address.host(), address.port())
@@ -61,13 +63,13 @@
 	}
 
 	/**
-	 * Gives the pages.
+	 * Provides the pages.
 	 */
-	interface Pages {
+	interface PageSource {
 
 		/**
-		 * Reads a page.
-		 * @param path the path asked for
+		 * Returns a page.
+		 * @param path the requested path
 		 * @return the page
 		 */
 		Page read(String path);
@@ -75,11 +77,11 @@
 	}
 
 	/**
-	 * A page.
+	 * Page with its status.
 	 *
 	 * @param status the HTTP status
-	 * @param contentType what the text is
-	 * @param text the page's text
+	 * @param contentType the content type of the text
+	 * @param text the text of the page
 	 */
 	record Page(HttpResponseStatus status, String contentType, String text) {
 
@@ -92,9 +94,9 @@
 	}
 
 	/**
-	 * Answers one question after the other.
+	 * Handles the requests of a connection one after another.
 	 */
-	private final class Answering extends SimpleChannelInboundHandler<FullHttpRequest> {
+	private final class PageRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
 		@Override
 		protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
@@ -107,7 +109,7 @@
 				return PageServer.this.pages.read(path);
 			}
 			catch (RuntimeException ex) {
-				EventLog.failure(LogEvent.EFFECT_FAILED, "a page could not be made", ex);
+				EventLog.failure(LogEvent.EFFECT_FAILED, "a page could not be created", ex);
 				return Page.empty(HttpResponseStatus.INTERNAL_SERVER_ERROR);
 			}
 		}
--- a/src/test/java/sycamorehill/entry/EntryNodeTests.java
+++ b/src/test/java/sycamorehill/entry/EntryNodeTests.java
@@ -43,7 +43,7 @@
  */
 class EntryNodeTests {
 
-	private static final String GOOD = "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Signature: s\r\n"
+	private static final String SIGNED_ANSWER = "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Signature: s\r\n"
 			+ "Content-Length: 5\r\n\r\nhello";
 
 	private RawTarget target;
@@ -90,8 +90,8 @@
 		return new EntryPorts(PlatformTestCodec.create(),
 				Fixed.of(new StoredConfiguration(ServingSamples.configuration(1), "")),
 				(text) -> new StoredConfiguration(ServingSamples.configuration(2), text),
-				Fixed.of(new TargetChange(entry.name(), Optional.of(entry))), new NoRegister(), new NoLease(),
-				new NoEngines());
+				Fixed.of(new TargetChange(entry.name(), Optional.of(entry))), new EmptyRegistry(),
+				new UnavailableLeaseStore(), new UnreachableEngines());
 	}
 
 	private Socket connect() throws IOException {
@@ -129,18 +129,18 @@
 	// An engineer sees requests fail and has only numbers to begin with: what came, what
 	// became of it, how long it took, by service.
 	@Test
-	void showsWhatBecameOfRequestsInNumbers() throws Exception {
-		start((request) -> GOOD);
+	void metricsCountRequestsByOutcome() throws Exception {
+		start((request) -> SIGNED_ANSWER);
 		ask(request("POST", "/once/x", "Content-Length: 3\r\n\r\nabc"));
 		ask(request("GET", "/nowhere/", "\r\n"));
-		String page = numbers("/metrics");
+		String page = metricsPage("/metrics");
 		assertThat(page).startsWith("HTTP/1.1 200")
 			.contains("requests_desk_SERVED 1.0", "requests_desk_SERVED_time_count 1.0", "configuration_version 1.0",
 					"requests_active 0.0", "targets_known 1.0", "events_REQUEST_REFUSED");
-		assertThat(numbers("/other")).startsWith("HTTP/1.1 404");
+		assertThat(metricsPage("/other")).startsWith("HTTP/1.1 404");
 	}
 
-	private String numbers(String path) throws IOException {
+	private String metricsPage(String path) throws IOException {
 		try (Socket socket = new Socket("127.0.0.1", this.settings.peerAddress().port())) {
 			socket.setSoTimeout(3000);
 			socket.getOutputStream()
@@ -151,8 +151,8 @@
 	}
 
 	@Test
-	void passesARequestOnWithoutItsKeyAndItsAnswerBack() throws Exception {
-		start((request) -> GOOD);
+	void forwardsRequestWithoutApiKeyAndReturnsAnswer() throws Exception {
+		start((request) -> SIGNED_ANSWER);
 		assertThat(ask(request("POST", "/once/x?y=1", "Content-Length: 3\r\n\r\nabc"))).startsWith("HTTP/1.1 200")
 			.contains("Server-Signature: s")
 			.endsWith("hello");
@@ -166,8 +166,8 @@
 	// A caller hides a second request in the body of the first, by giving it two
 	// lengths. A target that goes by the other length would run the hidden one.
 	@Test
-	void refusesARequestWithTwoLengths() throws Exception {
-		start((request) -> GOOD);
+	void refusesRequestWithAmbiguousLength() throws Exception {
+		start((request) -> SIGNED_ANSWER);
 		for (String framing : List.of(
 				"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /once/h HTTP/1.1\r\n\r\n",
 				"Content-Length: 4\r\nContent-Length: 5\r\n\r\nabcde", "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
@@ -178,8 +178,8 @@
 	}
 
 	@Test
-	void refusesAHeadAndABodyThatAreTooLarge() throws Exception {
-		start((request) -> GOOD);
+	void refusesTooLargeHeadAndBody() throws Exception {
+		start((request) -> SIGNED_ANSWER);
 		assertThat(ask(request("GET", "/once/x", "Filler: " + "x".repeat(20_000) + "\r\n\r\n")))
 			.startsWith("HTTP/1.1 431");
 		assertThat(ask(request("POST", "/once/x", "Content-Length: 99999999\r\n\r\n"))).startsWith("HTTP/1.1 413");
@@ -189,16 +189,16 @@
 	// An answer of another request arrives where the answer of this one is due: the
 	// caller must not get it, and an order must not be promised as not run.
 	@Test
-	void givesNobodyTheAnswerToAnotherRequest() throws Exception {
-		start((request) -> GOOD.replace("a1", "other"));
+	void rejectsAnswerToAnotherRequest() throws Exception {
+		start((request) -> SIGNED_ANSWER.replace("a1", "other"));
 		assertThat(ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"))).startsWith("HTTP/1.1 502");
 	}
 
 	// A target breaks off within a plain answer: the caller gets no part of it as a
 	// success.
 	@Test
-	void holdsAPlainAnswerBackUntilItIsWhole() throws Exception {
-		start((request) -> GOOD.replace("hello", "he") + '\0');
+	void holdsPlainAnswerUntilComplete() throws Exception {
+		start((request) -> SIGNED_ANSWER.replace("hello", "he") + '\0');
 		assertThat(ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"))).startsWith("HTTP/1.1 502")
 			.doesNotContain("he\r\n");
 	}
@@ -206,8 +206,8 @@
 	// A target sends more bytes after a whole answer. They belong to no request: the next
 	// request on the same connection of the caller gets its own answer.
 	@Test
-	void dropsBytesAfterAWholeAnswer() throws Exception {
-		start((request) -> GOOD + GOOD.replace("hello", "EXTRA"));
+	void dropsBytesAfterCompleteAnswer() throws Exception {
+		start((request) -> SIGNED_ANSWER + SIGNED_ANSWER.replace("hello", "EXTRA"));
 		String kept = request("POST", "/once/x", "Content-Length: 0\r\n\r\n").replace("Connection: close\r\n", "");
 		try (Socket socket = connect()) {
 			socket.setSoTimeout(600);
@@ -219,22 +219,22 @@
 	}
 
 	@Test
-	void givesATargetsFailureAsItIs() throws Exception {
-		start((request) -> GOOD.replace("200 OK", "500 Server Error"));
+	void forwardsFailureOfTarget() throws Exception {
+		start((request) -> SIGNED_ANSWER.replace("200 OK", "500 Server Error"));
 		assertThat(ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"))).startsWith("HTTP/1.1 500")
 			.contains("Server-Signature: s");
 	}
 
 	@Test
-	void saysWhenToComeBackAfterARefusalByTheTarget() throws Exception {
+	void sendsRetryAfterWhenTargetRefuses() throws Exception {
 		start((request) -> "HTTP/1.1 503 Full\r\nAttempt-Id: a1\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n");
 		assertThat(ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"))).startsWith("HTTP/1.1 503")
 			.containsPattern("(?i)retry-after: 0\\.\\d+");
 	}
 
 	@Test
-	void refusesAnUnknownKeyAndPath() throws Exception {
-		start((request) -> GOOD);
+	void refusesUnknownApiKeyAndPath() throws Exception {
+		start((request) -> SIGNED_ANSWER);
 		assertThat(ask(request("GET", "/once/x", "\r\n").replace("Token key", "Token other")))
 			.startsWith("HTTP/1.1 401");
 		assertThat(ask(request("GET", "/elsewhere/x", "\r\n"))).startsWith("HTTP/1.1 404");
@@ -242,8 +242,8 @@
 
 	// A target in need gets more requests than it said that it takes.
 	@Test
-	void aTargetThatNamedALimitGetsNoMoreThanItTakes() throws Exception {
-		start((request) -> GOOD.replace("Content-Length", "Server-Limit: 1.0\r\nContent-Length"));
+	void rateLimitOfTargetIsRespected() throws Exception {
+		start((request) -> SIGNED_ANSWER.replace("Content-Length", "Server-Limit: 1.0\r\nContent-Length"));
 		ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"));
 		Thread.sleep(500);
 		int before = this.target.requests().size();
@@ -257,10 +257,10 @@
 	// Wrong bytes that a target hands out are taken for its word that it is in need no
 	// more.
 	@Test
-	void anAnswerThatTheTargetDidNotSignLiftsNoLimit() throws Exception {
+	void unsignedAnswerDoesNotLiftRateLimit() throws Exception {
 		AtomicInteger answered = new AtomicInteger();
-		start((request) -> (answered.incrementAndGet() == 2) ? GOOD.replace("Server-Signature: s\r\n", "")
-				: GOOD.replace("Content-Length", "Server-Limit: 0.5\r\nContent-Length"));
+		start((request) -> (answered.incrementAndGet() == 2) ? SIGNED_ANSWER.replace("Server-Signature: s\r\n", "")
+				: SIGNED_ANSWER.replace("Content-Length", "Server-Limit: 0.5\r\nContent-Length"));
 		ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"));
 		Thread.sleep(2200);
 		ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"));
@@ -304,20 +304,20 @@
 	/**
 	 * Takes entries and keeps none.
 	 */
-	private static final class NoRegister implements NodeRegister {
+	private static final class EmptyRegistry implements NodeRegistry {
 
 		@Override
-		public CompletableFuture<Void> enter(NodeRecord node) {
+		public CompletableFuture<Void> register(NodeRecord node) {
 			return CompletableFuture.completedFuture(null);
 		}
 
 		@Override
-		public CompletableFuture<List<NodeRecord>> list(boolean present) {
+		public CompletableFuture<List<NodeRecord>> list(boolean consistent) {
 			return CompletableFuture.completedFuture(List.of());
 		}
 
 		@Override
-		public CompletableFuture<Void> leave(String name) {
+		public CompletableFuture<Void> deregister(String name) {
 			return CompletableFuture.completedFuture(null);
 		}
 
@@ -326,7 +326,7 @@
 	/**
 	 * A lease that nobody gets.
 	 */
-	private static final class NoLease implements LeaseStore {
+	private static final class UnavailableLeaseStore implements LeaseStore {
 
 		@Override
 		public CompletableFuture<LeaseAnswer> read() {
@@ -348,17 +348,17 @@
 	/**
 	 * Engines that answer nothing.
 	 */
-	private static final class NoEngines implements EnginePort {
+	private static final class UnreachableEngines implements EnginePort {
 
 		@Override
-		public CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommandRequest order,
+		public CompletableFuture<EngineCommandAnswer> sendCommand(TargetAddress engine, EngineCommandRequest command,
 				long count) {
 			return CompletableFuture.completedFuture(EngineCommandAnswer.NOT_KNOWN);
 		}
 
 		@Override
-		public CompletableFuture<EngineReport> report(TargetAddress engine) {
-			return CompletableFuture.failedFuture(new NoReportException(EngineCommandAnswer.NOT_KNOWN));
+		public CompletableFuture<EngineReport> readReport(TargetAddress engine) {
+			return CompletableFuture.failedFuture(new ReportUnavailableException(EngineCommandAnswer.NOT_KNOWN));
 		}
 
 	}
