--- a/src/main/java/sycamorehill/cli/ServeCommand.java
+++ b/src/main/java/sycamorehill/cli/ServeCommand.java
@@ -10,8 +10,8 @@
 
 import sycamorehill.entry.EntryNode;
 import sycamorehill.model.serving.EntrySettings;
+import sycamorehill.platform.PlatformAdapter;
 import sycamorehill.platform.PlatformSettings;
-import sycamorehill.platform.UsersPlatform;
 import sycamorehill.runtime.Node;
 import sycamorehill.runtime.NodeEnd;
 import sycamorehill.settings.NodeSettings;
@@ -43,8 +43,8 @@
 					"give --settings FILE, or set " + PlatformSettings.PATH_VARIABLE);
 		}
 		EntrySettings sound = PlatformSettings.read(Path.of(path));
-		EntryNode node = EntryNode.start(sound, (client) -> UsersPlatform.ports(sound, client), Clock.systemUTC(),
-				RandomGenerator.getDefault());
+		EntryNode node = EntryNode.start(sound, (client) -> PlatformAdapter.createPorts(sound, client),
+				Clock.systemUTC(), RandomGenerator.getDefault());
 		StopSignals.install(node::stop);
 		SettingsFile.watch(Path.of(path), node::reload);
 		if (this.runFor != null) {
--- a/src/main/java/sycamorehill/objectapi/HttpPlatform.java
+++ b/src/main/java/sycamorehill/objectapi/HttpPlatformClient.java
@@ -28,7 +28,7 @@
 /**
  * The object API over HTTP, as docs/WIRE.md gives it.
  */
-public final class HttpPlatform implements PlatformClient {
+public final class HttpPlatformClient implements PlatformClient {
 
 	private static final String CONTENT_TYPE = "application/json";
 
@@ -50,7 +50,7 @@
 
 	private final ObjectMapper json;
 
-	private HttpPlatform(HttpCaller caller, Address address, ObjectMapper json) {
+	private HttpPlatformClient(HttpCaller caller, Address address, ObjectMapper json) {
 		this.caller = caller;
 		this.address = address;
 		this.json = json;
@@ -63,8 +63,8 @@
 	 * @param json reads and writes values
 	 * @return the adapter
 	 */
-	public static HttpPlatform create(HttpCaller caller, Address address, ObjectMapper json) {
-		return new HttpPlatform(caller, address, json);
+	public static HttpPlatformClient create(HttpCaller caller, Address address, ObjectMapper json) {
+		return new HttpPlatformClient(caller, address, json);
 	}
 
 	@Override
@@ -77,8 +77,8 @@
 			throw new IllegalStateException("a value of ours can't be written", ex);
 		}
 		return this.caller.call(call)
-			.thenApply((answer) -> answer(request, answer))
-			.exceptionally(HttpPlatform::failure);
+			.thenApply((answer) -> decodeAnswer(request, answer))
+			.exceptionally(HttpPlatformClient::failureAnswer);
 	}
 
 	private HttpCall httpCall(PlatformRequest request, Duration timeout) throws JsonProcessingException {
@@ -93,25 +93,25 @@
 		if (request instanceof PlatformRequest.Update update) {
 			return HttpCall.of(this.address, "PUT", path(update.key()), timeout)
 				.withBody(this.json.writeValueAsString(update.value()), CONTENT_TYPE)
-				.withHeader("If-Match", quoted(update.expectedVersion()));
+				.withHeader("If-Match", quote(update.expectedVersion()));
 		}
 		if (request instanceof PlatformRequest.Delete delete) {
 			return HttpCall.of(this.address, "DELETE", path(delete.key()), timeout)
-				.withHeader("If-Match", quoted(delete.expectedVersion()));
+				.withHeader("If-Match", quote(delete.expectedVersion()));
 		}
 		if (request instanceof PlatformRequest.ListObjects list) {
 			return HttpCall.of(this.address, "GET", "/v1/objects/" + list.kind().path() + "?after="
-					+ encoded(list.afterName()) + "&limit=" + list.limit(), timeout);
+					+ encode(list.afterName()) + "&limit=" + list.limit(), timeout);
 		}
 		PlatformRequest.Watch watch = (PlatformRequest.Watch) request;
 		return HttpCall.of(this.address, "GET", "/v1/watch/" + watch.kind().path() + "?after=" + watch.afterVersion()
 				+ "&wait=" + watch.maximumWait().toMillis() / 1000.0, watch.maximumWait().plus(WATCH_MARGIN));
 	}
 
-	private PlatformAnswer answer(PlatformRequest request, HttpAnswer answer) {
+	private PlatformAnswer decodeAnswer(PlatformRequest request, HttpAnswer answer) {
 		try {
 			return switch (answer.status()) {
-				case OK -> success(request, answer);
+				case OK -> decodeSuccess(request, answer);
 				case NO_CONTENT -> new PlatformAnswer.Written(version(answer));
 				case NOT_FOUND -> new PlatformAnswer.Missing();
 				case PRECONDITION_FAILED -> new PlatformAnswer.Conflict();
@@ -124,21 +124,21 @@
 		}
 	}
 
-	private PlatformAnswer success(PlatformRequest request, HttpAnswer answer) throws IOException {
+	private PlatformAnswer decodeSuccess(PlatformRequest request, HttpAnswer answer) throws IOException {
 		if (request instanceof PlatformRequest.Read read) {
 			PlatformValue value = this.json.readValue(answer.body(), read.key().kind().valueType());
 			return new PlatformAnswer.Found(new StoredObject(read.key(), version(answer), value));
 		}
 		if (request instanceof PlatformRequest.ListObjects list) {
-			return listed(list.kind(), answer);
+			return decodeObjects(list.kind(), answer);
 		}
 		if (request instanceof PlatformRequest.Watch watch) {
-			return listed(watch.kind(), answer);
+			return decodeObjects(watch.kind(), answer);
 		}
 		return new PlatformAnswer.Written(version(answer));
 	}
 
-	private PlatformAnswer listed(ObjectKind kind, HttpAnswer answer) throws IOException {
+	private PlatformAnswer decodeObjects(ObjectKind kind, HttpAnswer answer) throws IOException {
 		JsonNode body = this.json.readTree(answer.body());
 		List<StoredObject> objects = new ArrayList<>();
 		for (JsonNode object : body.path("objects")) {
@@ -149,7 +149,7 @@
 		return new PlatformAnswer.Listed(List.copyOf(objects), body.path("version").asLong());
 	}
 
-	private static PlatformAnswer failure(Throwable failure) {
+	private static PlatformAnswer failureAnswer(Throwable failure) {
 		Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
 		if (cause instanceof NotSentException) {
 			return new PlatformAnswer.NotTaken(Duration.ZERO, "not sent: " + cause.getMessage());
@@ -158,14 +158,14 @@
 	}
 
 	private static String path(ObjectKey key) {
-		return "/v1/objects/" + key.kind().path() + "/" + encoded(key.name());
+		return "/v1/objects/" + key.kind().path() + "/" + encode(key.name());
 	}
 
-	private static String encoded(String text) {
+	private static String encode(String text) {
 		return URLEncoder.encode(text, StandardCharsets.UTF_8);
 	}
 
-	private static String quoted(long version) {
+	private static String quote(long version) {
 		return "\"" + version + "\"";
 	}
 
--- a/src/main/java/sycamorehill/objectapi/HttpVmList.java
+++ b/src/main/java/sycamorehill/objectapi/HttpVmList.java
@@ -56,10 +56,10 @@
 	public CompletableFuture<List<VmEntry>> read(DataCentreName dataCentre) {
 		String name = URLEncoder.encode(dataCentre.value(), StandardCharsets.UTF_8);
 		return this.caller.call(HttpCall.of(this.address, "GET", "/v1/vms?dataCentre=" + name, TIMEOUT))
-			.thenApply(this::entries);
+			.thenApply(this::decodeEntries);
 	}
 
-	private List<VmEntry> entries(HttpAnswer answer) {
+	private List<VmEntry> decodeEntries(HttpAnswer answer) {
 		if (answer.status() != OK) {
 			throw new IllegalStateException("the VM list answered " + answer.status());
 		}
--- a/src/main/java/sycamorehill/platform/ConfigurationDecoder.java
+++ b/src/main/java/sycamorehill/platform/ConfigurationDecoder.java
@@ -28,7 +28,7 @@
 final class ConfigurationDecoder {
 
 	/** Rank of a workspace whose entry names none. */
-	private static final int USUAL_PRIORITY = 1;
+	private static final int DEFAULT_PRIORITY = 1;
 
 	private ConfigurationDecoder() {
 	}
@@ -38,24 +38,25 @@
 		JsonFields.list(spec, "routes").forEach((route) -> routes.add(route(route)));
 		Map<ServiceName, ServiceParameters> services = new HashMap<>();
 		JsonFields.list(spec, "services").forEach((service) -> {
-			ServiceParameters figures = service(service);
-			services.put(figures.name(), figures);
+			ServiceParameters parameters = serviceParameters(service);
+			services.put(parameters.name(), parameters);
 		});
 		JsonNode tenants = spec.path("tenants");
-		return new Configuration(JsonFields.whole(spec, "version"), routes, services, limits(spec.path("limits")),
-				workspaces(tenants), tenants.isArray() && !tenants.isEmpty());
+		return new Configuration(JsonFields.wholeNumber(spec, "version"), routes, services,
+				callerLimits(spec.path("limits")), workspaces(tenants), tenants.isArray() && !tenants.isEmpty());
 	}
 
 	private static Route route(JsonNode route) {
-		Optional<Duration> pause = route.path("target_gap_ms").isNumber()
-				? Optional.of(JsonFields.millis(route, "target_gap_ms")) : Optional.empty();
+		Optional<Duration> pauseTarget = route.path("target_gap_ms").isNumber()
+				? Optional.of(JsonFields.milliseconds(route, "target_gap_ms")) : Optional.empty();
 		return new Route(JsonFields.text(route, "name"), JsonFields.text(route, "host").toLowerCase(Locale.ROOT),
-				JsonFields.text(route, "path_prefix"), kind(route), JsonFields.millis(route, "timeout_ms"),
-				JsonFields.millis(route, "target_latency_ms"), pause, (int) JsonFields.whole(route, "priority"),
-				weighted(route), (int) JsonFields.whole(route, "max_attempts"), JsonFields.flag(route, "public"));
+				JsonFields.text(route, "path_prefix"), requestKind(route), JsonFields.milliseconds(route, "timeout_ms"),
+				JsonFields.milliseconds(route, "target_latency_ms"), pauseTarget,
+				(int) JsonFields.wholeNumber(route, "priority"), weightedServices(route),
+				(int) JsonFields.wholeNumber(route, "max_attempts"), JsonFields.flag(route, "public"));
 	}
 
-	private static RequestKind kind(JsonNode route) {
+	private static RequestKind requestKind(JsonNode route) {
 		String kind = JsonFields.text(route, "kind");
 		return switch (kind) {
 			case "idempotent" -> RequestKind.IDEMPOTENT;
@@ -66,54 +67,56 @@
 	}
 
 	// A route names one service, or several with weights.
-	private static List<WeightedService> weighted(JsonNode route) {
-		JsonNode several = route.path("backends");
-		if (!several.isArray() || several.isEmpty()) {
+	private static List<WeightedService> weightedServices(JsonNode route) {
+		JsonNode backends = route.path("backends");
+		if (!backends.isArray() || backends.isEmpty()) {
 			return List.of(new WeightedService(ServiceName.of(JsonFields.text(route, "service")), 1));
 		}
 		List<WeightedService> services = new ArrayList<>();
-		several.forEach((each) -> services.add(new WeightedService(ServiceName.of(JsonFields.text(each, "service")),
-				(int) JsonFields.whole(each, "weight"))));
+		backends
+			.forEach((backend) -> services.add(new WeightedService(ServiceName.of(JsonFields.text(backend, "service")),
+					(int) JsonFields.wholeNumber(backend, "weight"))));
 		return services;
 	}
 
-	private static ServiceParameters service(JsonNode service) {
+	private static ServiceParameters serviceParameters(JsonNode service) {
 		JsonNode engine = service.path("engine");
-		Optional<EngineParameters> engines = (engine.isObject() && engine.path("models").isArray()
-				&& !engine.path("models").isEmpty()) ? Optional.of(engines(engine)) : Optional.empty();
+		Optional<EngineParameters> engineParameters = (engine.isObject() && engine.path("models").isArray()
+				&& !engine.path("models").isEmpty()) ? Optional.of(engineParameters(engine)) : Optional.empty();
 		return new ServiceParameters(ServiceName.of(JsonFields.text(service, "name")),
-				(int) JsonFields.whole(service, "max_connections"), engines);
+				(int) JsonFields.wholeNumber(service, "max_connections"), engineParameters);
 	}
 
-	private static EngineParameters engines(JsonNode engine) {
+	private static EngineParameters engineParameters(JsonNode engine) {
 		List<ModelParameters> models = new ArrayList<>();
 		engine.path("models")
 			.forEach((model) -> models
-				.add(new ModelParameters(JsonFields.text(model, "name"), (int) JsonFields.whole(model, "size"),
+				.add(new ModelParameters(JsonFields.text(model, "name"), (int) JsonFields.wholeNumber(model, "size"),
 						JsonFields.number(model, "share"), JsonFields.number(model, "pace"),
 						JsonFields.seconds(model, "load_s"), JsonFields.seconds(model, "warm_s"))));
-		JsonNode usual = engine.path("usual");
-		return new EngineParameters((int) JsonFields.whole(engine, "batch_slots"),
-				JsonFields.whole(engine, "kv_capacity"), models, (int) JsonFields.whole(engine, "stride"),
-				JsonFields.millis(engine, "step_ms"), JsonFields.millis(engine, "per_seq_ms"),
+		JsonNode means = engine.path("usual");
+		return new EngineParameters((int) JsonFields.wholeNumber(engine, "batch_slots"),
+				JsonFields.wholeNumber(engine, "kv_capacity"), models, (int) JsonFields.wholeNumber(engine, "stride"),
+				JsonFields.milliseconds(engine, "step_ms"), JsonFields.milliseconds(engine, "per_seq_ms"),
 				JsonFields.number(engine, "read_per_s"), JsonFields.number(engine, "loads_per_s"),
-				(int) JsonFields.whole(engine, "loads_at_once"), JsonFields.millis(engine, "form_ms"),
-				(int) JsonFields.number(usual, "prompt"), (int) JsonFields.number(usual, "answer"));
+				(int) JsonFields.wholeNumber(engine, "loads_at_once"), JsonFields.milliseconds(engine, "form_ms"),
+				(int) JsonFields.number(means, "prompt"), (int) JsonFields.number(means, "answer"));
 	}
 
-	private static CallerLimits limits(JsonNode limits) {
-		return new CallerLimits((int) JsonFields.whole(limits, "max_header_bytes"),
-				(int) JsonFields.whole(limits, "max_body_bytes"), JsonFields.millis(limits, "header_timeout_ms"),
-				JsonFields.millis(limits, "idle_timeout_ms"));
+	private static CallerLimits callerLimits(JsonNode limits) {
+		return new CallerLimits((int) JsonFields.wholeNumber(limits, "max_header_bytes"),
+				(int) JsonFields.wholeNumber(limits, "max_body_bytes"),
+				JsonFields.milliseconds(limits, "header_timeout_ms"),
+				JsonFields.milliseconds(limits, "idle_timeout_ms"));
 	}
 
 	private static Map<String, Workspace> workspaces(JsonNode tenants) {
 		Map<String, Workspace> workspaces = new HashMap<>();
 		tenants.forEach((tenant) -> {
 			int priority = tenant.path("priority").isIntegralNumber() ? tenant.path("priority").intValue()
-					: USUAL_PRIORITY;
+					: DEFAULT_PRIORITY;
 			Workspace workspace = new Workspace(WorkspaceName.of(JsonFields.text(tenant, "name")), priority);
-			JsonFields.list(tenant, "api_keys").forEach((key) -> workspaces.put(key.asText(), workspace));
+			JsonFields.list(tenant, "api_keys").forEach((apiKey) -> workspaces.put(apiKey.asText(), workspace));
 		});
 		return workspaces;
 	}
--- a/src/main/java/sycamorehill/platform/JsonFields.java
+++ b/src/main/java/sycamorehill/platform/JsonFields.java
@@ -17,7 +17,7 @@
 	static String text(JsonNode node, String field) {
 		JsonNode value = node.path(field);
 		if (!value.isTextual() || value.textValue().isBlank()) {
-			throw fault(field, "a text");
+			throw invalidField(field, "a text");
 		}
 		return value.textValue();
 	}
@@ -30,15 +30,15 @@
 	static double number(JsonNode node, String field) {
 		JsonNode value = node.path(field);
 		if (!value.isNumber()) {
-			throw fault(field, "a number");
+			throw invalidField(field, "a number");
 		}
 		return value.doubleValue();
 	}
 
-	static long whole(JsonNode node, String field) {
+	static long wholeNumber(JsonNode node, String field) {
 		JsonNode value = node.path(field);
 		if (!value.isIntegralNumber()) {
-			throw fault(field, "a whole number");
+			throw invalidField(field, "a whole number");
 		}
 		return value.longValue();
 	}
@@ -46,12 +46,12 @@
 	static boolean flag(JsonNode node, String field) {
 		JsonNode value = node.path(field);
 		if (!value.isMissingNode() && !value.isNull() && !value.isBoolean()) {
-			throw fault(field, "true or false");
+			throw invalidField(field, "true or false");
 		}
 		return value.booleanValue();
 	}
 
-	static Duration millis(JsonNode node, String field) {
+	static Duration milliseconds(JsonNode node, String field) {
 		return Duration.ofNanos(Math.round(number(node, field) * 1e6));
 	}
 
@@ -62,12 +62,12 @@
 	static JsonNode list(JsonNode node, String field) {
 		JsonNode value = node.path(field);
 		if (!value.isArray()) {
-			throw fault(field, "a list");
+			throw invalidField(field, "a list");
 		}
 		return value;
 	}
 
-	private static IllegalArgumentException fault(String field, String expected) {
+	private static IllegalArgumentException invalidField(String field, String expected) {
 		return new IllegalArgumentException("field '" + field + "' must be " + expected);
 	}
 
--- a/src/main/java/sycamorehill/platform/UsersPlatform.java
+++ b/src/main/java/sycamorehill/platform/PlatformAdapter.java
@@ -9,9 +9,9 @@
 /**
  * Puts the adapter together.
  */
-public final class UsersPlatform {
+public final class PlatformAdapter {
 
-	private UsersPlatform() {
+	private PlatformAdapter() {
 	}
 
 	/**
@@ -20,11 +20,11 @@
 	 * @param client makes calls
 	 * @return the ports
 	 */
-	public static EntryPorts ports(EntrySettings settings, CallClient client) {
+	public static EntryPorts createPorts(EntrySettings settings, CallClient client) {
 		ObjectMapper json = new ObjectMapper();
 		PlatformStore store = PlatformStore.of(client, settings.storeAddress(), json);
-		return new EntryPorts(PlatformExchangeCodec.create(), store.configurations(), store::configuration,
-				store.targets(), store, store, PlatformEngines.of(client, json));
+		return new EntryPorts(PlatformExchangeCodec.create(), store.configurations(), store::decodeConfiguration,
+				store.targets(), store, store, PlatformEngineClient.of(client, json));
 	}
 
 }
--- a/src/main/java/sycamorehill/platform/PlatformEngines.java
+++ b/src/main/java/sycamorehill/platform/PlatformEngineClient.java
@@ -24,16 +24,16 @@
 /**
  * Orders to the platform's engines, and their reports.
  */
-final class PlatformEngines implements EnginePort {
+final class PlatformEngineClient implements EnginePort {
 
-	private static final String ORDERS = "/-/order";
+	private static final String COMMAND_PATH = "/-/order";
 
-	private static final String REPORTS = "/-/report";
+	private static final String REPORT_PATH = "/-/report";
 
 	/**
 	 * Bound on an order with its connection. Engines answer orders at once.
 	 */
-	private static final Duration TIMEOUT = Duration.ofMillis(900);
+	private static final Duration COMMAND_TIMEOUT = Duration.ofMillis(900);
 
 	/**
 	 * A report is asked for to find lost engines: waiting for it is downtime of a group.
@@ -44,59 +44,61 @@
 
 	private final ObjectMapper json;
 
-	private PlatformEngines(CallClient client, ObjectMapper json) {
+	private PlatformEngineClient(CallClient client, ObjectMapper json) {
 		this.client = client;
 		this.json = json;
 	}
 
-	static PlatformEngines of(CallClient client, ObjectMapper json) {
-		return new PlatformEngines(client, json);
+	static PlatformEngineClient of(CallClient client, ObjectMapper json) {
+		return new PlatformEngineClient(client, json);
 	}
 
 	@Override
-	public CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommandRequest order,
-			long ordersAccepted) {
-		ObjectNode body = body(order);
-		if (ordersAccepted != EntryEffect.SendCommand.ANY_COUNT) {
-			body.put("expected", ordersAccepted);
+	public CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommandRequest command,
+			long acceptedCommands) {
+		ObjectNode body = commandBody(command);
+		if (acceptedCommands != EntryEffect.SendCommand.ANY_COUNT) {
+			body.put("expected", acceptedCommands);
 		}
 		byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
-		return this.client.call(new CallClient.Call(engine, HttpMethod.POST, ORDERS, bytes), expected(engine), TIMEOUT)
-			.thenApply((answer) -> orderAnswer(answer.status()))
-			.exceptionally(PlatformEngines::unanswered);
+		return this.client
+			.call(new CallClient.Call(engine, HttpMethod.POST, COMMAND_PATH, bytes), expectedInstance(engine),
+					COMMAND_TIMEOUT)
+			.thenApply((answer) -> commandAnswer(answer.status()))
+			.exceptionally(PlatformEngineClient::failureAnswer);
 	}
 
-	private static CallClient.Header expected(TargetAddress engine) {
-		return new CallClient.Header(PlatformHeaders.EXPECT_INSTANCE, engine.name().value());
+	private static CallClient.Header expectedInstance(TargetAddress engine) {
+		return new CallClient.Header(PlatformHeaders.EXPECTED_INSTANCE, engine.name().value());
 	}
 
-	private ObjectNode body(EngineCommandRequest order) {
+	private ObjectNode commandBody(EngineCommandRequest command) {
 		ObjectNode body = this.json.createObjectNode();
-		if (order instanceof EngineCommandRequest.Join join) {
-			group(body, "join", join.group(), join.epoch()).put("model", join.model());
+		if (command instanceof EngineCommandRequest.Join join) {
+			putGroupOperation(body, "join", join.group(), join.epoch()).put("model", join.model());
 			ArrayNode members = body.putArray("members");
 			join.members().forEach((member) -> members.add(member.value()));
 		}
-		else if (order instanceof EngineCommandRequest.Open open) {
-			group(body, "open", open.group(), open.epoch());
+		else if (command instanceof EngineCommandRequest.Open open) {
+			putGroupOperation(body, "open", open.group(), open.epoch());
 		}
-		else if (order instanceof EngineCommandRequest.Close close) {
-			group(body, "close", close.group(), close.epoch()).put("close_mode", "queue");
+		else if (command instanceof EngineCommandRequest.Close close) {
+			putGroupOperation(body, "close", close.group(), close.epoch()).put("close_mode", "queue");
 		}
-		else if (order instanceof EngineCommandRequest.Leave leave) {
-			group(body, "leave", leave.group(), leave.epoch());
+		else if (command instanceof EngineCommandRequest.Leave leave) {
+			putGroupOperation(body, "leave", leave.group(), leave.epoch());
 		}
-		else if (order instanceof EngineCommandRequest.Stage stage) {
+		else if (command instanceof EngineCommandRequest.Stage stage) {
 			body.put("operation", "stage").put("model", stage.model());
 		}
 		return body;
 	}
 
-	private static ObjectNode group(ObjectNode body, String operation, String group, long epoch) {
+	private static ObjectNode putGroupOperation(ObjectNode body, String operation, String group, long epoch) {
 		return body.put("operation", operation).put("group", group).put("epoch", epoch);
 	}
 
-	private static EngineCommandAnswer orderAnswer(int status) {
+	private static EngineCommandAnswer commandAnswer(int status) {
 		return switch (status) {
 			case 202 -> EngineCommandAnswer.BEGUN;
 			case 200 -> EngineCommandAnswer.HOLDS_ALREADY;
@@ -108,19 +110,19 @@
 		};
 	}
 
-	private static EngineCommandAnswer unanswered(Throwable failure) {
+	private static EngineCommandAnswer failureAnswer(Throwable failure) {
 		Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
-		boolean nothing = cause instanceof CallFailedException failed
+		boolean nothingListens = cause instanceof CallFailedException failed
 				&& failed.why() == CallFailedException.Cause.NOTHING_LISTENS;
-		return nothing ? EngineCommandAnswer.NOTHING_LISTENS : EngineCommandAnswer.NOT_KNOWN;
+		return nothingListens ? EngineCommandAnswer.NOTHING_LISTENS : EngineCommandAnswer.NOT_KNOWN;
 	}
 
 	@Override
 	public CompletableFuture<EngineReport> report(TargetAddress engine) {
-		return this.client.call(CallClient.Call.get(engine, REPORTS), expected(engine), REPORT_TIMEOUT)
+		return this.client.call(CallClient.Call.get(engine, REPORT_PATH), expectedInstance(engine), REPORT_TIMEOUT)
 			.handle((answer, failure) -> {
 				if (failure != null) {
-					throw new CompletionException(new NoReportException(unanswered(failure)));
+					throw new CompletionException(new NoReportException(failureAnswer(failure)));
 				}
 				return report(answer);
 			});
@@ -129,13 +131,13 @@
 	private EngineReport report(CallAnswer answer) {
 		try {
 			if (answer.status() == 200) {
-				return TargetDecoder.report(this.json.readTree(answer.body()));
+				return TargetDecoder.decodeReport(this.json.readTree(answer.body()));
 			}
 		}
 		catch (IOException | IllegalArgumentException ex) {
 			throw new CompletionException(new NoReportException(EngineCommandAnswer.NOT_KNOWN));
 		}
-		throw new CompletionException(new NoReportException(orderAnswer(answer.status())));
+		throw new CompletionException(new NoReportException(commandAnswer(answer.status())));
 	}
 
 }
--- a/src/main/java/sycamorehill/platform/PlatformExchangeCodec.java
+++ b/src/main/java/sycamorehill/platform/PlatformExchangeCodec.java
@@ -29,9 +29,9 @@
 
 	private static final String READINESS_PATH = "/-/ready";
 
-	private static final String IDLE_PARAMETER = "timeout=";
+	private static final String IDLE_TIMEOUT_PARAMETER = "timeout=";
 
-	private static final int MISDIRECTED = 421;
+	private static final int MISDIRECTED_REQUEST = 421;
 
 	private PlatformExchangeCodec() {
 	}
@@ -43,32 +43,33 @@
 	@Override
 	public CallerHead readCaller(HttpRequest request) {
 		HttpHeaders headers = request.headers();
-		return new CallerHead(headers.get(PlatformHeaders.ATTEMPT, ""), key(headers),
-				Optional.ofNullable(headers.get(PlatformHeaders.MODEL)), size(headers),
-				millis(headers.get(PlatformHeaders.TIME_LEFT)),
+		return new CallerHead(headers.get(PlatformHeaders.ATTEMPT_IDENTIFIER, ""), apiKey(headers),
+				Optional.ofNullable(headers.get(PlatformHeaders.MODEL)), tokenCounts(headers),
+				parseMilliseconds(headers.get(PlatformHeaders.TIME_LEFT)),
 				Optional.ofNullable(headers.get(PlatformHeaders.RESUME_AFTER)));
 	}
 
-	private static Optional<String> key(HttpHeaders headers) {
-		String value = headers.get(PlatformHeaders.KEY);
-		boolean scheme = value != null
-				&& value.regionMatches(true, 0, PlatformHeaders.KEY_SCHEME, 0, PlatformHeaders.KEY_SCHEME.length());
-		return scheme ? Optional.of(value.substring(PlatformHeaders.KEY_SCHEME.length()).trim()) : Optional.empty();
+	private static Optional<String> apiKey(HttpHeaders headers) {
+		String value = headers.get(PlatformHeaders.AUTHORIZATION);
+		boolean hasScheme = value != null && value.regionMatches(true, 0, PlatformHeaders.AUTHORIZATION_SCHEME, 0,
+				PlatformHeaders.AUTHORIZATION_SCHEME.length());
+		return hasScheme ? Optional.of(value.substring(PlatformHeaders.AUTHORIZATION_SCHEME.length()).trim())
+				: Optional.empty();
 	}
 
-	private static Optional<TokenCounts> size(HttpHeaders headers) {
-		int[] numbers = numbers(headers.get(PlatformHeaders.PROMPT_SIZE), 2);
+	private static Optional<TokenCounts> tokenCounts(HttpHeaders headers) {
+		int[] numbers = parseNumbers(headers.get(PlatformHeaders.TOKEN_COUNTS), 2);
 		return (numbers != null) ? Optional.of(new TokenCounts(numbers[0], numbers[1])) : Optional.empty();
 	}
 
-	private static int[] numbers(String text, int count) {
-		String[] parts = (text != null) ? text.split(",") : new String[0];
-		if (parts.length < count) {
+	private static int[] parseNumbers(String text, int count) {
+		String[] elements = (text != null) ? text.split(",") : new String[0];
+		if (elements.length < count) {
 			return null;
 		}
 		int[] numbers = new int[count];
 		for (int index = 0; index < count; index++) {
-			Optional<BigDecimal> number = number(parts[index]);
+			Optional<BigDecimal> number = parseNumber(elements[index]);
 			if (number.isEmpty()) {
 				return null;
 			}
@@ -78,7 +79,7 @@
 	}
 
 	// A header that is no number is passed on as it is, and tells us nothing.
-	private static Optional<BigDecimal> number(String text) {
+	private static Optional<BigDecimal> parseNumber(String text) {
 		if (text == null) {
 			return Optional.empty();
 		}
@@ -90,35 +91,39 @@
 		}
 	}
 
-	private static Optional<Duration> millis(String text) {
-		return number(text).map((value) -> Duration.ofMillis(value.setScale(0, RoundingMode.DOWN).longValue()));
+	private static Optional<Duration> parseMilliseconds(String text) {
+		return parseNumber(text).map((value) -> Duration.ofMillis(value.setScale(0, RoundingMode.DOWN).longValue()));
 	}
 
-	private static Optional<Duration> seconds(String text) {
-		return number(text).map((value) -> Duration.ofMillis(value.movePointRight(3).longValue()));
+	private static Optional<Duration> parseSeconds(String text) {
+		return parseNumber(text).map((value) -> Duration.ofMillis(value.movePointRight(3).longValue()));
 	}
 
 	@Override
 	public HttpHeaders targetHeaders(HttpRequest request, Forwarding forwarding) {
-		HttpHeaders headers = passedOn(request.headers(), true);
-		headers.set(PlatformHeaders.EXPECT_INSTANCE, forwarding.target().value());
-		forwarding.timeLeft().ifPresent((left) -> headers.set(PlatformHeaders.TIME_LEFT, Math.max(1, left.toMillis())));
+		HttpHeaders headers = forwardedHeaders(request.headers(), true);
+		headers.set(PlatformHeaders.EXPECTED_INSTANCE, forwarding.target().value());
+		forwarding.timeLeft()
+			.ifPresent((timeLeft) -> headers.set(PlatformHeaders.TIME_LEFT, Math.max(1, timeLeft.toMillis())));
 		forwarding.workspace().ifPresent((workspace) -> headers.set(PlatformHeaders.WORKSPACE, workspace.value()));
 		headers.set(PlatformHeaders.PRIORITY, forwarding.priority());
-		forwarding.resumeAfter().ifPresent((event) -> headers.set(PlatformHeaders.RESUME_AFTER, event));
-		forwarding.weightsVersion().ifPresent((version) -> headers.set(PlatformHeaders.EXPECT_WEIGHTS, version));
+		forwarding.resumeAfter()
+			.ifPresent((eventIdentifier) -> headers.set(PlatformHeaders.RESUME_AFTER, eventIdentifier));
+		forwarding.weightsVersion()
+			.ifPresent((version) -> headers.set(PlatformHeaders.EXPECTED_WEIGHTS_VERSION, version));
 		return headers;
 	}
 
-	private static HttpHeaders passedOn(HttpHeaders original, boolean toTarget) {
-		Set<String> named = new HashSet<>();
-		original.getAll(HttpHeaderNames.CONNECTION)
-			.forEach((value) -> Set.of(PlatformHeaders.lower(value).split("\\s*,\\s*")).forEach(named::add));
+	private static HttpHeaders forwardedHeaders(HttpHeaders received, boolean toTarget) {
+		Set<String> connectionHeaders = new HashSet<>();
+		received.getAll(HttpHeaderNames.CONNECTION)
+			.forEach((value) -> Set.of(PlatformHeaders.lowerCase(value).split("\\s*,\\s*"))
+				.forEach(connectionHeaders::add));
 		HttpHeaders headers = new DefaultHttpHeaders(false);
-		for (Map.Entry<String, String> header : original) {
-			boolean dropped = PlatformHeaders.ofConnection(header.getKey())
-					|| (toTarget && PlatformHeaders.ofSystem(header.getKey()))
-					|| named.contains(PlatformHeaders.lower(header.getKey()));
+		for (Map.Entry<String, String> header : received) {
+			boolean dropped = PlatformHeaders.isHopByHop(header.getKey())
+					|| (toTarget && PlatformHeaders.isSystemHeader(header.getKey()))
+					|| connectionHeaders.contains(PlatformHeaders.lowerCase(header.getKey()));
 			if (!dropped) {
 				headers.add(header.getKey(), header.getValue());
 			}
@@ -129,20 +134,20 @@
 	@Override
 	public TargetHead readTarget(HttpResponse response) {
 		HttpHeaders headers = response.headers();
-		return new TargetHead(Optional.ofNullable(headers.get(PlatformHeaders.ATTEMPT)),
-				headers.contains(PlatformHeaders.NOT_RUN), response.status().code() == MISDIRECTED,
-				headers.contains(PlatformHeaders.SIGNATURE), load(headers), limit(headers),
-				Optional.ofNullable(headers.get(PlatformHeaders.WEIGHTS)),
-				seconds(headers.get(PlatformHeaders.RETRY_AFTER)), idleTimeout(headers));
+		return new TargetHead(Optional.ofNullable(headers.get(PlatformHeaders.ATTEMPT_IDENTIFIER)),
+				headers.contains(PlatformHeaders.NOT_EXECUTED), response.status().code() == MISDIRECTED_REQUEST,
+				headers.contains(PlatformHeaders.SERVER_SIGNATURE), engineLoad(headers), rateLimit(headers),
+				Optional.ofNullable(headers.get(PlatformHeaders.WEIGHTS_VERSION)),
+				parseSeconds(headers.get(PlatformHeaders.RETRY_AFTER)), idleTimeout(headers));
 	}
 
-	private static Optional<EngineLoad> load(HttpHeaders headers) {
-		int[] numbers = numbers(headers.get(PlatformHeaders.LOAD), 3);
+	private static Optional<EngineLoad> engineLoad(HttpHeaders headers) {
+		int[] numbers = parseNumbers(headers.get(PlatformHeaders.ENGINE_LOAD), 3);
 		return (numbers != null) ? Optional.of(new EngineLoad(numbers[0], numbers[1], numbers[2])) : Optional.empty();
 	}
 
-	private static Optional<RequestRate> limit(HttpHeaders headers) {
-		return number(headers.get(PlatformHeaders.LIMIT)).map(BigDecimal::doubleValue)
+	private static Optional<RequestRate> rateLimit(HttpHeaders headers) {
+		return parseNumber(headers.get(PlatformHeaders.RATE_LIMIT)).map(BigDecimal::doubleValue)
 			.filter((perSecond) -> Double.isFinite(perSecond) && perSecond >= 0)
 			.map(RequestRate::new);
 	}
@@ -154,8 +159,8 @@
 		}
 		for (String parameter : value.split(",")) {
 			String trimmed = parameter.trim();
-			if (trimmed.startsWith(IDLE_PARAMETER)) {
-				return seconds(trimmed.substring(IDLE_PARAMETER.length()));
+			if (trimmed.startsWith(IDLE_TIMEOUT_PARAMETER)) {
+				return parseSeconds(trimmed.substring(IDLE_TIMEOUT_PARAMETER.length()));
 			}
 		}
 		return Optional.empty();
@@ -163,7 +168,7 @@
 
 	@Override
 	public HttpHeaders callerHeaders(HttpResponse response) {
-		return passedOn(response.headers(), false);
+		return forwardedHeaders(response.headers(), false);
 	}
 
 	@Override
@@ -171,10 +176,10 @@
 		HttpHeaders headers = new DefaultHttpHeaders();
 		headers.set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
 		if (!identifier.isEmpty()) {
-			headers.set(PlatformHeaders.ATTEMPT, identifier);
+			headers.set(PlatformHeaders.ATTEMPT_IDENTIFIER, identifier);
 		}
-		retryAfter.ifPresent((time) -> headers.set(PlatformHeaders.RETRY_AFTER,
-				BigDecimal.valueOf(time.toMillis(), 3).toPlainString()));
+		retryAfter.ifPresent((delay) -> headers.set(PlatformHeaders.RETRY_AFTER,
+				BigDecimal.valueOf(delay.toMillis(), 3).toPlainString()));
 		return headers;
 	}
 
--- a/src/main/java/sycamorehill/platform/PlatformHeaders.java
+++ b/src/main/java/sycamorehill/platform/PlatformHeaders.java
@@ -8,19 +8,19 @@
  */
 final class PlatformHeaders {
 
-	static final String ATTEMPT = "Attempt-Id";
+	static final String ATTEMPT_IDENTIFIER = "Attempt-Id";
 
 	/** Time that is left, in whole milliseconds, though the name speaks of a deadline. */
 	static final String TIME_LEFT = "Deadline-Ms";
 
-	static final String EXPECT_INSTANCE = "Expect-Instance";
+	static final String EXPECTED_INSTANCE = "Expect-Instance";
 
 	/** What this project calls a workspace. */
 	static final String WORKSPACE = "Tenant";
 
-	static final String KEY = "Authorization";
+	static final String AUTHORIZATION = "Authorization";
 
-	static final String KEY_SCHEME = "Token ";
+	static final String AUTHORIZATION_SCHEME = "Token ";
 
 	static final String MODEL = "Model";
 
@@ -28,51 +28,52 @@
 	 * Tokens of the prompt and most tokens of the answer, though the name speaks of
 	 * usage.
 	 */
-	static final String PROMPT_SIZE = "Token-Usage";
+	static final String TOKEN_COUNTS = "Token-Usage";
 
 	static final String RESUME_AFTER = "Last-Event-Id";
 
 	static final String PRIORITY = "Request-Priority";
 
-	static final String EXPECT_WEIGHTS = "Expect-Version";
+	static final String EXPECTED_WEIGHTS_VERSION = "Expect-Version";
 
-	static final String WEIGHTS = "Weight-Versions";
+	static final String WEIGHTS_VERSION = "Weight-Versions";
 
-	static final String SIGNATURE = "Server-Signature";
+	static final String SERVER_SIGNATURE = "Server-Signature";
 
-	static final String NOT_RUN = "Not-Executed";
+	static final String NOT_EXECUTED = "Not-Executed";
 
 	/** Requests running, requests waiting and slots. */
-	static final String LOAD = "Engine-Load";
+	static final String ENGINE_LOAD = "Engine-Load";
 
 	/** Requests a second that a target in need takes from all nodes together. */
-	static final String LIMIT = "Server-Limit";
+	static final String RATE_LIMIT = "Server-Limit";
 
 	static final String KEEP_ALIVE = "Keep-Alive";
 
 	static final String RETRY_AFTER = "Retry-After";
 
 	/** Headers of one connection, which are never passed on. */
-	private static final Set<String> OF_CONNECTION = Set.of("connection", "keep-alive", "proxy-connection",
+	private static final Set<String> HOP_BY_HOP_HEADERS = Set.of("connection", "keep-alive", "proxy-connection",
 			"proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
 			"content-length", "expect");
 
 	/** Headers that only the system itself tells targets. */
-	private static final Set<String> OF_SYSTEM = Set.of(lower(TIME_LEFT), lower(EXPECT_INSTANCE), lower(WORKSPACE),
-			lower(KEY), lower(PRIORITY), lower(EXPECT_WEIGHTS), lower(RESUME_AFTER));
+	private static final Set<String> SYSTEM_HEADERS = Set.of(lowerCase(TIME_LEFT), lowerCase(EXPECTED_INSTANCE),
+			lowerCase(WORKSPACE), lowerCase(AUTHORIZATION), lowerCase(PRIORITY), lowerCase(EXPECTED_WEIGHTS_VERSION),
+			lowerCase(RESUME_AFTER));
 
 	private PlatformHeaders() {
 	}
 
-	static boolean ofConnection(String name) {
-		return OF_CONNECTION.contains(lower(name));
+	static boolean isHopByHop(String name) {
+		return HOP_BY_HOP_HEADERS.contains(lowerCase(name));
 	}
 
-	static boolean ofSystem(String name) {
-		return OF_SYSTEM.contains(lower(name));
+	static boolean isSystemHeader(String name) {
+		return SYSTEM_HEADERS.contains(lowerCase(name));
 	}
 
-	static String lower(String name) {
+	static String lowerCase(String name) {
 		return name.toLowerCase(Locale.ROOT);
 	}
 
--- a/src/main/java/sycamorehill/platform/PlatformSettings.java
+++ b/src/main/java/sycamorehill/platform/PlatformSettings.java
@@ -22,9 +22,9 @@
 
 	private static final String ZONE_PREFIX = "zones.";
 
-	private static final String PROCESSOR_SHARE = "limits.cpu_share";
+	private static final String CPU_SHARE = "limits.cpu_share";
 
-	private static final String PROCESSOR_SPEED = "limits.cpu_cores";
+	private static final String CPU_CORES = "limits.cpu_cores";
 
 	private final Properties values;
 
@@ -45,15 +45,16 @@
 		try (Reader reader = Files.newBufferedReader(path)) {
 			values.load(reader);
 		}
-		return new PlatformSettings(values).settings();
+		return new PlatformSettings(values).toEntrySettings();
 	}
 
-	private EntrySettings settings() {
-		return new EntrySettings(text("node_name"), DataCentreName.of(text("zone")), dataCentres(), processor(),
-				address("bind.front"), address("bind.ready"), neighbours(), address("platform.address"),
+	private EntrySettings toEntrySettings() {
+		return new EntrySettings(text("node_name"), DataCentreName.of(text("zone")), dataCentres(), processorCores(),
+				address("bind.front"), address("bind.ready"), peerAddress(), address("platform.address"),
 				Boolean.parseBoolean(text("first_start")), seconds("bounds.grace_period_s"),
 				seconds("bounds.budget_window_s"), number("bounds.retry_budget_ratio"),
-				number("bounds.retry_budget_extra"), millis("bounds.stall_ms"), seconds("bounds.ceiling_window_s"));
+				number("bounds.retry_budget_extra"), milliseconds("bounds.stall_ms"),
+				seconds("bounds.ceiling_window_s"));
 	}
 
 	private List<DataCentreName> dataCentres() {
@@ -66,15 +67,15 @@
 	}
 
 	// A node that isn't told its share is taken for one of usual strength.
-	private double processor() {
-		boolean told = this.values.containsKey(PROCESSOR_SHARE) && this.values.containsKey(PROCESSOR_SPEED);
-		return told ? number(PROCESSOR_SHARE) * number(PROCESSOR_SPEED) : 1;
+	private double processorCores() {
+		boolean configured = this.values.containsKey(CPU_SHARE) && this.values.containsKey(CPU_CORES);
+		return configured ? number(CPU_SHARE) * number(CPU_CORES) : 1;
 	}
 
 	// The first of the ports that are free for the product's own use.
-	private Address neighbours() {
-		String first = text("port_range").split(",")[0].trim();
-		return Address.parse(text("ip") + ':' + first);
+	private Address peerAddress() {
+		String firstPort = text("port_range").split(",")[0].trim();
+		return Address.parse(text("ip") + ':' + firstPort);
 	}
 
 	private String text(String name) {
@@ -108,7 +109,7 @@
 		return Duration.ofMillis(Math.round(number(name) * 1000));
 	}
 
-	private Duration millis(String name) {
+	private Duration milliseconds(String name) {
 		return Duration.ofMillis(Math.round(number(name)));
 	}
 
--- a/src/main/java/sycamorehill/platform/PlatformStore.java
+++ b/src/main/java/sycamorehill/platform/PlatformStore.java
@@ -42,7 +42,7 @@
  */
 final class PlatformStore implements LeaseStore, NodeRegister {
 
-	private static final String OBJECTS = "/-/objects/";
+	private static final String OBJECTS_PATH = "/-/objects/";
 
 	private static final String CONFIGURATIONS = "config";
 
@@ -56,10 +56,10 @@
 
 	private static final String NODE_DATA_CENTRE = "data_centre";
 
-	private static final String NODE_PROCESSOR = "processor";
+	private static final String NODE_PROCESSOR_CORES = "processor";
 
 	/** Lets the store answer from a copy that may be seconds old, at a lower price. */
-	private static final String COPY_ALLOWED = "allow_stale=1";
+	private static final String STALE_READ_ALLOWED = "allow_stale=1";
 
 	private static final String DUTIES = "duties";
 
@@ -71,7 +71,7 @@
 	private static final Duration CALL_TIMEOUT = Duration.ofMillis(800);
 
 	/** Added to the time that a call waits in the store. */
-	private static final Duration WAIT_MARGIN = Duration.ofMillis(600);
+	private static final Duration WATCH_MARGIN = Duration.ofMillis(600);
 
 	private static final int OK = 200;
 
@@ -100,27 +100,28 @@
 	}
 
 	Feed<StoredConfiguration> configurations() {
-		return new KindFeed<>(CONFIGURATIONS, this::configuration);
+		return new ObjectFeed<>(CONFIGURATIONS, this::decodeConfiguration);
 	}
 
 	Feed<TargetChange> targets() {
-		return new KindFeed<>(TARGETS, PlatformStore::target);
+		return new ObjectFeed<>(TARGETS, PlatformStore::decodeTarget);
 	}
 
 	@Override
-	public CompletableFuture<List<NodeRecord>> list(boolean present) {
-		Feed<NodeRecord> nodes = new KindFeed<>(NODES, PlatformStore::node);
-		return (present ? nodes.list() : nodes.listCopy()).thenApply(Feed.Page::items);
+	public CompletableFuture<List<NodeRecord>> list(boolean current) {
+		Feed<NodeRecord> nodes = new ObjectFeed<>(NODES, PlatformStore::decodeNode);
+		return (current ? nodes.list() : nodes.listCopy()).thenApply(Feed.Page::items);
 	}
 
-	private static Optional<NodeRecord> node(StoredObject object) {
+	private static Optional<NodeRecord> decodeNode(StoredObject object) {
 		try {
 			JsonNode spec = object.spec();
 			return Optional.of(new NodeRecord(object.name(), Address.parse(JsonFields.text(spec, NODE_ADDRESS)),
-					DataCentreName.of(JsonFields.text(spec, NODE_DATA_CENTRE)), spec.path(NODE_PROCESSOR).asDouble()));
+					DataCentreName.of(JsonFields.text(spec, NODE_DATA_CENTRE)),
+					spec.path(NODE_PROCESSOR_CORES).asDouble()));
 		}
 		catch (IllegalArgumentException ex) {
-			unreadable(NODES, object.name(), ex);
+			logUnreadable(NODES, object.name(), ex);
 			return Optional.empty();
 		}
 	}
@@ -133,33 +134,37 @@
 		body.putObject("spec")
 			.put(NODE_ADDRESS, node.address().toString())
 			.put(NODE_DATA_CENTRE, node.dataCentre().value())
-			.put(NODE_PROCESSOR, node.processorCores());
-		byte[] bytes = bytes(body);
-		return done(new CallClient.Call(this.store, HttpMethod.POST, OBJECTS + NODES, bytes)).thenCompose((status) -> {
-			if (status != CONFLICT) {
-				return CompletableFuture.completedFuture(status);
-			}
-			return done(new CallClient.Call(this.store, HttpMethod.PUT, OBJECTS + NODES + '/' + name, bytes));
-		}).thenAccept(PlatformStore::requireDone);
+			.put(NODE_PROCESSOR_CORES, node.processorCores());
+		byte[] bytes = toBytes(body);
+		return callForStatus(new CallClient.Call(this.store, HttpMethod.POST, OBJECTS_PATH + NODES, bytes))
+			.thenCompose((status) -> {
+				if (status != CONFLICT) {
+					return CompletableFuture.completedFuture(status);
+				}
+				return callForStatus(
+						new CallClient.Call(this.store, HttpMethod.PUT, OBJECTS_PATH + NODES + '/' + name, bytes));
+			})
+			.thenAccept(PlatformStore::requireSuccess);
 	}
 
 	@Override
 	public CompletableFuture<Void> leave(String name) {
-		return done(new CallClient.Call(this.store, HttpMethod.DELETE, OBJECTS + NODES + '/' + name, new byte[0]))
-			.thenAccept(PlatformStore::requireDone);
+		return callForStatus(
+				new CallClient.Call(this.store, HttpMethod.DELETE, OBJECTS_PATH + NODES + '/' + name, new byte[0]))
+			.thenAccept(PlatformStore::requireSuccess);
 	}
 
-	private CompletableFuture<Integer> done(CallClient.Call call) {
+	private CompletableFuture<Integer> callForStatus(CallClient.Call call) {
 		return this.client.call(call, null, CALL_TIMEOUT).thenApply(CallAnswer::status);
 	}
 
-	private static void requireDone(int status) {
+	private static void requireSuccess(int status) {
 		if (status != OK && status != CREATED && status != NOT_FOUND) {
 			throw new CompletionException(new IOException("the store answered " + status));
 		}
 	}
 
-	private Optional<StoredConfiguration> configuration(StoredObject object) {
+	private Optional<StoredConfiguration> decodeConfiguration(StoredObject object) {
 		if (object.deleted() || !object.name().equals(MAIN_CONFIGURATION)) {
 			return Optional.empty();
 		}
@@ -168,7 +173,7 @@
 				.of(new StoredConfiguration(ConfigurationDecoder.decode(object.spec()), object.spec().toString()));
 		}
 		catch (IllegalArgumentException ex) {
-			unreadable(CONFIGURATIONS, object.name(), ex);
+			logUnreadable(CONFIGURATIONS, object.name(), ex);
 			return Optional.empty();
 		}
 	}
@@ -179,7 +184,7 @@
 	 * @return the configuration
 	 * @throws IllegalArgumentException if it can't be read
 	 */
-	StoredConfiguration configuration(String text) {
+	StoredConfiguration decodeConfiguration(String text) {
 		try {
 			return new StoredConfiguration(ConfigurationDecoder.decode(this.json.readTree(text)), text);
 		}
@@ -189,29 +194,29 @@
 	}
 
 	// An entry that can't be read names no target to use.
-	private static Optional<TargetChange> target(StoredObject object) {
+	private static Optional<TargetChange> decodeTarget(StoredObject object) {
 		TargetName name = TargetName.of(object.name());
 		if (object.deleted()) {
 			return Optional.of(new TargetChange(name, Optional.empty()));
 		}
 		try {
-			TargetEntry entry = TargetDecoder.entry(object.name(), object.spec());
+			TargetEntry entry = TargetDecoder.decodeEntry(object.name(), object.spec());
 			return Optional.of(new TargetChange(name, Optional.of(entry)));
 		}
 		catch (IllegalArgumentException ex) {
-			unreadable(TARGETS, object.name(), ex);
+			logUnreadable(TARGETS, object.name(), ex);
 			return Optional.of(new TargetChange(name, Optional.empty()));
 		}
 	}
 
-	private static void unreadable(String kind, String name, RuntimeException cause) {
+	private static void logUnreadable(String kind, String name, RuntimeException failure) {
 		EventLog.write(LogLine.of(LogEvent.STORE_CONTENT_UNREADABLE,
-				"kind=" + kind + " name=" + name + " cause='" + cause.getMessage() + "'"));
+				"kind=" + kind + " name=" + name + " cause='" + failure.getMessage() + "'"));
 	}
 
 	@Override
 	public CompletableFuture<LeaseAnswer> read() {
-		return lease(CallClient.Call.get(this.store, leasePath() + '?' + COPY_ALLOWED), false);
+		return callForLease(CallClient.Call.get(this.store, leasePath() + '?' + STALE_READ_ALLOWED), false);
 	}
 
 	@Override
@@ -219,7 +224,8 @@
 		ObjectNode body = this.json.createObjectNode();
 		body.putObject("metadata").put("name", GROUP_CONTROL);
 		body.putObject("spec").put("holder", holder).put("term", 1).put("renewal", 0);
-		return lease(new CallClient.Call(this.store, HttpMethod.POST, OBJECTS + DUTIES, bytes(body)), true);
+		return callForLease(new CallClient.Call(this.store, HttpMethod.POST, OBJECTS_PATH + DUTIES, toBytes(body)),
+				true);
 	}
 
 	/**
@@ -231,14 +237,14 @@
 		ObjectNode body = this.json.createObjectNode();
 		body.putObject("metadata").put("name", GROUP_CONTROL).put("rev", lease.revision());
 		body.putObject("spec").put("holder", lease.holder()).put("term", lease.term()).put("renewal", lease.revision());
-		return lease(new CallClient.Call(this.store, HttpMethod.PUT, leasePath(), bytes(body)), true);
+		return callForLease(new CallClient.Call(this.store, HttpMethod.PUT, leasePath(), toBytes(body)), true);
 	}
 
 	private static String leasePath() {
-		return OBJECTS + DUTIES + '/' + GROUP_CONTROL;
+		return OBJECTS_PATH + DUTIES + '/' + GROUP_CONTROL;
 	}
 
-	private CompletableFuture<LeaseAnswer> lease(CallClient.Call call, boolean write) {
+	private CompletableFuture<LeaseAnswer> callForLease(CallClient.Call call, boolean write) {
 		return this.client.call(call, null, CALL_TIMEOUT)
 			.thenApply((answer) -> leaseAnswer(answer, write))
 			.exceptionally((failure) -> new LeaseAnswer.Unavailable(String.valueOf(failure.getMessage())));
@@ -246,21 +252,21 @@
 
 	private LeaseAnswer leaseAnswer(CallAnswer answer, boolean write) {
 		return switch (answer.status()) {
-			case OK, CREATED -> new LeaseAnswer.Present(lease(tree(answer)), write);
-			case CONFLICT -> new LeaseAnswer.Conflict(lease(tree(answer)));
+			case OK, CREATED -> new LeaseAnswer.Present(decodeLease(parseBody(answer)), write);
+			case CONFLICT -> new LeaseAnswer.Conflict(decodeLease(parseBody(answer)));
 			case NOT_FOUND -> new LeaseAnswer.Absent();
 			default -> new LeaseAnswer.Unavailable("status " + answer.status());
 		};
 	}
 
-	private static Lease lease(JsonNode answer) {
+	private static Lease decodeLease(JsonNode answer) {
 		JsonNode object = answer.path("object").isObject() ? answer.path("object") : answer;
 		JsonNode spec = object.path("spec");
-		return new Lease(JsonFields.optionalText(spec, "holder").orElse(""), JsonFields.whole(spec, "term"),
-				JsonFields.whole(object.path("metadata"), "rev"));
+		return new Lease(JsonFields.optionalText(spec, "holder").orElse(""), JsonFields.wholeNumber(spec, "term"),
+				JsonFields.wholeNumber(object.path("metadata"), "rev"));
 	}
 
-	private JsonNode tree(CallAnswer answer) {
+	private JsonNode parseBody(CallAnswer answer) {
 		try {
 			return this.json.readTree(answer.body());
 		}
@@ -269,7 +275,7 @@
 		}
 	}
 
-	private byte[] bytes(JsonNode body) {
+	private byte[] toBytes(JsonNode body) {
 		return body.toString().getBytes(StandardCharsets.UTF_8);
 	}
 
@@ -293,58 +299,61 @@
 	 *
 	 * @param <T> what is told of an object
 	 */
-	private final class KindFeed<T> implements Feed<T> {
+	private final class ObjectFeed<T> implements Feed<T> {
 
 		private final String kind;
 
 		private final Function<StoredObject, Optional<T>> decoder;
 
-		KindFeed(String kind, Function<StoredObject, Optional<T>> decoder) {
+		ObjectFeed(String kind, Function<StoredObject, Optional<T>> decoder) {
 			this.kind = kind;
 			this.decoder = decoder;
 		}
 
 		@Override
 		public CompletableFuture<Page<T>> list() {
-			return list("");
+			return listPages("");
 		}
 
 		@Override
 		public CompletableFuture<Page<T>> listCopy() {
-			return list(COPY_ALLOWED);
+			return listPages(STALE_READ_ALLOWED);
 		}
 
-		private CompletableFuture<Page<T>> list(String option) {
-			return list(new ArrayList<>(), option, "", -1);
+		private CompletableFuture<Page<T>> listPages(String option) {
+			return listPages(new ArrayList<>(), option, "", -1);
 		}
 
 		// The first page's revision holds for the whole: what changed since is told
 		// again.
-		private CompletableFuture<Page<T>> list(List<T> items, String option, String after, long first) {
-			String query = Stream.of(option, after).filter((part) -> !part.isEmpty()).collect(Collectors.joining("&"));
+		private CompletableFuture<Page<T>> listPages(List<T> items, String option, String after, long listRevision) {
+			String query = Stream.of(option, after)
+				.filter((parameter) -> !parameter.isEmpty())
+				.collect(Collectors.joining("&"));
 			return call(query.isEmpty() ? "" : '?' + query, CALL_TIMEOUT).thenCompose((page) -> {
-				String last = "";
+				String lastName = "";
 				for (JsonNode object : JsonFields.list(page, "items")) {
 					decode(object, false).ifPresent(items::add);
-					last = object.path("metadata").path("name").asText();
+					lastName = object.path("metadata").path("name").asText();
 				}
-				long revision = (first < 0) ? JsonFields.whole(page, "at") : first;
-				if (!JsonFields.flag(page, "has_more") || last.isEmpty()) {
+				long revision = (listRevision < 0) ? JsonFields.wholeNumber(page, "at") : listRevision;
+				if (!JsonFields.flag(page, "has_more") || lastName.isEmpty()) {
 					return CompletableFuture.completedFuture(new Page<>(items, revision));
 				}
-				return list(items, option, "after=" + URLEncoder.encode(last, StandardCharsets.UTF_8), revision);
+				return listPages(items, option, "after=" + URLEncoder.encode(lastName, StandardCharsets.UTF_8),
+						revision);
 			});
 		}
 
 		@Override
 		public CompletableFuture<Page<T>> changes(long since, Duration wait) {
 			String query = "?watch=" + since + "&wait_ms=" + wait.toMillis();
-			return call(query, wait.plus(WAIT_MARGIN)).thenApply((page) -> {
+			return call(query, wait.plus(WATCH_MARGIN)).thenApply((page) -> {
 				List<T> items = new ArrayList<>();
 				for (JsonNode event : JsonFields.list(page, "events")) {
 					decode(event.path("object"), JsonFields.flag(event, "deleted")).ifPresent(items::add);
 				}
-				return new Page<>(items, JsonFields.whole(page, "at"));
+				return new Page<>(items, JsonFields.wholeNumber(page, "at"));
 			});
 		}
 
@@ -353,13 +362,13 @@
 				return this.decoder.apply(StoredObject.of(object, deleted));
 			}
 			catch (IllegalArgumentException ex) {
-				unreadable(this.kind, "without a name", ex);
+				logUnreadable(this.kind, "without a name", ex);
 				return Optional.empty();
 			}
 		}
 
 		private CompletableFuture<JsonNode> call(String query, Duration timeout) {
-			CallClient.Call call = CallClient.Call.get(PlatformStore.this.store, OBJECTS + this.kind + query);
+			CallClient.Call call = CallClient.Call.get(PlatformStore.this.store, OBJECTS_PATH + this.kind + query);
 			return PlatformStore.this.client.call(call, null, timeout).thenApply((answer) -> {
 				if (answer.status() == GONE) {
 					throw new CompletionException(new HistoryGoneException());
@@ -367,7 +376,7 @@
 				if (answer.status() != OK) {
 					throw new CompletionException(new IOException("the store answered " + answer.status()));
 				}
-				return tree(answer);
+				return parseBody(answer);
 			});
 		}
 
--- a/src/main/java/sycamorehill/platform/TargetDecoder.java
+++ b/src/main/java/sycamorehill/platform/TargetDecoder.java
@@ -23,19 +23,19 @@
 	private TargetDecoder() {
 	}
 
-	static TargetEntry entry(String name, JsonNode spec) {
+	static TargetEntry decodeEntry(String name, JsonNode spec) {
 		return new TargetEntry(TargetName.of(name), ServiceName.of(JsonFields.text(spec, "service")),
 				Address.parse(JsonFields.text(spec, "address")), DataCentreName.of(JsonFields.text(spec, "zone")),
-				(int) JsonFields.whole(spec, "batch_slots"), leaving(spec), born(spec),
-				JsonFields.optionalText(spec, "domain"), staged(spec), loaded(spec), membership(spec));
+				(int) JsonFields.wholeNumber(spec, "batch_slots"), isLeaving(spec), startMillis(spec),
+				JsonFields.optionalText(spec, "domain"), stagedModels(spec), loadedModel(spec), membership(spec));
 	}
 
 	// In a report the field 'sequence' counts orders; in the store it counts heartbeats.
-	static EngineReport report(JsonNode report) {
-		return new EngineReport(JsonFields.whole(report, "sequence"), staged(report), membership(report));
+	static EngineReport decodeReport(JsonNode report) {
+		return new EngineReport(JsonFields.wholeNumber(report, "sequence"), stagedModels(report), membership(report));
 	}
 
-	private static boolean leaving(JsonNode spec) {
+	private static boolean isLeaving(JsonNode spec) {
 		String state = JsonFields.text(spec, "state");
 		return switch (state) {
 			case "ready" -> false;
@@ -44,19 +44,19 @@
 		};
 	}
 
-	private static long born(JsonNode node) {
-		JsonNode born = node.path("born");
-		return born.isIntegralNumber() ? born.longValue() : 0;
+	private static long startMillis(JsonNode spec) {
+		JsonNode startMillis = spec.path("born");
+		return startMillis.isIntegralNumber() ? startMillis.longValue() : 0;
 	}
 
-	private static Set<String> staged(JsonNode spec) {
+	private static Set<String> stagedModels(JsonNode spec) {
 		Set<String> staged = new HashSet<>();
 		spec.path("staged")
 			.forEach((model) -> staged.add(model.isTextual() ? model.textValue() : model.path("name").asText()));
 		return staged;
 	}
 
-	private static Optional<String> loaded(JsonNode spec) {
+	private static Optional<String> loadedModel(JsonNode spec) {
 		return JsonFields.optionalText(spec.path("models").path(0), "name");
 	}
 
@@ -65,11 +65,11 @@
 		if (!group.isObject() || JsonFields.optionalText(group, "name").filter((name) -> !name.isEmpty()).isEmpty()) {
 			return Optional.empty();
 		}
-		return Optional.of(new Membership(JsonFields.text(group, "name"), JsonFields.whole(group, "epoch"),
-				(int) JsonFields.whole(group, "rank"), state(JsonFields.text(group, "state"))));
+		return Optional.of(new Membership(JsonFields.text(group, "name"), JsonFields.wholeNumber(group, "epoch"),
+				(int) JsonFields.wholeNumber(group, "rank"), memberState(JsonFields.text(group, "state"))));
 	}
 
-	private static MemberState state(String state) {
+	private static MemberState memberState(String state) {
 		return switch (state) {
 			case "joining" -> MemberState.JOINING;
 			case "ready" -> MemberState.READY;
--- a/src/main/java/sycamorehill/runtime/Node.java
+++ b/src/main/java/sycamorehill/runtime/Node.java
@@ -25,7 +25,7 @@
 import sycamorehill.model.identity.NodeIncarnation;
 import sycamorehill.model.log.LogEvent;
 import sycamorehill.model.log.LogLine;
-import sycamorehill.objectapi.HttpPlatform;
+import sycamorehill.objectapi.HttpPlatformClient;
 import sycamorehill.objectapi.HttpVmList;
 import sycamorehill.operator.OperatorCalls;
 import sycamorehill.operator.OperatorServer;
@@ -71,7 +71,7 @@
 		this.gateway = CallerGateway.create(self.incarnation(), clock, wallClock, json, engines,
 				HttpPlainService.create(caller), events, this::ready, this.metrics);
 		EffectRunner effects = new EffectRunner(events, clock,
-				HttpPlatform.create(caller, settings.platformAddress(), json),
+				HttpPlatformClient.create(caller, settings.platformAddress(), json),
 				HttpVmList.create(caller, settings.platformAddress(), json), engines, this.peers::send,
 				this.gateway.requests(), operatorCalls, () -> this.end.complete(NodeEnd.STOPPED), this.metrics);
 		this.loop = ControlLoop.create(NodeState.initial(self, settings.policy()), clock, wallClock, effects,
--- a/src/test/java/sycamorehill/platform/DecoderTests.java
+++ b/src/test/java/sycamorehill/platform/DecoderTests.java
@@ -54,8 +54,8 @@
 	}
 
 	@Test
-	void readsAnEngineInAGroup() {
-		TargetEntry entry = TargetDecoder.entry("e1", json(ENTRY));
+	void readsEngineInGroup() {
+		TargetEntry entry = TargetDecoder.decodeEntry("e1", json(ENTRY));
 		assertThat(entry.membership().orElseThrow().state()).isEqualTo(MemberState.READY);
 		assertThat(entry.domain()).contains("north-d0");
 		assertThat(entry.staged()).containsExactly("m");
@@ -63,7 +63,7 @@
 	}
 
 	@Test
-	void readsAConfiguration() {
+	void readsConfiguration() {
 		Configuration configuration = ConfigurationDecoder.decode(json(CONFIGURATION));
 		assertThat(configuration.routes().get(0).kind()).isEqualTo(RequestKind.RESUMABLE_STREAM);
 		assertThat(configuration.routes().get(0).host()).isEqualTo("feed.example");
@@ -77,16 +77,17 @@
 	// They
 	// name no target, and reading them fails in the one way that the reader expects.
 	@Property(tries = 2000)
-	void faultyObjectsFailInOneWay(@ForAll @IntRange(max = 700) int cut, @ForAll char letter, @ForAll boolean entry) {
-		String sound = entry ? ENTRY : CONFIGURATION;
-		int at = Math.min(cut, sound.length() - 1);
-		String spoilt = sound.substring(0, at) + letter + sound.substring(at + 1);
+	void malformedObjectsThrowIllegalArgumentException(@ForAll @IntRange(max = 700) int position,
+			@ForAll char character, @ForAll boolean entry) {
+		String valid = entry ? ENTRY : CONFIGURATION;
+		int index = Math.min(position, valid.length() - 1);
+		String malformed = valid.substring(0, index) + character + valid.substring(index + 1);
 		try {
 			if (entry) {
-				TargetDecoder.entry("e1", json(spoilt));
+				TargetDecoder.decodeEntry("e1", json(malformed));
 			}
 			else {
-				ConfigurationDecoder.decode(json(spoilt));
+				ConfigurationDecoder.decode(json(malformed));
 			}
 		}
 		catch (IllegalArgumentException ex) {
@@ -95,29 +96,29 @@
 	}
 
 	@Test
-	void anEntryWithAnUnknownStateNamesNoTarget() {
-		assertThatThrownBy(() -> TargetDecoder.entry("e1", json(ENTRY.replace("'ready','seq", "'paused','seq"))))
+	void rejectsEntryWithUnknownState() {
+		assertThatThrownBy(() -> TargetDecoder.decodeEntry("e1", json(ENTRY.replace("'ready','seq", "'paused','seq"))))
 			.isInstanceOf(IllegalArgumentException.class)
 			.hasMessageContaining("paused");
 	}
 
 	@Test
-	void readsTheSettingsAndNamesWhatIsMissing() throws IOException {
+	void readsSettingsAndReportsInvalidOnes() throws IOException {
 		Path file = Files.createTempFile("settings", ".conf");
-		String sound = "node_name=front-north-1\nip=127.0.0.1\nzone=north\nzones.north=r\nbind.front=127.0.0.1:81\n"
+		String valid = "node_name=front-north-1\nip=127.0.0.1\nzone=north\nzones.north=r\nbind.front=127.0.0.1:81\n"
 				+ "bind.ready=127.0.0.1:82\nport_range=7340,7355\nfirst_start=true\nplatform.address=127.0.0.1:83\n"
 				+ "bounds.grace_period_s=8\nbounds.budget_window_s=10\nbounds.retry_budget_ratio=0.2\n"
 				+ "bounds.retry_budget_extra=103\nbounds.stall_ms=5000\nbounds.ceiling_window_s=5\nnew.field=x\n";
-		Files.writeString(file, sound);
+		Files.writeString(file, valid);
 		EntrySettings settings = PlatformSettings.read(file);
 		assertThat(settings.peerAddress().port()).isEqualTo(7340);
 		assertThat(settings.stopTime()).isEqualTo(Duration.ofSeconds(8));
 		assertThat(settings.processorCores()).isEqualTo(1);
-		Files.writeString(file, sound + "limits.cpu_share=0.25\nlimits.cpu_cores=2\n");
+		Files.writeString(file, valid + "limits.cpu_share=0.25\nlimits.cpu_cores=2\n");
 		assertThat(PlatformSettings.read(file).processorCores()).isEqualTo(0.5);
-		Files.writeString(file, sound.replace("bind.front=127.0.0.1:81", "bind.front=nowhere"));
+		Files.writeString(file, valid.replace("bind.front=127.0.0.1:81", "bind.front=nowhere"));
 		assertThatThrownBy(() -> PlatformSettings.read(file)).hasMessageContaining("bind.front");
-		Files.writeString(file, sound.replace("zone=north\n", ""));
+		Files.writeString(file, valid.replace("zone=north\n", ""));
 		assertThatThrownBy(() -> PlatformSettings.read(file)).hasMessageContaining("'zone' is missing");
 		Files.delete(file);
 	}
--- a/src/test/java/sycamorehill/platform/PlatformLimitTests.java
+++ b/src/test/java/sycamorehill/platform/RateLimitHeaderTests.java
@@ -17,7 +17,7 @@
 /**
  * The limit that a target in need names.
  */
-class PlatformLimitTests {
+class RateLimitHeaderTests {
 
 	private static Optional<RequestRate> read(String limit) {
 		HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -26,7 +26,7 @@
 	}
 
 	@Test
-	void readsADecimalNumber() {
+	void readsDecimalNumber() {
 		assertThat(read("1.4")).contains(new RequestRate(1.4));
 		assertThat(read("12")).contains(new RequestRate(12));
 		assertThat(read("0")).contains(new RequestRate(0));
@@ -35,7 +35,7 @@
 	// A faulty number ends the node's thread, or keeps a sound target from all work.
 	@ParameterizedTest
 	@ValueSource(strings = { "", "none", "-1", "NaN", "1e999", "1,5", "Infinity" })
-	void aFaultyLimitIsNone(String limit) {
+	void ignoresInvalidRateLimit(String limit) {
 		assertThat(read(limit)).isEmpty();
 	}
 
