--- a/src/main/java/sycamorehill/platform/ConfigurationDecoder.java
+++ b/src/main/java/sycamorehill/platform/ConfigurationDecoder.java
@@ -23,11 +23,11 @@
 import sycamorehill.model.serving.Workspace;
 
 /**
- * Reads the operator's configuration object.
+ * Decodes the operator's configuration object.
  */
 final class ConfigurationDecoder {
 
-	/** Rank of a workspace whose entry names none. */
+	/** Priority of a workspace whose entry specifies none; 0 is the most urgent. */
 	private static final int DEFAULT_PRIORITY = 1;
 
 	private ConfigurationDecoder() {
@@ -66,7 +66,7 @@
 		};
 	}
 
-	// A route names one service, or several with weights.
+	// A route specifies either one service or several services with weights.
 	private static List<WeightedService> weightedServices(JsonNode route) {
 		JsonNode backends = route.path("backends");
 		if (!backends.isArray() || backends.isEmpty()) {
--- a/src/main/java/sycamorehill/platform/JsonFields.java
+++ b/src/main/java/sycamorehill/platform/JsonFields.java
@@ -6,8 +6,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Reads fields of the platform's objects. A field that is missing or of another type is a
- * fault of the whole object.
+ * Reads fields of the platform's objects. A required field that is missing or has another
+ * type makes the whole object invalid.
  */
 final class JsonFields {
 
--- a/src/main/java/sycamorehill/platform/PlatformAdapter.java
+++ b/src/main/java/sycamorehill/platform/PlatformAdapter.java
@@ -7,7 +7,7 @@
 import sycamorehill.model.serving.EntrySettings;
 
 /**
- * Puts the adapter together.
+ * Creates the adapter between an entry node and the users' platform.
  */
 public final class PlatformAdapter {
 
@@ -15,10 +15,10 @@
 	}
 
 	/**
-	 * Makes what an entry node speaks to.
+	 * Creates the interfaces through which an entry node uses the platform.
 	 * @param settings the node's settings
-	 * @param client makes calls
-	 * @return the ports
+	 * @param client sends calls to the store and to engines
+	 * @return the interfaces
 	 */
 	public static EntryPorts createPorts(EntrySettings settings, CallClient client) {
 		ObjectMapper json = new ObjectMapper();
--- a/src/main/java/sycamorehill/platform/PlatformEngineClient.java
+++ b/src/main/java/sycamorehill/platform/PlatformEngineClient.java
@@ -22,7 +22,7 @@
 import sycamorehill.model.serving.TargetAddress;
 
 /**
- * Orders to the platform's engines, and their reports.
+ * Sends commands to the platform's engines and reads their reports.
  */
 final class PlatformEngineClient implements EnginePort {
 
@@ -31,12 +31,14 @@
 	private static final String REPORT_PATH = "/-/report";
 
 	/**
-	 * Bound on an order with its connection. Engines answer orders at once.
+	 * Timeout of a command, including the time to connect. Engines answer commands
+	 * immediately.
 	 */
 	private static final Duration COMMAND_TIMEOUT = Duration.ofMillis(900);
 
 	/**
-	 * A report is asked for to find lost engines: waiting for it is downtime of a group.
+	 * Timeout of a report. Reports are requested to detect unreachable engines, so that
+	 * the wait adds to the downtime of a group.
 	 */
 	private static final Duration REPORT_TIMEOUT = Duration.ofMillis(400);
 
--- a/src/main/java/sycamorehill/platform/PlatformExchangeCodec.java
+++ b/src/main/java/sycamorehill/platform/PlatformExchangeCodec.java
@@ -23,7 +23,8 @@
 import sycamorehill.model.serving.TokenCounts;
 
 /**
- * Heads of requests and answers as the platform's callers and targets speak them.
+ * Reads and writes the heads of requests and answers that are exchanged with the
+ * platform's callers and targets.
  */
 final class PlatformExchangeCodec implements ExchangeCodec {
 
@@ -78,7 +79,8 @@
 		return numbers;
 	}
 
-	// A header that is no number is passed on as it is, and tells us nothing.
+	// A malformed number is treated as missing. It doesn't affect whether its header is
+	// forwarded.
 	private static Optional<BigDecimal> parseNumber(String text) {
 		if (text == null) {
 			return Optional.empty();
--- a/src/main/java/sycamorehill/platform/PlatformHeaders.java
+++ b/src/main/java/sycamorehill/platform/PlatformHeaders.java
@@ -4,18 +4,18 @@
 import java.util.Set;
 
 /**
- * Names of the platform's headers.
+ * Defines the names of the platform's HTTP headers.
  */
 final class PlatformHeaders {
 
 	static final String ATTEMPT_IDENTIFIER = "Attempt-Id";
 
-	/** Time that is left, in whole milliseconds, though the name speaks of a deadline. */
+	/** Remaining time in whole milliseconds; the header's name suggests a deadline. */
 	static final String TIME_LEFT = "Deadline-Ms";
 
 	static final String EXPECTED_INSTANCE = "Expect-Instance";
 
-	/** What this project calls a workspace. */
+	/** Name of the workspace, which the platform calls a tenant. */
 	static final String WORKSPACE = "Tenant";
 
 	static final String AUTHORIZATION = "Authorization";
@@ -25,8 +25,8 @@
 	static final String MODEL = "Model";
 
 	/**
-	 * Tokens of the prompt and most tokens of the answer, though the name speaks of
-	 * usage.
+	 * Number of prompt tokens and maximum number of answer tokens; the header's name
+	 * suggests usage.
 	 */
 	static final String TOKEN_COUNTS = "Token-Usage";
 
@@ -42,22 +42,28 @@
 
 	static final String NOT_EXECUTED = "Not-Executed";
 
-	/** Requests running, requests waiting and slots. */
+	/** Number of running requests, of waiting requests and of slots. */
 	static final String ENGINE_LOAD = "Engine-Load";
 
-	/** Requests a second that a target in need takes from all nodes together. */
+	/** Requests per second that a rate-limited target accepts from all nodes together. */
 	static final String RATE_LIMIT = "Server-Limit";
 
 	static final String KEEP_ALIVE = "Keep-Alive";
 
 	static final String RETRY_AFTER = "Retry-After";
 
-	/** Headers of one connection, which are never passed on. */
+	/**
+	 * Headers, in lower case, that concern one connection or the framing of its messages
+	 * and are never forwarded.
+	 */
 	private static final Set<String> HOP_BY_HOP_HEADERS = Set.of("connection", "keep-alive", "proxy-connection",
 			"proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
 			"content-length", "expect");
 
-	/** Headers that only the system itself tells targets. */
+	/**
+	 * Headers, in lower case, that only the load balancer sets on requests to targets. A
+	 * caller's own values are dropped.
+	 */
 	private static final Set<String> SYSTEM_HEADERS = Set.of(lowerCase(TIME_LEFT), lowerCase(EXPECTED_INSTANCE),
 			lowerCase(WORKSPACE), lowerCase(AUTHORIZATION), lowerCase(PRIORITY), lowerCase(EXPECTED_WEIGHTS_VERSION),
 			lowerCase(RESUME_AFTER));
--- a/src/main/java/sycamorehill/platform/PlatformSettings.java
+++ b/src/main/java/sycamorehill/platform/PlatformSettings.java
@@ -33,12 +33,12 @@
 	}
 
 	/**
-	 * Reads the file.
-	 * @param path where the file lies
+	 * Reads a settings file.
+	 * @param path path of the file
 	 * @return the settings
 	 * @throws IOException if the file can't be read
-	 * @throws IllegalArgumentException if a setting is missing or makes no sense; names
-	 * it
+	 * @throws IllegalArgumentException if a setting is missing or invalid; the message
+	 * names the setting
 	 */
 	public static EntrySettings read(Path path) throws IOException {
 		Properties values = new Properties();
@@ -66,13 +66,14 @@
 			.toList();
 	}
 
-	// A node that isn't told its share is taken for one of usual strength.
+	// Without both settings, the node is assumed to have one processor core.
 	private double processorCores() {
 		boolean configured = this.values.containsKey(CPU_SHARE) && this.values.containsKey(CPU_CORES);
 		return configured ? number(CPU_SHARE) * number(CPU_CORES) : 1;
 	}
 
-	// The first of the ports that are free for the product's own use.
+	// The platform leaves this range of ports to the load balancer; peers connect to the
+	// first of them.
 	private Address peerAddress() {
 		String firstPort = text("port_range").split(",")[0].trim();
 		return Address.parse(text("ip") + ':' + firstPort);
--- a/src/main/java/sycamorehill/platform/PlatformStore.java
+++ b/src/main/java/sycamorehill/platform/PlatformStore.java
@@ -38,7 +38,8 @@
 import sycamorehill.runtime.EventLog;
 
 /**
- * The platform's metadata store.
+ * Accesses the platform's metadata store, which holds the configuration, the targets, the
+ * entry nodes and the lease on the control of groups.
  */
 final class PlatformStore implements LeaseStore, NodeRegister {
 
@@ -58,7 +59,10 @@
 
 	private static final String NODE_PROCESSOR_CORES = "processor";
 
-	/** Lets the store answer from a copy that may be seconds old, at a lower price. */
+	/**
+	 * Allows the store to answer from a copy that may be seconds old, which costs the
+	 * store less.
+	 */
 	private static final String STALE_READ_ALLOWED = "allow_stale=1";
 
 	private static final String DUTIES = "duties";
@@ -66,11 +70,12 @@
 	private static final String GROUP_CONTROL = "group-control";
 
 	/**
-	 * Bound on a call that does not wait. A slow store answers well within it.
+	 * Timeout of a call that the store answers without waiting for changes. Even a slow
+	 * store answers well within it.
 	 */
 	private static final Duration CALL_TIMEOUT = Duration.ofMillis(800);
 
-	/** Added to the time that a call waits in the store. */
+	/** Time allowed for a watch beyond the time for which the store may hold it. */
 	private static final Duration WATCH_MARGIN = Duration.ofMillis(600);
 
 	private static final int OK = 200;
@@ -179,10 +184,10 @@
 	}
 
 	/**
-	 * Reads a configuration from its text.
-	 * @param text the text as it was told
+	 * Decodes a configuration.
+	 * @param text the configuration as JSON text
 	 * @return the configuration
-	 * @throws IllegalArgumentException if it can't be read
+	 * @throws IllegalArgumentException if the text is no valid configuration
 	 */
 	StoredConfiguration decodeConfiguration(String text) {
 		try {
@@ -193,7 +198,7 @@
 		}
 	}
 
-	// An entry that can't be read names no target to use.
+	// An unreadable entry is treated like a deleted one: its target receives no requests.
 	private static Optional<TargetChange> decodeTarget(StoredObject object) {
 		TargetName name = TargetName.of(object.name());
 		if (object.deleted()) {
@@ -229,8 +234,8 @@
 	}
 
 	/**
-	 * A write that changes nothing would leave the revision, so each renewal has a
-	 * number.
+	 * The store keeps an object's revision if a write changes nothing. Each write
+	 * therefore stores the previous revision as the number of the renewal.
 	 */
 	@Override
 	public CompletableFuture<LeaseAnswer> replace(Lease lease) {
@@ -280,11 +285,11 @@
 	}
 
 	/**
-	 * An object of the store, or the news that it is gone.
+	 * Represents an object of the store or its deletion.
 	 *
-	 * @param name its name
-	 * @param spec what its writer put in
-	 * @param deleted whether it is gone
+	 * @param name the object's name
+	 * @param spec the object's content
+	 * @param deleted whether the object was deleted
 	 */
 	private record StoredObject(String name, JsonNode spec, boolean deleted) {
 
@@ -295,9 +300,9 @@
 	}
 
 	/**
-	 * Objects of one kind and their changes.
+	 * Reads the objects of one kind and their changes.
 	 *
-	 * @param <T> what is told of an object
+	 * @param <T> type to which an object is decoded
 	 */
 	private final class ObjectFeed<T> implements Feed<T> {
 
@@ -324,8 +329,8 @@
 			return listPages(new ArrayList<>(), option, "", -1);
 		}
 
-		// The first page's revision holds for the whole: what changed since is told
-		// again.
+		// The list has the revision of its first page. A later watch from there repeats
+		// the changes that were made while the other pages were read.
 		private CompletableFuture<Page<T>> listPages(List<T> items, String option, String after, long listRevision) {
 			String query = Stream.of(option, after)
 				.filter((parameter) -> !parameter.isEmpty())
--- a/src/main/java/sycamorehill/platform/TargetDecoder.java
+++ b/src/main/java/sycamorehill/platform/TargetDecoder.java
@@ -16,7 +16,7 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Reads what targets say of themselves, in the store and when asked.
+ * Decodes the entries of targets in the store and the reports that engines return.
  */
 final class TargetDecoder {
 
@@ -30,7 +30,8 @@
 				JsonFields.optionalText(spec, "domain"), stagedModels(spec), loadedModel(spec), membership(spec));
 	}
 
-	// In a report the field 'sequence' counts orders; in the store it counts heartbeats.
+	// In a report, the field 'sequence' counts accepted commands; in the store, it counts
+	// heartbeats.
 	static EngineReport decodeReport(JsonNode report) {
 		return new EngineReport(JsonFields.wholeNumber(report, "sequence"), stagedModels(report), membership(report));
 	}
--- a/src/main/java/sycamorehill/platform/package-info.java
+++ b/src/main/java/sycamorehill/platform/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Translation between the users' platform and the product. Names of the platform's
- * headers, paths, fields and settings stand here and nowhere else; nothing is decided
- * here and nothing kept.
+ * Translates between the users' platform and the load balancer. Names of the platform's
+ * headers, paths, fields and settings occur only in this package, which makes no
+ * decisions and keeps no state.
  */
 package sycamorehill.platform;
