--- a/src/main/java/sycamorehill/objectapi/HttpPlatformClient.java
+++ b/src/main/java/sycamorehill/objectapi/HttpPlatformClient.java
@@ -26,7 +26,7 @@
 import sycamorehill.model.platform.StoredObject;
 
 /**
- * The object API over HTTP, as docs/WIRE.md gives it.
+ * Calls the object API over HTTP, as specified in docs/WIRE.md.
  */
 public final class HttpPlatformClient implements PlatformClient {
 
@@ -42,6 +42,7 @@
 
 	private static final int TOO_MANY_REQUESTS = 429;
 
+	/** Time allowed for a watch beyond the time for which the platform may hold it. */
 	private static final Duration WATCH_MARGIN = Duration.ofSeconds(2);
 
 	private final HttpCaller caller;
@@ -57,11 +58,11 @@
 	}
 
 	/**
-	 * Creates the adapter.
-	 * @param caller makes the calls
-	 * @param address where the platform listens
-	 * @param json reads and writes values
-	 * @return the adapter
+	 * Creates a client.
+	 * @param caller sends the HTTP calls
+	 * @param address the platform's address
+	 * @param json converts values to and from JSON
+	 * @return the client
 	 */
 	public static HttpPlatformClient create(HttpCaller caller, Address address, ObjectMapper json) {
 		return new HttpPlatformClient(caller, address, json);
@@ -74,7 +75,7 @@
 			call = httpCall(request, timeout);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("a value of ours can't be written", ex);
+			throw new IllegalStateException("the value of a request can't be converted to JSON", ex);
 		}
 		return this.caller.call(call)
 			.thenApply((answer) -> decodeAnswer(request, answer))
--- a/src/main/java/sycamorehill/objectapi/HttpVmList.java
+++ b/src/main/java/sycamorehill/objectapi/HttpVmList.java
@@ -21,7 +21,7 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * The VM list over HTTP, as docs/WIRE.md gives it.
+ * Reads the VM list over HTTP, as specified in docs/WIRE.md.
  */
 public final class HttpVmList implements VmListClient {
 
@@ -42,11 +42,11 @@
 	}
 
 	/**
-	 * Creates the adapter.
-	 * @param caller makes the calls
-	 * @param address where the platform listens
-	 * @param json reads bodies
-	 * @return the adapter
+	 * Creates a client.
+	 * @param caller sends the HTTP calls
+	 * @param address the platform's address
+	 * @param json decodes the answers
+	 * @return the client
 	 */
 	public static HttpVmList create(HttpCaller caller, Address address, ObjectMapper json) {
 		return new HttpVmList(caller, address, json);
--- a/src/main/java/sycamorehill/objectapi/PlatformClient.java
+++ b/src/main/java/sycamorehill/objectapi/PlatformClient.java
@@ -7,15 +7,15 @@
 import sycamorehill.model.platform.PlatformRequest;
 
 /**
- * The object API.
+ * Calls the platform's object API.
  */
 public interface PlatformClient {
 
 	/**
-	 * Makes one call. It is never sent twice.
-	 * @param request what is asked
-	 * @param timeout after it the answer is not known
-	 * @return how it ended; the future itself never fails
+	 * Sends a request at most once; it is never retried.
+	 * @param request the request
+	 * @param timeout time after which the outcome counts as unknown
+	 * @return the outcome; the future never fails, errors are outcomes too
 	 */
 	CompletableFuture<PlatformAnswer> call(PlatformRequest request, Duration timeout);
 
--- a/src/main/java/sycamorehill/objectapi/RetryAfterHeader.java
+++ b/src/main/java/sycamorehill/objectapi/RetryAfterHeader.java
@@ -5,7 +5,8 @@
 import sycamorehill.http.HttpAnswer;
 
 /**
- * Reads the header Retry-After in its form in seconds.
+ * Reads the delay of a Retry-After header that is given in seconds. Any other value
+ * counts as no delay.
  */
 final class RetryAfterHeader {
 
--- a/src/main/java/sycamorehill/objectapi/VmListClient.java
+++ b/src/main/java/sycamorehill/objectapi/VmListClient.java
@@ -7,14 +7,14 @@
 import sycamorehill.model.identity.DataCentreName;
 
 /**
- * The lagging list of live and leaving VMs.
+ * Reads the platform's list of live and leaving VMs, which may be out of date.
  */
 public interface VmListClient {
 
 	/**
 	 * Reads the VMs of a data centre.
 	 * @param dataCentre the data centre
-	 * @return its VMs; fails if the list can't be read
+	 * @return the VMs; the future fails if the list can't be read
 	 */
 	CompletableFuture<List<VmEntry>> read(DataCentreName dataCentre);
 
--- a/src/main/java/sycamorehill/objectapi/package-info.java
+++ b/src/main/java/sycamorehill/objectapi/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Adapters of the platform: object API, VM list and weight store.
+ * Clients of the platform's object API and VM list.
  */
 package sycamorehill.objectapi;
