--- a/src/test/java/sycamorehill/platform/DecoderTests.java
+++ b/src/test/java/sycamorehill/platform/DecoderTests.java
@@ -23,7 +23,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 /**
- * The platform's objects and settings, sound and faulty.
+ * Tests how valid and malformed objects and settings of the platform are decoded.
  */
 class DecoderTests {
 
@@ -73,9 +73,9 @@
 		assertThat(configuration.workspacesByApiKey()).containsKey("k");
 	}
 
-	// Another writer leaves entries that miss fields, or bytes that are no entry at all.
-	// They
-	// name no target, and reading them fails in the one way that the reader expects.
+	// Other writers may store entries that lack fields or are not JSON. Decoding one must
+	// fail with an IllegalArgumentException, the only failure that the store client
+	// handles; the entry then names no target.
 	@Property(tries = 2000)
 	void malformedObjectsThrowIllegalArgumentException(@ForAll @IntRange(max = 700) int position,
 			@ForAll char character, @ForAll boolean entry) {
--- a/src/test/java/sycamorehill/platform/PlatformTestCodec.java
+++ b/src/test/java/sycamorehill/platform/PlatformTestCodec.java
@@ -3,7 +3,7 @@
 import sycamorehill.entry.ExchangeCodec;
 
 /**
- * Gives tests of the entry node the users' platform's own codec.
+ * Provides the codec of the users' platform to tests of the entry node.
  */
 public final class PlatformTestCodec {
 
--- a/src/test/java/sycamorehill/platform/RateLimitHeaderTests.java
+++ b/src/test/java/sycamorehill/platform/RateLimitHeaderTests.java
@@ -15,7 +15,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The limit that a target in need names.
+ * Tests how the rate limit in a target's answer is read.
  */
 class RateLimitHeaderTests {
 
@@ -32,7 +32,8 @@
 		assertThat(read("0")).contains(new RequestRate(0));
 	}
 
-	// A faulty number ends the node's thread, or keeps a sound target from all work.
+	// Guards against a malformed number that ends the node's thread or keeps a healthy
+	// target from receiving requests.
 	@ParameterizedTest
 	@ValueSource(strings = { "", "none", "-1", "NaN", "1e999", "1,5", "Infinity" })
 	void ignoresInvalidRateLimit(String limit) {
