--- a/src/main/java/sycamorehill/objectapi/HttpPlatformClient.java
+++ b/src/main/java/sycamorehill/objectapi/HttpPlatformClient.java
@@ -45,27 +45,27 @@
 	/** Time allowed for a watch beyond the time for which the platform may hold it. */
 	private static final Duration WATCH_MARGIN = Duration.ofSeconds(2);
 
-	private final HttpCaller caller;
+	private final HttpCaller httpClient;
 
 	private final Address address;
 
 	private final ObjectMapper json;
 
-	private HttpPlatformClient(HttpCaller caller, Address address, ObjectMapper json) {
-		this.caller = caller;
+	private HttpPlatformClient(HttpCaller httpClient, Address address, ObjectMapper json) {
+		this.httpClient = httpClient;
 		this.address = address;
 		this.json = json;
 	}
 
 	/**
 	 * Creates a client.
-	 * @param caller sends the HTTP calls
+	 * @param httpClient sends the HTTP calls
 	 * @param address the platform's address
 	 * @param json converts values to and from JSON
 	 * @return the client
 	 */
-	public static HttpPlatformClient create(HttpCaller caller, Address address, ObjectMapper json) {
-		return new HttpPlatformClient(caller, address, json);
+	public static HttpPlatformClient create(HttpCaller httpClient, Address address, ObjectMapper json) {
+		return new HttpPlatformClient(httpClient, address, json);
 	}
 
 	@Override
@@ -77,7 +77,7 @@
 		catch (JsonProcessingException ex) {
 			throw new IllegalStateException("the value of a request can't be converted to JSON", ex);
 		}
-		return this.caller.call(call)
+		return this.httpClient.call(call)
 			.thenApply((answer) -> decodeAnswer(request, answer))
 			.exceptionally(HttpPlatformClient::failureAnswer);
 	}
--- a/src/main/java/sycamorehill/objectapi/HttpVmList.java
+++ b/src/main/java/sycamorehill/objectapi/HttpVmListClient.java
@@ -23,39 +23,39 @@
 /**
  * Reads the VM list over HTTP, as specified in docs/WIRE.md.
  */
-public final class HttpVmList implements VmListClient {
+public final class HttpVmListClient implements VmListClient {
 
 	private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
 	private static final int OK = 200;
 
-	private final HttpCaller caller;
+	private final HttpCaller httpClient;
 
 	private final Address address;
 
 	private final ObjectMapper json;
 
-	private HttpVmList(HttpCaller caller, Address address, ObjectMapper json) {
-		this.caller = caller;
+	private HttpVmListClient(HttpCaller httpClient, Address address, ObjectMapper json) {
+		this.httpClient = httpClient;
 		this.address = address;
 		this.json = json;
 	}
 
 	/**
 	 * Creates a client.
-	 * @param caller sends the HTTP calls
+	 * @param httpClient sends the HTTP calls
 	 * @param address the platform's address
 	 * @param json decodes the answers
 	 * @return the client
 	 */
-	public static HttpVmList create(HttpCaller caller, Address address, ObjectMapper json) {
-		return new HttpVmList(caller, address, json);
+	public static HttpVmListClient create(HttpCaller httpClient, Address address, ObjectMapper json) {
+		return new HttpVmListClient(httpClient, address, json);
 	}
 
 	@Override
 	public CompletableFuture<List<VmEntry>> read(DataCentreName dataCentre) {
 		String name = URLEncoder.encode(dataCentre.value(), StandardCharsets.UTF_8);
-		return this.caller.call(HttpCall.of(this.address, "GET", "/v1/vms?dataCentre=" + name, TIMEOUT))
+		return this.httpClient.call(HttpCall.of(this.address, "GET", "/v1/vms?dataCentre=" + name, TIMEOUT))
 			.thenApply(this::decodeEntries);
 	}
 
@@ -64,7 +64,7 @@
 			throw new IllegalStateException("the VM list answered " + answer.status());
 		}
 		try {
-			return this.json.readValue(answer.body(), VmListBody.class).vms().stream().map(VmBody::entry).toList();
+			return this.json.readValue(answer.body(), VmListBody.class).vms().stream().map(VmBody::toEntry).toList();
 		}
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
@@ -78,7 +78,7 @@
 	private record VmBody(String name, String dataCentre, String domain, String host, int port, VmStatus status,
 			String instance) {
 
-		VmEntry entry() {
+		VmEntry toEntry() {
 			return new VmEntry(VmName.of(this.name), DataCentreName.of(this.dataCentre), FabricDomain.of(this.domain),
 					Address.of(this.host, this.port), this.status, this.instance);
 		}
--- a/src/main/java/sycamorehill/runtime/Node.java
+++ b/src/main/java/sycamorehill/runtime/Node.java
@@ -26,7 +26,7 @@
 import sycamorehill.model.log.LogEvent;
 import sycamorehill.model.log.LogLine;
 import sycamorehill.objectapi.HttpPlatformClient;
-import sycamorehill.objectapi.HttpVmList;
+import sycamorehill.objectapi.HttpVmListClient;
 import sycamorehill.operator.OperatorCalls;
 import sycamorehill.operator.OperatorServer;
 import sycamorehill.peer.NettyPeerTransport;
@@ -72,7 +72,7 @@
 				HttpPlainService.create(caller), events, this::ready, this.metrics);
 		EffectRunner effects = new EffectRunner(events, clock,
 				HttpPlatformClient.create(caller, settings.platformAddress(), json),
-				HttpVmList.create(caller, settings.platformAddress(), json), engines, this.peers::send,
+				HttpVmListClient.create(caller, settings.platformAddress(), json), engines, this.peers::send,
 				this.gateway.requests(), operatorCalls, () -> this.end.complete(NodeEnd.STOPPED), this.metrics);
 		this.loop = ControlLoop.create(NodeState.initial(self, settings.policy()), clock, wallClock, effects,
 				this.metrics, this::broken);
