--- a/src/main/java/sycamorehill/cli/LoadCommand.java
+++ b/src/main/java/sycamorehill/cli/LoadCommand.java
@@ -10,7 +10,7 @@
 import com.github.rvesse.airline.annotations.Option;
 import com.github.rvesse.airline.annotations.restrictions.Required;
 
-import sycamorehill.http.HttpCaller;
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpClientPool;
 import sycamorehill.json.ModelJson;
 import sycamorehill.load.CallerClient;
@@ -60,7 +60,7 @@
 	}
 
 	private static Map<String, Long> runs(HttpClientPool pool, ObjectMapper json, LoadSettings settings) {
-		return TargetRuns.byKey(HttpCaller.create(pool), json, settings.plainTargets());
+		return TargetRuns.byKey(BufferedHttpClient.create(pool), json, settings.plainTargets());
 	}
 
 }
--- a/src/main/java/sycamorehill/cli/NodeCommand.java
+++ b/src/main/java/sycamorehill/cli/NodeCommand.java
@@ -10,9 +10,9 @@
 import com.github.rvesse.airline.annotations.Option;
 import com.github.rvesse.airline.annotations.restrictions.Required;
 
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpAnswer;
 import sycamorehill.http.HttpCall;
-import sycamorehill.http.HttpCaller;
 import sycamorehill.http.HttpClientPool;
 import sycamorehill.http.NotSentException;
 import sycamorehill.json.ModelJson;
@@ -76,7 +76,7 @@
 
 	private HttpAnswer call(HttpCall call) throws InterruptedException {
 		try (HttpClientPool pool = HttpClientPool.create(CONNECT_TIMEOUT)) {
-			return HttpCaller.create(pool).call(call).get();
+			return BufferedHttpClient.create(pool).call(call).get();
 		}
 		catch (ExecutionException ex) {
 			if (ex.getCause() instanceof NotSentException) {
--- a/src/main/java/sycamorehill/engine/AttemptFailures.java
+++ b/src/main/java/sycamorehill/engine/AttemptFailures.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeoutException;
 
-import sycamorehill.http.HttpCaller;
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.NotSentException;
 import sycamorehill.model.request.AttemptResult;
 
@@ -18,7 +18,7 @@
 
 	static AttemptResult result(Throwable failure) {
 		Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
-		Throwable sorted = HttpCaller.sorted(cause);
+		Throwable sorted = BufferedHttpClient.classifyFailure(cause);
 		if (sorted instanceof NotSentException) {
 			return new AttemptResult.NotSent(sorted.getMessage());
 		}
--- a/src/main/java/sycamorehill/engine/CompletionStream.java
+++ b/src/main/java/sycamorehill/engine/CompletionStream.java
@@ -13,10 +13,10 @@
 import io.servicetalk.http.api.StreamingHttpClient;
 import io.servicetalk.http.api.StreamingHttpResponse;
 
-import sycamorehill.http.Bodies;
+import sycamorehill.http.BodyReader;
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.EventStreamReader;
 import sycamorehill.http.HttpCall;
-import sycamorehill.http.HttpCaller;
 import sycamorehill.model.request.AttemptResult;
 
 /**
@@ -47,7 +47,7 @@
 	static CompletionStream start(StreamingHttpClient client, HttpCall call, ObjectMapper json,
 			AttemptListener listener) {
 		CompletionStream stream = new CompletionStream(json, listener);
-		stream.cancellable = client.request(HttpCaller.request(client, call))
+		stream.cancellable = client.request(BufferedHttpClient.request(client, call))
 			.flatMapPublisher(stream::payload)
 			.timeout(call.timeout())
 			.whenFinally(stream.terminal())
@@ -64,7 +64,7 @@
 		if (response.status().code() == OK) {
 			return response.payloadBody();
 		}
-		return Bodies.text(response.payloadBody(), MOST_REFUSAL_BYTES).flatMapPublisher((body) -> {
+		return BodyReader.readText(response.payloadBody(), MOST_REFUSAL_BYTES).flatMapPublisher((body) -> {
 			end(refusal(response, body));
 			return Publisher.<Buffer>empty();
 		});
--- a/src/main/java/sycamorehill/engine/HttpEngine.java
+++ b/src/main/java/sycamorehill/engine/HttpEngine.java
@@ -10,9 +10,9 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpAnswer;
 import sycamorehill.http.HttpCall;
-import sycamorehill.http.HttpCaller;
 import sycamorehill.http.HttpClientPool;
 import sycamorehill.http.NotSentException;
 import sycamorehill.model.group.EngineCommand;
@@ -41,13 +41,13 @@
 
 	private final HttpClientPool pool;
 
-	private final HttpCaller caller;
+	private final BufferedHttpClient caller;
 
 	private final ObjectMapper json;
 
 	private HttpEngine(HttpClientPool pool, ObjectMapper json) {
 		this.pool = pool;
-		this.caller = HttpCaller.create(pool);
+		this.caller = BufferedHttpClient.create(pool);
 		this.json = json;
 	}
 
--- a/src/main/java/sycamorehill/engine/HttpPlainService.java
+++ b/src/main/java/sycamorehill/engine/HttpPlainService.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpAnswer;
 import sycamorehill.http.HttpCall;
-import sycamorehill.http.HttpCaller;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.request.AttemptResult;
 import sycamorehill.model.request.RecordedAnswer;
@@ -20,9 +20,9 @@
 
 	private static final int MOST_RECORDED_CHARACTERS = 16 * 1024;
 
-	private final HttpCaller caller;
+	private final BufferedHttpClient caller;
 
-	private HttpPlainService(HttpCaller caller) {
+	private HttpPlainService(BufferedHttpClient caller) {
 		this.caller = caller;
 	}
 
@@ -31,7 +31,7 @@
 	 * @param caller makes the calls
 	 * @return the adapter
 	 */
-	public static HttpPlainService create(HttpCaller caller) {
+	public static HttpPlainService create(BufferedHttpClient caller) {
 		return new HttpPlainService(caller);
 	}
 
--- a/src/main/java/sycamorehill/experiment/ControlFleet.java
+++ b/src/main/java/sycamorehill/experiment/ControlFleet.java
@@ -231,7 +231,7 @@
 		try {
 			this.counters.sent(node, receiver, this.codec.frameLength(send.message()));
 			long began = System.nanoTime();
-			copy = this.codec.copy(send.message());
+			copy = this.codec.roundTrip(send.message());
 			this.counters.coded(System.nanoTime() - began);
 		}
 		catch (IOException ex) {
--- a/src/main/java/sycamorehill/gateway/CallerGateway.java
+++ b/src/main/java/sycamorehill/gateway/CallerGateway.java
@@ -21,7 +21,7 @@
 
 import sycamorehill.engine.EngineClient;
 import sycamorehill.engine.PlainServiceClient;
-import sycamorehill.http.Bodies;
+import sycamorehill.http.BodyReader;
 import sycamorehill.http.BodyTooLargeException;
 import sycamorehill.model.event.RequestEvent;
 import sycamorehill.model.identity.Address;
@@ -121,7 +121,7 @@
 			StreamingHttpResponseFactory factory) {
 		String path = request.path();
 		if (path.equals(CHAT_PATH) || path.startsWith(CallerRequestReader.SERVICES_PREFIX)) {
-			return Bodies.text(request.payloadBody(), MOST_BODY_BYTES)
+			return BodyReader.readText(request.payloadBody(), MOST_BODY_BYTES)
 				.timeout(BODY_TIMEOUT)
 				.flatMap((body) -> call(request, body, factory))
 				.onErrorResume((failure) -> Single.succeeded(refusal(failure, factory)));
--- a/src/main/java/sycamorehill/http/Bodies.java
+++ b/src/main/java/sycamorehill/http/BodyReader.java
@@ -10,25 +10,27 @@
 /**
  * Reads bodies whole, with a bound, so that no sender can fill the memory.
  */
-public final class Bodies {
+public final class BodyReader {
 
-	private Bodies() {
+	private BodyReader() {
 	}
 
 	/**
 	 * Reads a body as UTF-8 text.
 	 * @param payload the body as it arrives
-	 * @param mostBytes the bound; a larger body fails with {@link BodyTooLargeException}
+	 * @param maximumBytes the bound; a larger body fails with
+	 * {@link BodyTooLargeException}
 	 * @return the text
 	 */
-	public static Single<String> text(Publisher<Buffer> payload, int mostBytes) {
-		return payload.collect(ByteArrayOutputStream::new, (collected, buffer) -> append(collected, buffer, mostBytes))
+	public static Single<String> readText(Publisher<Buffer> payload, int maximumBytes) {
+		return payload
+			.collect(ByteArrayOutputStream::new, (collected, buffer) -> append(collected, buffer, maximumBytes))
 			.map((collected) -> collected.toString(StandardCharsets.UTF_8));
 	}
 
-	private static ByteArrayOutputStream append(ByteArrayOutputStream collected, Buffer buffer, int mostBytes) {
-		if (collected.size() + buffer.readableBytes() > mostBytes) {
-			throw BodyTooLargeException.over(mostBytes);
+	private static ByteArrayOutputStream append(ByteArrayOutputStream collected, Buffer buffer, int maximumBytes) {
+		if (collected.size() + buffer.readableBytes() > maximumBytes) {
+			throw BodyTooLargeException.exceeding(maximumBytes);
 		}
 		byte[] bytes = new byte[buffer.readableBytes()];
 		buffer.readBytes(bytes);
--- a/src/main/java/sycamorehill/http/BodyTooLargeException.java
+++ b/src/main/java/sycamorehill/http/BodyTooLargeException.java
@@ -13,11 +13,11 @@
 
 	/**
 	 * Creates the failure.
-	 * @param mostBytes the bound that was passed
+	 * @param maximumBytes the bound that was passed
 	 * @return the failure
 	 */
-	public static BodyTooLargeException over(int mostBytes) {
-		return new BodyTooLargeException("the body is larger than " + mostBytes + " bytes");
+	public static BodyTooLargeException exceeding(int maximumBytes) {
+		return new BodyTooLargeException("the body is larger than " + maximumBytes + " bytes");
 	}
 
 }
--- a/src/main/java/sycamorehill/http/HttpCaller.java
+++ b/src/main/java/sycamorehill/http/BufferedHttpClient.java
@@ -20,15 +20,15 @@
  * Makes calls whose answers are held whole. A failure before the first byte was written
  * is told apart from one after it, for only the first certainly ran nothing.
  */
-public final class HttpCaller {
+public final class BufferedHttpClient {
 
-	private static final int MOST_ANSWER_BYTES = 4 * 1024 * 1024;
+	private static final int MAXIMUM_ANSWER_BYTES = 4 * 1024 * 1024;
 
 	private static final BufferAllocator ALLOCATOR = BufferAllocators.DEFAULT_ALLOCATOR;
 
 	private final HttpClientPool pool;
 
-	private HttpCaller(HttpClientPool pool) {
+	private BufferedHttpClient(HttpClientPool pool) {
 		this.pool = pool;
 	}
 
@@ -37,8 +37,8 @@
 	 * @param pool the clients to use
 	 * @return the caller
 	 */
-	public static HttpCaller create(HttpClientPool pool) {
-		return new HttpCaller(pool);
+	public static BufferedHttpClient create(HttpClientPool pool) {
+		return new BufferedHttpClient(pool);
 	}
 
 	/**
@@ -49,9 +49,9 @@
 	public CompletableFuture<HttpAnswer> call(HttpCall call) {
 		StreamingHttpClient client = this.pool.client(call.address());
 		return client.request(request(client, call))
-			.flatMap(HttpCaller::whole)
+			.flatMap(BufferedHttpClient::readAnswer)
 			.timeout(call.timeout())
-			.onErrorMap(HttpCaller::sorted)
+			.onErrorMap(BufferedHttpClient::classifyFailure)
 			.toCompletionStage()
 			.toCompletableFuture();
 	}
@@ -79,13 +79,13 @@
 	 * @param failure what the library reported
 	 * @return {@link NotSentException} if no byte was written, else the failure itself
 	 */
-	public static Throwable sorted(Throwable failure) {
+	public static Throwable classifyFailure(Throwable failure) {
 		boolean notSent = failure instanceof ConnectException || failure instanceof RetryableException;
 		return notSent ? NotSentException.of(failure) : failure;
 	}
 
-	private static Single<HttpAnswer> whole(StreamingHttpResponse response) {
-		return Bodies.text(response.payloadBody(), MOST_ANSWER_BYTES)
+	private static Single<HttpAnswer> readAnswer(StreamingHttpResponse response) {
+		return BodyReader.readText(response.payloadBody(), MAXIMUM_ANSWER_BYTES)
 			.map((body) -> new HttpAnswer(response.status().code(), headers(response), body));
 	}
 
--- a/src/main/java/sycamorehill/http/EventStreamReader.java
+++ b/src/main/java/sycamorehill/http/EventStreamReader.java
@@ -15,7 +15,7 @@
 
 	private static final String DATA = "data:";
 
-	private static final int MOST_LINE_BYTES = 256 * 1024;
+	private static final int MAXIMUM_LINE_BYTES = 256 * 1024;
 
 	private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
@@ -40,7 +40,7 @@
 		while (buffer.readableBytes() > 0) {
 			byte next = buffer.readByte();
 			if (next == '\n') {
-				take(data);
+				endLine(data);
 			}
 			else {
 				append(next);
@@ -50,13 +50,13 @@
 	}
 
 	private void append(byte next) {
-		if (this.line.size() >= MOST_LINE_BYTES) {
-			throw BodyTooLargeException.over(MOST_LINE_BYTES);
+		if (this.line.size() >= MAXIMUM_LINE_BYTES) {
+			throw BodyTooLargeException.exceeding(MAXIMUM_LINE_BYTES);
 		}
 		this.line.write(next);
 	}
 
-	private void take(List<String> data) {
+	private void endLine(List<String> data) {
 		String text = this.line.toString(StandardCharsets.UTF_8).strip();
 		this.line.reset();
 		if (text.startsWith(DATA)) {
--- a/src/main/java/sycamorehill/http/HttpCall.java
+++ b/src/main/java/sycamorehill/http/HttpCall.java
@@ -39,7 +39,7 @@
 	 */
 	public HttpCall withBody(String text, String contentType) {
 		return new HttpCall(this.address, this.method, this.target,
-				HttpHeader.plus(this.headers, HttpHeader.of("Content-Type", contentType)), Optional.of(text),
+				HttpHeader.append(this.headers, HttpHeader.of("Content-Type", contentType)), Optional.of(text),
 				this.timeout);
 	}
 
@@ -51,7 +51,7 @@
 	 */
 	public HttpCall withHeader(String name, String value) {
 		return new HttpCall(this.address, this.method, this.target,
-				HttpHeader.plus(this.headers, HttpHeader.of(name, value)), this.body, this.timeout);
+				HttpHeader.append(this.headers, HttpHeader.of(name, value)), this.body, this.timeout);
 	}
 
 }
--- a/src/main/java/sycamorehill/http/HttpClientPool.java
+++ b/src/main/java/sycamorehill/http/HttpClientPool.java
@@ -25,7 +25,7 @@
 
 	private static final int HEALTH_CHECKS_OFF = -1;
 
-	private static final int MOST_CLIENTS = 4096;
+	private static final int MAXIMUM_CLIENTS = 4096;
 
 	private final ConcurrentMap<Address, StreamingHttpClient> clients = new ConcurrentHashMap<>();
 
@@ -50,13 +50,13 @@
 	 * @return the client, made when it is first asked for
 	 */
 	public StreamingHttpClient client(Address address) {
-		if (this.clients.size() > MOST_CLIENTS) {
+		if (this.clients.size() > MAXIMUM_CLIENTS) {
 			closeAll();
 		}
-		return this.clients.computeIfAbsent(address, this::open);
+		return this.clients.computeIfAbsent(address, this::createClient);
 	}
 
-	private StreamingHttpClient open(Address address) {
+	private StreamingHttpClient createClient(Address address) {
 		return HttpClients.forResolvedAddress(new InetSocketAddress(address.host(), address.port()))
 			.executionStrategy(HttpExecutionStrategies.offloadNone())
 			.socketOption(ServiceTalkSocketOptions.CONNECT_TIMEOUT, (int) this.connectTimeout.toMillis())
--- a/src/main/java/sycamorehill/http/HttpHeader.java
+++ b/src/main/java/sycamorehill/http/HttpHeader.java
@@ -21,7 +21,7 @@
 		return new HttpHeader(name, value);
 	}
 
-	static List<HttpHeader> plus(List<HttpHeader> headers, HttpHeader added) {
+	static List<HttpHeader> append(List<HttpHeader> headers, HttpHeader added) {
 		List<HttpHeader> all = new ArrayList<>(headers);
 		all.add(added);
 		return List.copyOf(all);
--- a/src/main/java/sycamorehill/json/IdentifierModule.java
+++ b/src/main/java/sycamorehill/json/IdentifierModule.java
@@ -44,51 +44,51 @@
 
 	static IdentifierModule create() {
 		IdentifierModule module = new IdentifierModule();
-		module.text(Address.class, Address::toString, Address::parse);
-		module.text(DataCentreName.class, DataCentreName::value, DataCentreName::of);
-		module.text(FabricDomain.class, FabricDomain::value, FabricDomain::of);
-		module.text(FilingIdentifier.class, FilingIdentifier::value, FilingIdentifier::of);
-		module.text(GroupSetName.class, GroupSetName::value, GroupSetName::of);
-		module.text(NodeName.class, NodeName::value, NodeName::of);
-		module.text(ServiceName.class, ServiceName::value, ServiceName::of);
-		module.text(TargetName.class, TargetName::value, TargetName::of);
-		module.text(VmName.class, VmName::value, VmName::of);
-		module.text(WorkspaceName.class, WorkspaceName::value, WorkspaceName::of);
-		module.text(Fingerprint.class, Fingerprint::value, Fingerprint::new);
-		module.text(GroupName.class, GroupName::toString, IdentifierText::groupName);
-		module.text(NodeIncarnation.class, NodeIncarnation::toString, IdentifierText::incarnation);
-		module.text(RequestIdentifier.class, RequestIdentifier::toString, IdentifierText::request);
-		module.text(AttemptIdentifier.class, AttemptIdentifier::toString, IdentifierText::attempt);
-		module.text(OrderKey.class, IdentifierText::write, IdentifierText::orderKey);
-		module.key(ItemKey.class, IdentifierText::write, IdentifierText::itemKey);
+		module.registerValueAndKey(Address.class, Address::toString, Address::parse);
+		module.registerValueAndKey(DataCentreName.class, DataCentreName::value, DataCentreName::of);
+		module.registerValueAndKey(FabricDomain.class, FabricDomain::value, FabricDomain::of);
+		module.registerValueAndKey(FilingIdentifier.class, FilingIdentifier::value, FilingIdentifier::of);
+		module.registerValueAndKey(GroupSetName.class, GroupSetName::value, GroupSetName::of);
+		module.registerValueAndKey(NodeName.class, NodeName::value, NodeName::of);
+		module.registerValueAndKey(ServiceName.class, ServiceName::value, ServiceName::of);
+		module.registerValueAndKey(TargetName.class, TargetName::value, TargetName::of);
+		module.registerValueAndKey(VmName.class, VmName::value, VmName::of);
+		module.registerValueAndKey(WorkspaceName.class, WorkspaceName::value, WorkspaceName::of);
+		module.registerValueAndKey(Fingerprint.class, Fingerprint::value, Fingerprint::new);
+		module.registerValueAndKey(GroupName.class, GroupName::toString, IdentifierText::parseGroupName);
+		module.registerValueAndKey(NodeIncarnation.class, NodeIncarnation::toString, IdentifierText::parseIncarnation);
+		module.registerValueAndKey(RequestIdentifier.class, RequestIdentifier::toString, IdentifierText::parseRequest);
+		module.registerValueAndKey(AttemptIdentifier.class, AttemptIdentifier::toString, IdentifierText::parseAttempt);
+		module.registerValueAndKey(OrderKey.class, IdentifierText::format, IdentifierText::parseOrderKey);
+		module.registerKey(ItemKey.class, IdentifierText::format, IdentifierText::parseItemKey);
 		return module;
 	}
 
-	private <T> void text(Class<T> type, Function<T, String> write, Function<String, T> read) {
-		addSerializer(type, new TextSerializer<>(type, write));
-		addDeserializer(type, new TextDeserializer<>(type, read));
-		key(type, write, read);
+	private <T> void registerValueAndKey(Class<T> type, Function<T, String> format, Function<String, T> parse) {
+		addSerializer(type, new TextSerializer<>(type, format));
+		addDeserializer(type, new TextDeserializer<>(type, parse));
+		registerKey(type, format, parse);
 	}
 
-	private <T> void key(Class<T> type, Function<T, String> write, Function<String, T> read) {
-		addKeySerializer(type, new TextKeySerializer<>(write));
-		addKeyDeserializer(type, new TextKeyDeserializer<>(type, read));
+	private <T> void registerKey(Class<T> type, Function<T, String> format, Function<String, T> parse) {
+		addKeySerializer(type, new TextKeySerializer<>(format));
+		addKeyDeserializer(type, new TextKeyDeserializer<>(type, parse));
 	}
 
 	private static final class TextSerializer<T> extends StdScalarSerializer<T> {
 
 		private static final long serialVersionUID = 1L;
 
-		private final transient Function<T, String> write;
+		private final transient Function<T, String> format;
 
-		TextSerializer(Class<T> type, Function<T, String> write) {
+		TextSerializer(Class<T> type, Function<T, String> format) {
 			super(type);
-			this.write = write;
+			this.format = format;
 		}
 
 		@Override
 		public void serialize(T value, JsonGenerator generator, SerializerProvider provider) throws IOException {
-			generator.writeString(this.write.apply(value));
+			generator.writeString(this.format.apply(value));
 		}
 
 	}
@@ -97,11 +97,11 @@
 
 		private static final long serialVersionUID = 1L;
 
-		private final transient Function<String, T> read;
+		private final transient Function<String, T> parse;
 
-		TextDeserializer(Class<T> type, Function<String, T> read) {
+		TextDeserializer(Class<T> type, Function<String, T> parse) {
 			super(type);
-			this.read = read;
+			this.parse = parse;
 		}
 
 		@Override
@@ -112,7 +112,7 @@
 				return (T) context.handleUnexpectedToken(handledType(), parser);
 			}
 			try {
-				return this.read.apply(text);
+				return this.parse.apply(text);
 			}
 			catch (IllegalArgumentException ex) {
 				return (T) context.handleWeirdStringValue(handledType(), text, "%s", ex.getMessage());
@@ -123,15 +123,15 @@
 
 	private static final class TextKeySerializer<T> extends JsonSerializer<T> {
 
-		private final Function<T, String> write;
+		private final Function<T, String> format;
 
-		TextKeySerializer(Function<T, String> write) {
-			this.write = write;
+		TextKeySerializer(Function<T, String> format) {
+			this.format = format;
 		}
 
 		@Override
 		public void serialize(T value, JsonGenerator generator, SerializerProvider provider) throws IOException {
-			generator.writeFieldName(this.write.apply(value));
+			generator.writeFieldName(this.format.apply(value));
 		}
 
 	}
@@ -140,17 +140,17 @@
 
 		private final Class<T> type;
 
-		private final Function<String, T> read;
+		private final Function<String, T> parse;
 
-		TextKeyDeserializer(Class<T> type, Function<String, T> read) {
+		TextKeyDeserializer(Class<T> type, Function<String, T> parse) {
 			this.type = type;
-			this.read = read;
+			this.parse = parse;
 		}
 
 		@Override
 		public Object deserializeKey(String text, DeserializationContext context) throws IOException {
 			try {
-				return this.read.apply(text);
+				return this.parse.apply(text);
 			}
 			catch (IllegalArgumentException ex) {
 				return context.handleWeirdKey(this.type, text, "%s", ex.getMessage());
--- a/src/main/java/sycamorehill/json/IdentifierText.java
+++ b/src/main/java/sycamorehill/json/IdentifierText.java
@@ -19,59 +19,62 @@
 
 	private static final int HEXADECIMAL = 16;
 
-	private static final int HALF_KEY = 16;
+	private static final int DIGITS_PER_HALF = 16;
 
 	private static final char ITEM_SEPARATOR = '/';
 
 	private IdentifierText() {
 	}
 
-	static GroupName groupName(String text) {
-		int slash = split(text, "/");
-		return GroupName.of(GroupSetName.of(text.substring(0, slash)), Integer.parseInt(text.substring(slash + 1)));
+	static GroupName parseGroupName(String text) {
+		int separator = separatorIndex(text, "/");
+		return GroupName.of(GroupSetName.of(text.substring(0, separator)),
+				Integer.parseInt(text.substring(separator + 1)));
 	}
 
-	static NodeIncarnation incarnation(String text) {
-		int dash = split(text, "-");
-		long number = Long.parseUnsignedLong(text.substring(dash + 1), HEXADECIMAL);
-		return NodeIncarnation.of(NodeName.of(text.substring(0, dash)), number);
+	static NodeIncarnation parseIncarnation(String text) {
+		int separator = separatorIndex(text, "-");
+		long number = Long.parseUnsignedLong(text.substring(separator + 1), HEXADECIMAL);
+		return NodeIncarnation.of(NodeName.of(text.substring(0, separator)), number);
 	}
 
-	static RequestIdentifier request(String text) {
-		int mark = split(text, "-r");
-		return RequestIdentifier.of(incarnation(text.substring(0, mark)), Long.parseLong(text.substring(mark + 2)));
+	static RequestIdentifier parseRequest(String text) {
+		int separator = separatorIndex(text, "-r");
+		return RequestIdentifier.of(parseIncarnation(text.substring(0, separator)),
+				Long.parseLong(text.substring(separator + 2)));
 	}
 
-	static AttemptIdentifier attempt(String text) {
-		int mark = split(text, "-a");
-		return AttemptIdentifier.of(incarnation(text.substring(0, mark)), Long.parseLong(text.substring(mark + 2)));
+	static AttemptIdentifier parseAttempt(String text) {
+		int separator = separatorIndex(text, "-a");
+		return AttemptIdentifier.of(parseIncarnation(text.substring(0, separator)),
+				Long.parseLong(text.substring(separator + 2)));
 	}
 
-	static String write(OrderKey key) {
+	static String format(OrderKey key) {
 		return HexFormat.of().toHexDigits(key.high()) + HexFormat.of().toHexDigits(key.low());
 	}
 
-	static OrderKey orderKey(String text) {
-		if (text.length() != 2 * HALF_KEY) {
-			throw new IllegalArgumentException("an order key has " + 2 * HALF_KEY + " hexadecimal digits");
+	static OrderKey parseOrderKey(String text) {
+		if (text.length() != 2 * DIGITS_PER_HALF) {
+			throw new IllegalArgumentException("an order key has " + 2 * DIGITS_PER_HALF + " hexadecimal digits");
 		}
-		return new OrderKey(Long.parseUnsignedLong(text.substring(0, HALF_KEY), HEXADECIMAL),
-				Long.parseUnsignedLong(text.substring(HALF_KEY), HEXADECIMAL));
+		return new OrderKey(Long.parseUnsignedLong(text.substring(0, DIGITS_PER_HALF), HEXADECIMAL),
+				Long.parseUnsignedLong(text.substring(DIGITS_PER_HALF), HEXADECIMAL));
 	}
 
-	static String write(ItemKey key) {
+	static String format(ItemKey key) {
 		return key.kind().name() + ITEM_SEPARATOR + key.name();
 	}
 
-	static ItemKey itemKey(String text) {
-		int slash = text.indexOf(ITEM_SEPARATOR);
-		if (slash < 1) {
+	static ItemKey parseItemKey(String text) {
+		int separator = text.indexOf(ITEM_SEPARATOR);
+		if (separator < 1) {
 			throw new IllegalArgumentException("an item key looks like KIND/NAME");
 		}
-		return ItemKey.of(ItemKind.valueOf(text.substring(0, slash)), text.substring(slash + 1));
+		return ItemKey.of(ItemKind.valueOf(text.substring(0, separator)), text.substring(separator + 1));
 	}
 
-	private static int split(String text, String separator) {
+	private static int separatorIndex(String text, String separator) {
 		int index = text.lastIndexOf(separator);
 		if (index < 1) {
 			throw new IllegalArgumentException("expected '" + separator + "' in '" + text + "'");
--- a/src/main/java/sycamorehill/load/CallerClient.java
+++ b/src/main/java/sycamorehill/load/CallerClient.java
@@ -16,10 +16,10 @@
 import io.servicetalk.http.api.StreamingHttpClient;
 import io.servicetalk.http.api.StreamingHttpResponse;
 
-import sycamorehill.http.Bodies;
+import sycamorehill.http.BodyReader;
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpAnswer;
 import sycamorehill.http.HttpCall;
-import sycamorehill.http.HttpCaller;
 import sycamorehill.http.HttpClientPool;
 import sycamorehill.model.identity.Address;
 
@@ -36,7 +36,7 @@
 
 	private final HttpClientPool pool;
 
-	private final HttpCaller caller;
+	private final BufferedHttpClient caller;
 
 	private final InstantSource clock;
 
@@ -44,7 +44,7 @@
 
 	private CallerClient(HttpClientPool pool, InstantSource clock, ObjectMapper json) {
 		this.pool = pool;
-		this.caller = HttpCaller.create(pool);
+		this.caller = BufferedHttpClient.create(pool);
 		this.clock = clock;
 		this.json = json;
 	}
@@ -75,7 +75,7 @@
 			.withHeader("Authorization", "Bearer " + chat.key())
 			.withHeader("Priority", chat.priority())
 			.withHeader("Request-Timeout", Double.toString(chat.timeout().toMillis() / 1000.0));
-		return client.request(HttpCaller.request(client, call))
+		return client.request(BufferedHttpClient.request(client, call))
 			.flatMap((response) -> read(response, reader).ignoreElements().toSingle().map((done) -> reader.result()))
 			.timeout(chat.timeout().multipliedBy(2))
 			.onErrorReturn((failure) -> reader.broken(String.valueOf(failure)))
@@ -110,7 +110,7 @@
 	private Publisher<Object> read(StreamingHttpResponse response, ChatReader reader) {
 		reader.status(response.status().code());
 		if (response.status().code() != OK) {
-			return Bodies.text(response.payloadBody(), MOST_BYTES)
+			return BodyReader.readText(response.payloadBody(), MOST_BYTES)
 				.map((body) -> (Object) reader.problem(body))
 				.toPublisher();
 		}
--- a/src/main/java/sycamorehill/load/TargetRuns.java
+++ b/src/main/java/sycamorehill/load/TargetRuns.java
@@ -10,9 +10,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpAnswer;
 import sycamorehill.http.HttpCall;
-import sycamorehill.http.HttpCaller;
 import sycamorehill.model.identity.Address;
 
 /**
@@ -32,7 +32,7 @@
 	 * @param targets the stand-ins
 	 * @return how often each idempotency key ran
 	 */
-	public static Map<String, Long> byKey(HttpCaller caller, ObjectMapper json, List<Address> targets) {
+	public static Map<String, Long> byKey(BufferedHttpClient caller, ObjectMapper json, List<Address> targets) {
 		Map<String, Long> runs = new HashMap<>();
 		for (Address target : targets) {
 			HttpAnswer answer = caller.call(HttpCall.of(target, "GET", "/stand-in/runs", TIMEOUT)).join();
--- a/src/main/java/sycamorehill/local/LocalSystem.java
+++ b/src/main/java/sycamorehill/local/LocalSystem.java
@@ -12,7 +12,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-import sycamorehill.http.HttpCaller;
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpClientPool;
 import sycamorehill.json.ModelJson;
 import sycamorehill.load.CallOutcome;
@@ -74,7 +74,7 @@
 
 	private LocalSystem() {
 		this.standIns = StandInCluster.start(StandInSettings.small(DATA_CENTRES, List.of(FirstTicket.ORDERS)));
-		this.operator = OperatorClient.create(HttpCaller.create(this.clients), this.json);
+		this.operator = OperatorClient.create(BufferedHttpClient.create(this.clients), this.json);
 	}
 
 	/**
--- a/src/main/java/sycamorehill/local/OperatorClient.java
+++ b/src/main/java/sycamorehill/local/OperatorClient.java
@@ -6,9 +6,9 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpAnswer;
 import sycamorehill.http.HttpCall;
-import sycamorehill.http.HttpCaller;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.ticket.FilingOutcome;
 import sycamorehill.model.ticket.TicketDraft;
@@ -23,11 +23,11 @@
 
 	private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
-	private final HttpCaller caller;
+	private final BufferedHttpClient caller;
 
 	private final ObjectMapper json;
 
-	private OperatorClient(HttpCaller caller, ObjectMapper json) {
+	private OperatorClient(BufferedHttpClient caller, ObjectMapper json) {
 		this.caller = caller;
 		this.json = json;
 	}
@@ -38,7 +38,7 @@
 	 * @param json reads and writes bodies
 	 * @return the client
 	 */
-	public static OperatorClient create(HttpCaller caller, ObjectMapper json) {
+	public static OperatorClient create(BufferedHttpClient caller, ObjectMapper json) {
 		return new OperatorClient(caller, json);
 	}
 
--- a/src/main/java/sycamorehill/objectapi/HttpPlatform.java
+++ b/src/main/java/sycamorehill/objectapi/HttpPlatform.java
@@ -13,9 +13,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpAnswer;
 import sycamorehill.http.HttpCall;
-import sycamorehill.http.HttpCaller;
 import sycamorehill.http.NotSentException;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.platform.ObjectKey;
@@ -44,13 +44,13 @@
 
 	private static final Duration WATCH_MARGIN = Duration.ofSeconds(2);
 
-	private final HttpCaller caller;
+	private final BufferedHttpClient caller;
 
 	private final Address address;
 
 	private final ObjectMapper json;
 
-	private HttpPlatform(HttpCaller caller, Address address, ObjectMapper json) {
+	private HttpPlatform(BufferedHttpClient caller, Address address, ObjectMapper json) {
 		this.caller = caller;
 		this.address = address;
 		this.json = json;
@@ -63,7 +63,7 @@
 	 * @param json reads and writes values
 	 * @return the adapter
 	 */
-	public static HttpPlatform create(HttpCaller caller, Address address, ObjectMapper json) {
+	public static HttpPlatform create(BufferedHttpClient caller, Address address, ObjectMapper json) {
 		return new HttpPlatform(caller, address, json);
 	}
 
--- a/src/main/java/sycamorehill/objectapi/HttpVmList.java
+++ b/src/main/java/sycamorehill/objectapi/HttpVmList.java
@@ -10,9 +10,9 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpAnswer;
 import sycamorehill.http.HttpCall;
-import sycamorehill.http.HttpCaller;
 import sycamorehill.model.group.VmEntry;
 import sycamorehill.model.group.VmStatus;
 import sycamorehill.model.identity.Address;
@@ -29,13 +29,13 @@
 
 	private static final int OK = 200;
 
-	private final HttpCaller caller;
+	private final BufferedHttpClient caller;
 
 	private final Address address;
 
 	private final ObjectMapper json;
 
-	private HttpVmList(HttpCaller caller, Address address, ObjectMapper json) {
+	private HttpVmList(BufferedHttpClient caller, Address address, ObjectMapper json) {
 		this.caller = caller;
 		this.address = address;
 		this.json = json;
@@ -48,7 +48,7 @@
 	 * @param json reads bodies
 	 * @return the adapter
 	 */
-	public static HttpVmList create(HttpCaller caller, Address address, ObjectMapper json) {
+	public static HttpVmList create(BufferedHttpClient caller, Address address, ObjectMapper json) {
 		return new HttpVmList(caller, address, json);
 	}
 
--- a/src/main/java/sycamorehill/operator/OperatorServer.java
+++ b/src/main/java/sycamorehill/operator/OperatorServer.java
@@ -22,7 +22,7 @@
 import io.servicetalk.http.api.StreamingHttpResponseFactory;
 import io.servicetalk.http.netty.HttpServers;
 
-import sycamorehill.http.Bodies;
+import sycamorehill.http.BodyReader;
 import sycamorehill.model.event.OperatorEvent;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.identity.OperatorCallIdentifier;
@@ -90,7 +90,7 @@
 
 	private Single<StreamingHttpResponse> handle(HttpServiceContext context, StreamingHttpRequest request,
 			StreamingHttpResponseFactory factory) {
-		return Bodies.text(request.payloadBody(), MOST_TICKET_BYTES)
+		return BodyReader.readText(request.payloadBody(), MOST_TICKET_BYTES)
 			.flatMap((body) -> Single.fromStage(answer(request, body)))
 			.onErrorReturn(
 					(failure) -> OperatorAnswer.fault(OperatorAnswer.BAD_REQUEST, String.valueOf(failure.getMessage())))
--- a/src/main/java/sycamorehill/peer/AcceptedConnection.java
+++ b/src/main/java/sycamorehill/peer/AcceptedConnection.java
@@ -31,31 +31,33 @@
 
 	private final PeerFrameDecoder decoder;
 
-	private final AtomicInteger strangers;
+	private final AtomicInteger unauthenticatedConnections;
 
 	private FrameAuthenticator authenticator;
 
 	private NodeIdentity sender;
 
-	private long received;
+	private long receivedMessages;
 
-	private boolean acknowledging;
+	private boolean acknowledgementScheduled;
 
 	private boolean closed;
 
-	private AcceptedConnection(PeerContext context, PeerFrameDecoder decoder, AtomicInteger strangers) {
+	private AcceptedConnection(PeerContext context, PeerFrameDecoder decoder,
+			AtomicInteger unauthenticatedConnections) {
 		this.context = context;
 		this.decoder = decoder;
-		this.strangers = strangers;
+		this.unauthenticatedConnections = unauthenticatedConnections;
 	}
 
-	static AcceptedConnection create(PeerContext context, PeerFrameDecoder decoder, AtomicInteger strangers) {
-		return new AcceptedConnection(context, decoder, strangers);
+	static AcceptedConnection create(PeerContext context, PeerFrameDecoder decoder,
+			AtomicInteger unauthenticatedConnections) {
+		return new AcceptedConnection(context, decoder, unauthenticatedConnections);
 	}
 
 	@Override
 	public void channelActive(ChannelHandlerContext channel) {
-		if (this.strangers.incrementAndGet() > PeerProtocol.MOST_STRANGERS) {
+		if (this.unauthenticatedConnections.incrementAndGet() > PeerProtocol.MAXIMUM_UNAUTHENTICATED_CONNECTIONS) {
 			refuse(channel, "too many connections that have not proven themselves");
 			return;
 		}
@@ -64,13 +66,14 @@
 		this.authenticator = FrameAuthenticator.create(this.context.secret(), nonce);
 		channel.writeAndFlush(channel.alloc().buffer().writeBytes(nonce));
 		channel.executor()
-			.schedule(() -> closeStranger(channel), PeerProtocol.STRANGER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+			.schedule(() -> closeIfUnauthenticated(channel), PeerProtocol.AUTHENTICATION_TIMEOUT.toMillis(),
+					TimeUnit.MILLISECONDS);
 	}
 
 	@Override
 	public void channelInactive(ChannelHandlerContext channel) {
 		if (this.sender == null) {
-			this.strangers.decrementAndGet();
+			this.unauthenticatedConnections.decrementAndGet();
 		}
 		this.closed = true;
 	}
@@ -81,11 +84,11 @@
 			return;
 		}
 		byte[] frame = ByteBufUtil.getBytes(buffer);
-		if (!this.authenticator.isNext(frame)) {
+		if (!this.authenticator.isNextFrameValid(frame)) {
 			refuse(channel, "a wrong message authentication code");
 			return;
 		}
-		this.context.counters().received(frame.length + PeerProtocol.LENGTH_BYTES);
+		this.context.counters().recordReceivedFrame(frame.length + PeerProtocol.LENGTH_BYTES);
 		try {
 			if (this.sender == null) {
 				readHello(channel, frame);
@@ -118,7 +121,7 @@
 
 	private void readHello(ChannelHandlerContext channel, byte[] frame) throws IOException {
 		PeerHello hello = this.context.codec().readHello(frame, FrameAuthenticator.CODE_BYTES);
-		if (hello.version() < PeerProtocol.OLDEST_VERSION) {
+		if (hello.version() < PeerProtocol.MINIMUM_VERSION) {
 			refuse(channel, "protocol version " + hello.version());
 			return;
 		}
@@ -131,35 +134,35 @@
 			return;
 		}
 		this.sender = hello.sender();
-		this.strangers.decrementAndGet();
-		this.decoder.trust();
+		this.unauthenticatedConnections.decrementAndGet();
+		this.decoder.markAuthenticated();
 	}
 
 	private void readMessage(ChannelHandlerContext channel, byte[] frame) throws IOException {
 		Optional<PeerMessage> message = this.context.codec().read(frame, FrameAuthenticator.CODE_BYTES);
-		this.received++;
-		acknowledgeSoon(channel);
+		this.receivedMessages++;
+		scheduleAcknowledgement(channel);
 		if (message.isEmpty()) {
-			this.context.counters().unknownType();
+			this.context.counters().recordUnknownType();
 			return;
 		}
 		this.context.events().accept(new PeerEvent.MessageReceived(this.sender, message.get()));
 	}
 
-	private void acknowledgeSoon(ChannelHandlerContext channel) {
-		if (this.acknowledging) {
+	private void scheduleAcknowledgement(ChannelHandlerContext channel) {
+		if (this.acknowledgementScheduled) {
 			return;
 		}
-		this.acknowledging = true;
+		this.acknowledgementScheduled = true;
 		channel.executor().schedule(() -> {
-			this.acknowledging = false;
-			channel.writeAndFlush(channel.alloc().buffer().writeLong(this.received));
+			this.acknowledgementScheduled = false;
+			channel.writeAndFlush(channel.alloc().buffer().writeLong(this.receivedMessages));
 		}, PeerProtocol.ACKNOWLEDGE_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
 	}
 
-	private void closeStranger(ChannelHandlerContext channel) {
+	private void closeIfUnauthenticated(ChannelHandlerContext channel) {
 		if (this.sender == null && !this.closed) {
-			refuse(channel, "no proof within " + PeerProtocol.STRANGER_TIMEOUT);
+			refuse(channel, "no proof within " + PeerProtocol.AUTHENTICATION_TIMEOUT);
 		}
 	}
 
@@ -168,7 +171,7 @@
 			return;
 		}
 		this.closed = true;
-		this.context.counters().refusedConnection();
+		this.context.counters().recordRefusedConnection();
 		String from = (this.sender != null) ? this.sender.incarnation().toString() : "a stranger";
 		this.context.log()
 			.accept(LogLine.of(LogEvent.PEER_CONNECTION_REFUSED,
--- a/src/main/java/sycamorehill/peer/DialledConnection.java
+++ b/src/main/java/sycamorehill/peer/DialledConnection.java
@@ -38,11 +38,11 @@
 
 	private FrameAuthenticator authenticator;
 
-	private long written;
+	private long writtenMessages;
 
-	private long acknowledged;
+	private long acknowledgedMessages;
 
-	private boolean watching;
+	private boolean acknowledgementCheckScheduled;
 
 	private DialledConnection(PeerContext context, PeerLink link, NodeName recipient) {
 		this.context = context;
@@ -73,7 +73,7 @@
 			if (this.authenticator == null) {
 				channel.close();
 			}
-		}, PeerProtocol.STRANGER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+		}, PeerProtocol.AUTHENTICATION_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
 	}
 
 	@Override
@@ -81,11 +81,11 @@
 		byte[] frame = ByteBufUtil.getBytes((ByteBuf) message);
 		ReferenceCountUtil.release(message);
 		if (this.authenticator == null && frame.length == PeerProtocol.NONCE_BYTES) {
-			answer(channel, frame);
+			answerChallenge(channel, frame);
 		}
 		else if (this.authenticator != null && frame.length == Long.BYTES) {
-			this.acknowledged = ByteBuffer.wrap(frame).getLong();
-			this.link.acknowledged(channel.channel());
+			this.acknowledgedMessages = ByteBuffer.wrap(frame).getLong();
+			this.link.handleAcknowledgement(channel.channel());
 		}
 		else {
 			refuse(channel, "a frame of " + frame.length + " bytes");
@@ -98,9 +98,9 @@
 			channel.write(message, promise);
 			return;
 		}
-		this.written++;
-		watchAcknowledgement(channel);
-		channel.write(frame(channel, content), promise);
+		this.writtenMessages++;
+		scheduleAcknowledgementCheck(channel);
+		channel.write(createFrame(channel, content), promise);
 	}
 
 	@Override
@@ -120,38 +120,38 @@
 		refuse(channel, root.toString());
 	}
 
-	private void answer(ChannelHandlerContext channel, byte[] nonce) throws JsonProcessingException {
+	private void answerChallenge(ChannelHandlerContext channel, byte[] nonce) throws JsonProcessingException {
 		this.authenticator = FrameAuthenticator.create(this.context.secret(), nonce);
 		PeerHello hello = new PeerHello(PeerProtocol.VERSION, this.context.self(), this.recipient);
-		channel.writeAndFlush(frame(channel, this.context.codec().writeHello(hello)));
-		this.link.opened(channel.channel());
+		channel.writeAndFlush(createFrame(channel, this.context.codec().writeHello(hello)));
+		this.link.handleConnectionOpened(channel.channel());
 	}
 
-	private ByteBuf frame(ChannelHandlerContext channel, byte[] content) {
+	private ByteBuf createFrame(ChannelHandlerContext channel, byte[] content) {
 		byte[] code = this.authenticator.nextCode(content);
-		this.context.counters().sent(PeerProtocol.LENGTH_BYTES + code.length + content.length);
+		this.context.counters().recordSentFrame(PeerProtocol.LENGTH_BYTES + code.length + content.length);
 		return channel.alloc().buffer(code.length + content.length).writeBytes(code).writeBytes(content);
 	}
 
-	private void watchAcknowledgement(ChannelHandlerContext channel) {
-		if (this.watching) {
+	private void scheduleAcknowledgementCheck(ChannelHandlerContext channel) {
+		if (this.acknowledgementCheckScheduled) {
 			return;
 		}
-		this.watching = true;
-		long expected = this.written;
+		this.acknowledgementCheckScheduled = true;
+		long expected = this.writtenMessages;
 		channel.executor().schedule(() -> {
-			this.watching = false;
-			if (this.acknowledged < expected) {
+			this.acknowledgementCheckScheduled = false;
+			if (this.acknowledgedMessages < expected) {
 				channel.close();
 			}
-			else if (this.acknowledged < this.written) {
-				watchAcknowledgement(channel);
+			else if (this.acknowledgedMessages < this.writtenMessages) {
+				scheduleAcknowledgementCheck(channel);
 			}
 		}, PeerProtocol.ACKNOWLEDGE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
 	}
 
 	private void refuse(ChannelHandlerContext channel, String fault) {
-		this.context.counters().refusedConnection();
+		this.context.counters().recordRefusedConnection();
 		this.context.log()
 			.accept(LogLine.of(LogEvent.PEER_CONNECTION_REFUSED,
 					"to=" + this.recipient + " address=" + channel.channel().remoteAddress() + " fault=" + fault));
--- a/src/main/java/sycamorehill/peer/FrameAuthenticator.java
+++ b/src/main/java/sycamorehill/peer/FrameAuthenticator.java
@@ -48,7 +48,7 @@
 		return nextCode(content, 0);
 	}
 
-	boolean isNext(byte[] frame) {
+	boolean isNextFrameValid(byte[] frame) {
 		if (frame.length < CODE_BYTES) {
 			return false;
 		}
--- a/src/main/java/sycamorehill/peer/NettyPeerTransport.java
+++ b/src/main/java/sycamorehill/peer/NettyPeerTransport.java
@@ -47,27 +47,27 @@
 
 	private final PeerContext context;
 
-	private final EventLoopGroup group;
+	private final EventLoopGroup eventLoopGroup;
 
 	private final Bootstrap bootstrap;
 
-	private final AtomicInteger strangers = new AtomicInteger();
+	private final AtomicInteger unauthenticatedConnections = new AtomicInteger();
 
 	private final Map<NodeName, PeerLink> links = new ConcurrentHashMap<>();
 
 	private final Channel listener;
 
-	private NettyPeerTransport(PeerContext context, EventLoopGroup group, Address bind, int port) {
+	private NettyPeerTransport(PeerContext context, EventLoopGroup eventLoopGroup, Address bind, int port) {
 		this.context = context;
-		this.group = group;
+		this.eventLoopGroup = eventLoopGroup;
 		this.bootstrap = new Bootstrap().channel(NioSocketChannel.class)
 			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
 			.option(ChannelOption.TCP_NODELAY, true);
-		this.listener = new ServerBootstrap().group(group)
+		this.listener = new ServerBootstrap().group(eventLoopGroup)
 			.channel(NioServerSocketChannel.class)
 			.option(ChannelOption.SO_REUSEADDR, true)
 			.childOption(ChannelOption.TCP_NODELAY, true)
-			.childHandler(acceptor())
+			.childHandler(acceptedConnectionInitializer())
 			.bind(new InetSocketAddress(bind.host(), port))
 			.syncUninterruptibly()
 			.channel();
@@ -90,19 +90,19 @@
 	}
 
 	static NettyPeerTransport start(PeerContext context, Address bind, int port) {
-		EventLoopGroup group = new NioEventLoopGroup(THREADS, new DefaultThreadFactory("peer", true));
+		EventLoopGroup eventLoopGroup = new NioEventLoopGroup(THREADS, new DefaultThreadFactory("peer", true));
 		try {
-			return new NettyPeerTransport(context, group, bind, port);
+			return new NettyPeerTransport(context, eventLoopGroup, bind, port);
 		}
 		catch (RuntimeException ex) {
-			group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+			eventLoopGroup.shutdownGracefully(0, 0, TimeUnit.SECONDS);
 			throw ex;
 		}
 	}
 
 	@Override
 	public CompletableFuture<Void> send(NodeIdentity to, PeerMessage message) {
-		return this.links.computeIfAbsent(to.incarnation().node(), (name) -> link(to)).send(to, message);
+		return this.links.computeIfAbsent(to.incarnation().node(), (name) -> createLink(to)).send(to, message);
 	}
 
 	@Override
@@ -123,15 +123,15 @@
 	public void close() {
 		this.listener.close();
 		this.links.values().forEach(PeerLink::close);
-		this.group.shutdownGracefully(0, CLOSE_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
+		this.eventLoopGroup.shutdownGracefully(0, CLOSE_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
 	}
 
-	private PeerLink link(NodeIdentity to) {
-		EventLoop loop = this.group.next();
+	private PeerLink createLink(NodeIdentity to) {
+		EventLoop loop = this.eventLoopGroup.next();
 		return PeerLink.create(this.context, loop, this.bootstrap, to);
 	}
 
-	private ChannelInitializer<Channel> acceptor() {
+	private ChannelInitializer<Channel> acceptedConnectionInitializer() {
 		return new ChannelInitializer<>() {
 
 			@Override
@@ -139,8 +139,9 @@
 				PeerFrameDecoder decoder = PeerFrameDecoder.create();
 				channel.pipeline()
 					.addLast(decoder, new LengthFieldPrepender(PeerProtocol.LENGTH_BYTES),
-							new IdleStateHandler(ACCEPTED_IDLE_SECONDS, 0, 0), AcceptedConnection
-								.create(NettyPeerTransport.this.context, decoder, NettyPeerTransport.this.strangers));
+							new IdleStateHandler(ACCEPTED_IDLE_SECONDS, 0, 0),
+							AcceptedConnection.create(NettyPeerTransport.this.context, decoder,
+									NettyPeerTransport.this.unauthenticatedConnections));
 			}
 
 		};
--- a/src/main/java/sycamorehill/peer/PeerCounters.java
+++ b/src/main/java/sycamorehill/peer/PeerCounters.java
@@ -84,25 +84,25 @@
 		return this.failedSends.sum();
 	}
 
-	void sent(int bytes) {
+	void recordSentFrame(int bytes) {
 		this.sentFrames.increment();
 		this.sentBytes.add(bytes);
 	}
 
-	void received(int bytes) {
+	void recordReceivedFrame(int bytes) {
 		this.receivedFrames.increment();
 		this.receivedBytes.add(bytes);
 	}
 
-	void unknownType() {
+	void recordUnknownType() {
 		this.unknownTypes.increment();
 	}
 
-	void refusedConnection() {
+	void recordRefusedConnection() {
 		this.refusedConnections.increment();
 	}
 
-	void failedSend() {
+	void recordFailedSend() {
 		this.failedSends.increment();
 	}
 
--- a/src/main/java/sycamorehill/peer/PeerFrameDecoder.java
+++ b/src/main/java/sycamorehill/peer/PeerFrameDecoder.java
@@ -11,24 +11,24 @@
  */
 final class PeerFrameDecoder extends LengthFieldBasedFrameDecoder {
 
-	private int largest = PeerProtocol.LARGEST_STRANGER_FRAME;
+	private int maximumFrameBytes = PeerProtocol.MAXIMUM_UNAUTHENTICATED_FRAME_BYTES;
 
 	private PeerFrameDecoder() {
-		super(PeerProtocol.LARGEST_FRAME, 0, PeerProtocol.LENGTH_BYTES, 0, PeerProtocol.LENGTH_BYTES);
+		super(PeerProtocol.MAXIMUM_FRAME_BYTES, 0, PeerProtocol.LENGTH_BYTES, 0, PeerProtocol.LENGTH_BYTES);
 	}
 
 	static PeerFrameDecoder create() {
 		return new PeerFrameDecoder();
 	}
 
-	void trust() {
-		this.largest = PeerProtocol.LARGEST_FRAME;
+	void markAuthenticated() {
+		this.maximumFrameBytes = PeerProtocol.MAXIMUM_FRAME_BYTES;
 	}
 
 	@Override
 	protected long getUnadjustedFrameLength(ByteBuf buffer, int offset, int length, ByteOrder order) {
 		long frame = super.getUnadjustedFrameLength(buffer, offset, length, order);
-		if (frame > this.largest) {
+		if (frame > this.maximumFrameBytes) {
 			throw new TooLongFrameException("a frame of " + frame + " bytes");
 		}
 		return frame;
--- a/src/main/java/sycamorehill/peer/PeerLink.java
+++ b/src/main/java/sycamorehill/peer/PeerLink.java
@@ -30,16 +30,16 @@
 final class PeerLink {
 
 	/** Messages to one node that have not been written yet. */
-	static final int MOST_PENDING_MESSAGES = 1024;
+	static final int MAXIMUM_PENDING_MESSAGES = 1024;
 
 	/** Their bytes once encoded. */
-	static final int MOST_PENDING_BYTES = 2 * PeerProtocol.LARGEST_FRAME;
+	static final int MAXIMUM_PENDING_BYTES = 2 * PeerProtocol.MAXIMUM_FRAME_BYTES;
 
-	private static final Duration SHORTEST_BACKOFF = Duration.ofMillis(100);
+	private static final Duration MINIMUM_BACKOFF = Duration.ofMillis(100);
 
-	private static final Duration LONGEST_BACKOFF = Duration.ofSeconds(5);
+	private static final Duration MAXIMUM_BACKOFF = Duration.ofSeconds(5);
 
-	private static final int MOST_DOUBLINGS = 6;
+	private static final int MAXIMUM_DOUBLINGS = 6;
 
 	private final PeerContext context;
 
@@ -49,7 +49,7 @@
 
 	private final AtomicInteger pendingMessages = new AtomicInteger();
 
-	private final Deque<Pending> waiting = new ArrayDeque<>();
+	private final Deque<PendingMessage> unsentMessages = new ArrayDeque<>();
 
 	private volatile NodeIdentity peer;
 
@@ -57,20 +57,20 @@
 
 	private boolean open;
 
-	private boolean proven;
+	private boolean confirmed;
 
 	private int pendingBytes;
 
-	private int failures;
+	private int consecutiveFailures;
 
-	private long notBeforeNanos;
+	private long nextConnectNanos;
 
 	private PeerLink(PeerContext context, EventLoop loop, Bootstrap bootstrap, NodeIdentity peer) {
 		this.context = context;
 		this.loop = loop;
 		this.bootstrap = bootstrap;
 		this.peer = peer;
-		this.notBeforeNanos = System.nanoTime();
+		this.nextConnectNanos = System.nanoTime();
 	}
 
 	static PeerLink create(PeerContext context, EventLoop loop, Bootstrap bootstrap, NodeIdentity peer) {
@@ -78,18 +78,18 @@
 	}
 
 	CompletableFuture<Void> send(NodeIdentity to, PeerMessage message) {
-		Pending pending = new Pending(message, new CompletableFuture<>());
-		if (this.pendingMessages.incrementAndGet() > MOST_PENDING_MESSAGES) {
+		PendingMessage pending = new PendingMessage(message, new CompletableFuture<>());
+		if (this.pendingMessages.incrementAndGet() > MAXIMUM_PENDING_MESSAGES) {
 			fail(pending, "too many messages wait for the node");
-			return pending.done;
+			return pending.result;
 		}
 		try {
-			this.loop.execute(() -> accept(to, pending));
+			this.loop.execute(() -> enqueue(to, pending));
 		}
 		catch (RejectedExecutionException ex) {
 			fail(pending, "the transport is closed");
 		}
-		return pending.done;
+		return pending.result;
 	}
 
 	void close() {
@@ -97,60 +97,60 @@
 			if (this.channel != null) {
 				this.channel.close();
 			}
-			failWaiting("the transport is closed");
+			failUnsentMessages("the transport is closed");
 		});
 	}
 
-	private void accept(NodeIdentity to, Pending pending) {
-		follow(to);
-		byte[] content = encode(pending);
-		if (content == null) {
+	private void enqueue(NodeIdentity to, PendingMessage pending) {
+		updatePeer(to);
+		byte[] encoded = encode(pending);
+		if (encoded == null) {
 			return;
 		}
-		if (this.pendingBytes + content.length > MOST_PENDING_BYTES) {
+		if (this.pendingBytes + encoded.length > MAXIMUM_PENDING_BYTES) {
 			fail(pending, "too many bytes wait for the node");
 			return;
 		}
-		pending.content = content;
-		this.pendingBytes += content.length;
+		pending.encoded = encoded;
+		this.pendingBytes += encoded.length;
 		if (this.open) {
 			write(pending);
 			return;
 		}
-		this.waiting.add(pending);
+		this.unsentMessages.add(pending);
 		connect();
 	}
 
 	// A restarted node may listen elsewhere; its new address shows in its identity.
-	private void follow(NodeIdentity to) {
-		boolean moved = !to.peerAddress().equals(this.peer.peerAddress());
+	private void updatePeer(NodeIdentity to) {
+		boolean addressChanged = !to.peerAddress().equals(this.peer.peerAddress());
 		this.peer = to;
-		if (moved) {
+		if (addressChanged) {
 			// The old connection is let go of before it is closed, or its end would count
 			// as a
 			// failure of the new address.
-			Channel old = this.channel;
+			Channel oldChannel = this.channel;
 			this.channel = null;
 			this.open = false;
-			this.failures = 0;
-			this.notBeforeNanos = System.nanoTime();
-			if (old != null) {
-				old.close();
+			this.consecutiveFailures = 0;
+			this.nextConnectNanos = System.nanoTime();
+			if (oldChannel != null) {
+				oldChannel.close();
 			}
 		}
 	}
 
-	private byte[] encode(Pending pending) {
+	private byte[] encode(PendingMessage pending) {
 		try {
-			byte[] content = this.context.codec().write(pending.message);
-			if (content.length + FrameAuthenticator.CODE_BYTES > PeerProtocol.LARGEST_FRAME) {
+			byte[] encoded = this.context.codec().write(pending.message);
+			if (encoded.length + FrameAuthenticator.CODE_BYTES > PeerProtocol.MAXIMUM_FRAME_BYTES) {
 				this.context.log()
 					.accept(LogLine.of(LogEvent.PEER_MESSAGE_TOO_LARGE, "to=" + this.peer.incarnation() + " type="
-							+ pending.message.getClass().getSimpleName() + " bytes=" + content.length));
-				fail(pending, "the message has " + content.length + " bytes");
+							+ pending.message.getClass().getSimpleName() + " bytes=" + encoded.length));
+				fail(pending, "the message has " + encoded.length + " bytes");
 				return null;
 			}
-			return content;
+			return encoded;
 		}
 		catch (JsonProcessingException | RuntimeException ex) {
 			fail(pending, ex.toString());
@@ -162,8 +162,8 @@
 		if (this.channel != null) {
 			return;
 		}
-		if (System.nanoTime() - this.notBeforeNanos < 0) {
-			failWaiting("the node could not be reached a moment ago");
+		if (System.nanoTime() - this.nextConnectNanos < 0) {
+			failUnsentMessages("the node could not be reached a moment ago");
 			return;
 		}
 		Address address = this.peer.peerAddress();
@@ -173,54 +173,54 @@
 			.connect(new InetSocketAddress(address.host(), address.port()));
 		Channel dialled = connecting.channel();
 		this.channel = dialled;
-		this.proven = false;
-		dialled.closeFuture().addListener((closed) -> lost(dialled));
+		this.confirmed = false;
+		dialled.closeFuture().addListener((closed) -> handleConnectionClosed(dialled));
 	}
 
-	void opened(Channel dialled) {
+	void handleConnectionOpened(Channel dialled) {
 		if (dialled != this.channel) {
 			return;
 		}
 		this.open = true;
-		while (!this.waiting.isEmpty()) {
-			write(this.waiting.poll());
+		while (!this.unsentMessages.isEmpty()) {
+			write(this.unsentMessages.poll());
 		}
 	}
 
 	// Only a frame that the other end has read proves the connection: a node with another
 	// secret accepts it, closes it at the first frame and would be dialled without end.
-	void acknowledged(Channel dialled) {
+	void handleAcknowledgement(Channel dialled) {
 		if (dialled == this.channel) {
-			this.proven = true;
-			this.failures = 0;
+			this.confirmed = true;
+			this.consecutiveFailures = 0;
 		}
 	}
 
-	private void lost(Channel dialled) {
+	private void handleConnectionClosed(Channel dialled) {
 		if (dialled != this.channel) {
 			return;
 		}
 		this.channel = null;
 		this.open = false;
-		if (!this.proven) {
+		if (!this.confirmed) {
 			backOff();
 		}
-		failWaiting("the node could not be reached");
+		failUnsentMessages("the node could not be reached");
 	}
 
 	private void backOff() {
-		long longest = SHORTEST_BACKOFF.toNanos() << Math.min(this.failures, MOST_DOUBLINGS);
-		this.failures++;
-		long bounded = Math.min(longest, LONGEST_BACKOFF.toNanos());
+		long backoff = MINIMUM_BACKOFF.toNanos() << Math.min(this.consecutiveFailures, MAXIMUM_DOUBLINGS);
+		this.consecutiveFailures++;
+		long bounded = Math.min(backoff, MAXIMUM_BACKOFF.toNanos());
 		long jittered = bounded / 2 + ThreadLocalRandom.current().nextLong(bounded / 2);
-		this.notBeforeNanos = System.nanoTime() + jittered;
+		this.nextConnectNanos = System.nanoTime() + jittered;
 	}
 
-	private void write(Pending pending) {
-		this.channel.writeAndFlush(pending.content).addListener((written) -> {
+	private void write(PendingMessage pending) {
+		this.channel.writeAndFlush(pending.encoded).addListener((written) -> {
 			if (written.isSuccess()) {
 				release(pending);
-				pending.done.complete(null);
+				pending.result.complete(null);
 			}
 			else {
 				fail(pending, String.valueOf(written.cause()));
@@ -228,37 +228,37 @@
 		});
 	}
 
-	private void failWaiting(String reason) {
-		while (!this.waiting.isEmpty()) {
-			fail(this.waiting.poll(), reason);
+	private void failUnsentMessages(String reason) {
+		while (!this.unsentMessages.isEmpty()) {
+			fail(this.unsentMessages.poll(), reason);
 		}
 	}
 
-	private void fail(Pending pending, String reason) {
+	private void fail(PendingMessage pending, String reason) {
 		release(pending);
-		this.context.counters().failedSend();
-		pending.done.completeExceptionally(PeerSendException.of(reason));
+		this.context.counters().recordFailedSend();
+		pending.result.completeExceptionally(PeerSendException.of(reason));
 		this.context.events().accept(new PeerEvent.SendFailed(this.peer.incarnation().node(), pending.message));
 	}
 
-	private void release(Pending pending) {
+	private void release(PendingMessage pending) {
 		this.pendingMessages.decrementAndGet();
-		if (pending.content != null) {
-			this.pendingBytes -= pending.content.length;
+		if (pending.encoded != null) {
+			this.pendingBytes -= pending.encoded.length;
 		}
 	}
 
-	private static final class Pending {
+	private static final class PendingMessage {
 
 		private final PeerMessage message;
 
-		private final CompletableFuture<Void> done;
+		private final CompletableFuture<Void> result;
 
-		private byte[] content;
+		private byte[] encoded;
 
-		Pending(PeerMessage message, CompletableFuture<Void> done) {
+		PendingMessage(PeerMessage message, CompletableFuture<Void> result) {
 			this.message = message;
-			this.done = done;
+			this.result = result;
 		}
 
 	}
--- a/src/main/java/sycamorehill/peer/PeerMessageCodec.java
+++ b/src/main/java/sycamorehill/peer/PeerMessageCodec.java
@@ -49,9 +49,9 @@
  */
 public final class PeerMessageCodec {
 
-	private final Map<String, ObjectReader> readers = new HashMap<>();
+	private final Map<String, ObjectReader> readersByName = new HashMap<>();
 
-	private final Map<Class<?>, String> names = new HashMap<>();
+	private final Map<Class<?>, String> namesByType = new HashMap<>();
 
 	private final ObjectMapper mapper = ModelJson.messagePack();
 
@@ -116,7 +116,8 @@
 	 * @return this codec
 	 */
 	public PeerMessageCodec register(String name, Class<? extends PeerMessage> type) {
-		if (this.readers.put(name, this.mapper.readerFor(type)) != null || this.names.put(type, name) != null) {
+		if (this.readersByName.put(name, this.mapper.readerFor(type)) != null
+				|| this.namesByType.put(type, name) != null) {
 			throw new IllegalArgumentException("registered twice: " + name);
 		}
 		return this;
@@ -138,12 +139,12 @@
 	 * @return the message after writing and reading
 	 * @throws IOException if it can't be read
 	 */
-	public PeerMessage copy(PeerMessage message) throws IOException {
+	public PeerMessage roundTrip(PeerMessage message) throws IOException {
 		return read(write(message), 0).orElseThrow();
 	}
 
 	byte[] write(PeerMessage message) throws JsonProcessingException {
-		String name = this.names.get(message.getClass());
+		String name = this.namesByType.get(message.getClass());
 		if (name == null) {
 			throw new IllegalArgumentException("not registered: " + message.getClass());
 		}
@@ -152,7 +153,7 @@
 
 	Optional<PeerMessage> read(byte[] bytes, int offset) throws IOException {
 		PeerEnvelope envelope = this.envelopeReader.readValue(bytes, offset, bytes.length - offset);
-		ObjectReader reader = (envelope.type() != null) ? this.readers.get(envelope.type()) : null;
+		ObjectReader reader = (envelope.type() != null) ? this.readersByName.get(envelope.type()) : null;
 		if (reader == null || envelope.body() == null) {
 			return Optional.empty();
 		}
--- a/src/main/java/sycamorehill/peer/PeerProtocol.java
+++ b/src/main/java/sycamorehill/peer/PeerProtocol.java
@@ -11,16 +11,16 @@
 	static final int VERSION = 1;
 
 	/** The oldest version that this build still understands. */
-	static final int OLDEST_VERSION = 1;
+	static final int MINIMUM_VERSION = 1;
 
 	/** The largest frame of a node that has proven that it knows the secret. */
-	static final int LARGEST_FRAME = 1024 * 1024;
+	static final int MAXIMUM_FRAME_BYTES = 1024 * 1024;
 
 	/**
 	 * The largest frame of a stranger: connections that never prove anything must not
 	 * make this node hold a megabyte each.
 	 */
-	static final int LARGEST_STRANGER_FRAME = 4096;
+	static final int MAXIMUM_UNAUTHENTICATED_FRAME_BYTES = 4096;
 
 	/** Bytes of the length in front of each frame. */
 	static final int LENGTH_BYTES = 4;
@@ -29,10 +29,10 @@
 	static final int NONCE_BYTES = 16;
 
 	/** Accepted connections that have not proven anything yet. */
-	static final int MOST_STRANGERS = 128;
+	static final int MAXIMUM_UNAUTHENTICATED_CONNECTIONS = 128;
 
 	/** How long a stranger may take to prove itself. */
-	static final Duration STRANGER_TIMEOUT = Duration.ofSeconds(5);
+	static final Duration AUTHENTICATION_TIMEOUT = Duration.ofSeconds(5);
 
 	/** How often the accepting node says how many frames it has read. */
 	static final Duration ACKNOWLEDGE_INTERVAL = Duration.ofSeconds(2);
--- a/src/main/java/sycamorehill/runtime/Node.java
+++ b/src/main/java/sycamorehill/runtime/Node.java
@@ -14,7 +14,7 @@
 import sycamorehill.engine.HttpEngine;
 import sycamorehill.engine.HttpPlainService;
 import sycamorehill.gateway.CallerGateway;
-import sycamorehill.http.HttpCaller;
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpClientPool;
 import sycamorehill.json.ModelJson;
 import sycamorehill.logic.node.NodeState;
@@ -62,7 +62,7 @@
 				settings.dataCentre(), settings.peerAddress());
 		MonotonicClock clock = MonotonicClock.start(wallClock);
 		ObjectMapper json = ModelJson.json();
-		HttpCaller caller = HttpCaller.create(this.clients);
+		BufferedHttpClient caller = BufferedHttpClient.create(this.clients);
 		HttpEngine engines = HttpEngine.create(this.clients, json);
 		OperatorCalls operatorCalls = OperatorCalls.create();
 		LateEvents events = LateEvents.create();
--- a/src/test/java/sycamorehill/json/ModelJsonTests.java
+++ b/src/test/java/sycamorehill/json/ModelJsonTests.java
@@ -65,7 +65,7 @@
 
 	private static final NodeIncarnation INCARNATION = NodeIncarnation.of(NodeName.of("node-1"), -17);
 
-	private static final ServiceItem DESK = ServiceItem.plain(ServiceName.of("desk"),
+	private static final ServiceItem PLAIN_SERVICE = ServiceItem.plain(ServiceName.of("desk"),
 			List.of(new PlainTarget(TargetName.of("d1"), DATA_CENTRE, Address.of("10.0.0.1", 80))),
 			List.of(new IdempotencyRule("GET", "/", true)));
 
@@ -77,20 +77,20 @@
 
 	@ParameterizedTest
 	@MethodSource("platformValues")
-	void platformValueComesBackFromJson(PlatformValue value) throws IOException {
+	void platformValueSurvivesJsonRoundTrip(PlatformValue value) throws IOException {
 		ObjectMapper mapper = ModelJson.json();
 		Assertions.assertThat(mapper.readValue(mapper.writeValueAsBytes(value), value.getClass())).isEqualTo(value);
 	}
 
 	@ParameterizedTest
 	@MethodSource("platformValues")
-	void platformValueComesBackFromMessagePack(PlatformValue value) throws IOException {
+	void platformValueSurvivesMessagePackRoundTrip(PlatformValue value) throws IOException {
 		ObjectMapper mapper = ModelJson.messagePack();
 		Assertions.assertThat(mapper.readValue(mapper.writeValueAsBytes(value), value.getClass())).isEqualTo(value);
 	}
 
 	@Test
-	void outcomeComesBackWithItsType() throws IOException {
+	void outcomeKeepsItsTypeInJson() throws IOException {
 		ObjectMapper mapper = ModelJson.json();
 		RequestOutcome outcome = new RequestOutcome.NotRun(
 				Refusal.of(RefusalReason.OVERLOADED, "busy", Duration.ofSeconds(2)));
@@ -105,14 +105,14 @@
 	}
 
 	@Test
-	void unknownPropertiesArePassedOver() throws IOException {
+	void unknownPropertiesAreIgnored() throws IOException {
 		Item item = ModelJson.json()
 			.readValue("{\"type\":\"SERVICE\",\"name\":\"chat\",\"kind\":\"MODEL\",\"later\":[1]}", Item.class);
 		Assertions.assertThat(item).isEqualTo(ServiceItem.model(ServiceName.of("chat"), "", ""));
 	}
 
 	@Test
-	void blankNameIsAFaultOfTheInput() {
+	void blankNameIsReportedAsInvalidFormat() {
 		Assertions
 			.assertThatThrownBy(() -> ModelJson.json()
 				.readValue("{\"type\":\"SERVICE\",\"name\":\" \",\"kind\":\"MODEL\"}", Item.class))
@@ -137,13 +137,13 @@
 
 	private static TicketValue ticket() {
 		TicketDraft draft = new TicketDraft(FilingIdentifier.of("f1"), "op", "why",
-				List.of(ItemChange.set(DESK, 0), ItemChange.remove(ItemKey.of(ItemKind.WORKSPACE, "w"), 3)));
+				List.of(ItemChange.set(PLAIN_SERVICE, 0), ItemChange.remove(ItemKey.of(ItemKind.WORKSPACE, "w"), 3)));
 		return new TicketValue(new Ticket(8, Instant.parse("2026-12-02T23:00:00.123Z"), draft), "n1-1:2", 1);
 	}
 
 	private static DesiredStateSnapshot snapshot() {
 		return new DesiredStateSnapshot(8,
-				List.of(new AppliedItem(DESK, 8),
+				List.of(new AppliedItem(PLAIN_SERVICE, 8),
 						new AppliedItem(new ModelGroupItem(GroupSetName.of("set"), ServiceName.of("chat"), DATA_CENTRE,
 								2, 4, 1, false, true), 2),
 						new AppliedItem(new WorkspaceItem(WorkspaceName.of("w"), "hash", 1.5, 2.5, 3, 1), 3)),
--- a/src/test/java/sycamorehill/peer/NettyPeerTransportTests.java
+++ b/src/test/java/sycamorehill/peer/NettyPeerTransportTests.java
@@ -21,12 +21,12 @@
 import sycamorehill.model.log.LogEvent;
 import sycamorehill.peer.PeerNode.LaterNote;
 import sycamorehill.peer.PeerNode.Note;
-import sycamorehill.peer.PeerNode.Novelty;
+import sycamorehill.peer.PeerNode.UnknownMessage;
 
 @Timeout(60)
 class NettyPeerTransportTests {
 
-	private static final byte[] GARBAGE_FRAME = { 0, 0, 0, 20, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16,
+	private static final byte[] INVALID_FRAME = { 0, 0, 0, 20, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16,
 			17, 18, 19, 20 };
 
 	@Test
@@ -53,14 +53,14 @@
 	}
 
 	@Test
-	void newerNodeIsUnderstood() throws Exception {
+	void messagesOfNewerVersionAreRead() throws Exception {
 		// A rolling upgrade: the new node adds a field and a type of message. The old one
 		// must go on hearing what it knows, or its duties stop until all are upgraded.
 		PeerMessageCodec later = PeerMessageCodec.empty()
 			.register("note", LaterNote.class)
-			.register("novelty", Novelty.class);
+			.register("novelty", UnknownMessage.class);
 		try (PeerNode newer = PeerNode.start("n1", "secret", later); PeerNode older = PeerNode.start("n2")) {
-			newer.transport.send(older.identity(), new Novelty("new"));
+			newer.transport.send(older.identity(), new UnknownMessage("new"));
 			newer.transport.send(older.identity(), new LaterNote("hay", List.of(), "green"));
 			Assertions.assertThat(older.nextMessage()).isEqualTo(Note.of("hay"));
 			Assertions.assertThat(older.transport.counters().unknownTypes()).isEqualTo(1);
@@ -68,26 +68,26 @@
 	}
 
 	@Test
-	void strangerWithAnotherSecretIsRefused() throws Exception {
+	void connectionWithWrongSecretIsRefused() throws Exception {
 		// Somebody in the network starts a node of his own and reports a target as gone.
 		// Nothing that he sends may become an event.
-		try (PeerNode stranger = PeerNode.start("n1", "guessed", PeerNode.codec());
+		try (PeerNode unauthenticated = PeerNode.start("n1", "guessed", PeerNode.codec());
 				PeerNode node = PeerNode.start("n2")) {
-			stranger.transport.send(node.identity(), Note.of("false report"));
+			unauthenticated.transport.send(node.identity(), Note.of("false report"));
 			Assertions.assertThat(node.nextLog().event()).isEqualTo(LogEvent.PEER_CONNECTION_REFUSED);
 			Assertions.assertThat(node.events).isEmpty();
 		}
 	}
 
 	@Test
-	void recordedConnectionCanNotBePlayedAgain() throws Exception {
+	void replayedConnectionIsRefused() throws Exception {
 		// Somebody records what a node sent and plays it to the receiver an hour later:
 		// an
 		// old claim or report would be taken for a new one. The receiver's challenge
 		// differs, so the first frame already has a wrong code.
 		try (PeerNode one = PeerNode.start("n1");
 				PeerNode two = PeerNode.start("n2");
-				Recorder recorder = new Recorder(two.transport.listenAddress())) {
+				RecordingProxy recorder = new RecordingProxy(two.transport.listenAddress())) {
 			one.transport.send(PeerNode.identity("n2", recorder.address()), Note.of("once"));
 			Assertions.assertThat(two.nextMessage()).isEqualTo(Note.of("once"));
 			try (Socket again = connect(two)) {
@@ -99,7 +99,7 @@
 	}
 
 	@Test
-	void challengePassedOnFromAnotherNodeIsOfNoUse() throws Exception {
+	void connectionMeantForAnotherNodeIsRefused() throws Exception {
 		// The address of n3 leads to n2, by a mistake or a stranger: what was meant for
 		// n3
 		// must not count as said to n2.
@@ -111,11 +111,11 @@
 	}
 
 	@Test
-	void garbageClosesItsOwnConnectionOnly() throws Exception {
+	void invalidFrameClosesOnlyItsOwnConnection() throws Exception {
 		try (PeerNode one = PeerNode.start("n1"); PeerNode two = PeerNode.start("n2"); Socket garbage = connect(two)) {
 			one.transport.send(two.identity(), Note.of("before"));
 			Assertions.assertThat(two.nextMessage()).isEqualTo(Note.of("before"));
-			garbage.getOutputStream().write(GARBAGE_FRAME);
+			garbage.getOutputStream().write(INVALID_FRAME);
 			Assertions.assertThat(two.nextLog().event()).isEqualTo(LogEvent.PEER_CONNECTION_REFUSED);
 			Assertions.assertThat(readToEnd(garbage)).isTrue();
 			one.transport.send(two.identity(), Note.of("after"));
@@ -125,19 +125,19 @@
 	}
 
 	@Test
-	void strangerCanNotMakeTheNodeHoldALargeFrame() throws Exception {
-		try (PeerNode node = PeerNode.start("n2"); Socket stranger = connect(node)) {
-			int length = PeerProtocol.LARGEST_STRANGER_FRAME + 1;
-			stranger.getOutputStream().write(ByteBuffer.allocate(Integer.BYTES).putInt(length).array());
+	void largeFrameBeforeAuthenticationIsRefused() throws Exception {
+		try (PeerNode node = PeerNode.start("n2"); Socket unauthenticated = connect(node)) {
+			int length = PeerProtocol.MAXIMUM_UNAUTHENTICATED_FRAME_BYTES + 1;
+			unauthenticated.getOutputStream().write(ByteBuffer.allocate(Integer.BYTES).putInt(length).array());
 			Assertions.assertThat(node.nextLog().detail()).contains("a frame of " + length + " bytes");
-			Assertions.assertThat(readToEnd(stranger)).isTrue();
+			Assertions.assertThat(readToEnd(unauthenticated)).isTrue();
 		}
 	}
 
 	@Test
 	void messageLargerThanAFrameIsRefusedBySender() throws Exception {
 		try (PeerNode one = PeerNode.start("n1"); PeerNode two = PeerNode.start("n2")) {
-			Note large = Note.of("x".repeat(PeerProtocol.LARGEST_FRAME));
+			Note large = Note.of("x".repeat(PeerProtocol.MAXIMUM_FRAME_BYTES));
 			Assertions.assertThat(one.transport.send(two.identity(), large)).failsWithin(20, TimeUnit.SECONDS);
 			Assertions.assertThat(((PeerEvent.SendFailed) one.nextEvent()).message()).isEqualTo(large);
 			Assertions.assertThat(one.nextLog().event()).isEqualTo(LogEvent.PEER_MESSAGE_TOO_LARGE);
@@ -155,24 +155,24 @@
 	}
 
 	@Test
-	void silentNodeCanNotMakeTheQueueGrow() throws Exception {
+	void queueForSilentNodeIsBounded() throws Exception {
 		// A paused node accepts connections in its kernel and says nothing. Messages to
 		// it
 		// must not pile up in the sender's 64 MB.
 		try (PeerNode one = PeerNode.start("n1"); ServerSocket silent = listen()) {
 			Address address = Address.of("127.0.0.1", silent.getLocalPort());
 			List<CompletableFuture<Void>> sent = new ArrayList<>();
-			for (int i = 0; i < 2 * PeerLink.MOST_PENDING_MESSAGES; i++) {
+			for (int i = 0; i < 2 * PeerLink.MAXIMUM_PENDING_MESSAGES; i++) {
 				sent.add(one.transport.send(PeerNode.identity("n2", address), Note.of("m" + i)));
 			}
 			long failedAtOnce = sent.stream().filter(CompletableFuture::isCompletedExceptionally).count();
-			Assertions.assertThat(failedAtOnce).isGreaterThanOrEqualTo(PeerLink.MOST_PENDING_MESSAGES);
+			Assertions.assertThat(failedAtOnce).isGreaterThanOrEqualTo(PeerLink.MAXIMUM_PENDING_MESSAGES);
 			Assertions.assertThat(one.nextEvent()).isInstanceOf(PeerEvent.SendFailed.class);
 		}
 	}
 
 	@Test
-	void restartedNodeIsReachedAtItsNewAddress() throws Exception {
+	void restartedNodeReceivesMessagesAtItsNewAddress() throws Exception {
 		// A node is replaced while its old process still hangs with its connections open.
 		// What is sent to the new one must not go on to the old one.
 		try (PeerNode one = PeerNode.start("n1");
--- a/src/test/java/sycamorehill/peer/PeerNode.java
+++ b/src/test/java/sycamorehill/peer/PeerNode.java
@@ -103,7 +103,7 @@
 	 *
 	 * @param text some text
 	 */
-	record Novelty(String text) implements PeerMessage {
+	record UnknownMessage(String text) implements PeerMessage {
 	}
 
 }
--- a/src/test/java/sycamorehill/peer/Recorder.java
+++ b/src/test/java/sycamorehill/peer/RecordingProxy.java
@@ -13,7 +13,7 @@
 /**
  * Passes one connection on and records what the dialling end sends.
  */
-final class Recorder implements AutoCloseable {
+final class RecordingProxy implements AutoCloseable {
 
 	private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
 
@@ -21,9 +21,9 @@
 
 	private final Address target;
 
-	Recorder(Address target) throws IOException {
+	RecordingProxy(Address target) throws IOException {
 		this.target = target;
-		startThread(this::pass);
+		startThread(this::relay);
 	}
 
 	Address address() {
@@ -41,7 +41,7 @@
 		this.listener.close();
 	}
 
-	private void pass() throws IOException {
+	private void relay() throws IOException {
 		try (Socket dialling = this.listener.accept();
 				Socket accepting = new Socket(this.target.host(), this.target.port())) {
 			startThread(() -> copy(accepting.getInputStream(), dialling.getOutputStream(), false));
@@ -61,7 +61,7 @@
 		}
 	}
 
-	private static void startThread(Work work) {
+	private static void startThread(InputOutputTask work) {
 		Thread thread = new Thread(() -> {
 			try {
 				work.run();
@@ -74,7 +74,7 @@
 		thread.start();
 	}
 
-	private interface Work {
+	private interface InputOutputTask {
 
 		void run() throws IOException;
 
--- a/src/test/java/sycamorehill/process/ProcessSystem.java
+++ b/src/test/java/sycamorehill/process/ProcessSystem.java
@@ -15,8 +15,8 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 import sycamorehill.cli.ExitCode;
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpCall;
-import sycamorehill.http.HttpCaller;
 import sycamorehill.http.HttpClientPool;
 import sycamorehill.json.ModelJson;
 import sycamorehill.load.CallOutcome;
@@ -111,7 +111,7 @@
 		String body = "{\"target\": \"platform\", \"fault\": \"" + fault + "\", \"share\": 1, \"seed\": 1}";
 		HttpCall call = HttpCall.of(this.platform, "POST", "/faults", Duration.ofSeconds(5))
 			.withBody(body, "application/json");
-		HttpCaller.create(this.pool).call(call).join();
+		BufferedHttpClient.create(this.pool).call(call).join();
 	}
 
 	NodeProcess startNode(String name, String dataCentre, Address platformAddress) throws IOException {
@@ -176,7 +176,7 @@
 		HttpCall call = HttpCall.of(this.platform, "GET", "/v1/objects/allocations?after=&limit=10",
 				Duration.ofSeconds(5));
 		List<String> vms = new ArrayList<>();
-		for (JsonNode object : this.json.readTree(HttpCaller.create(this.pool).call(call).join().body())
+		for (JsonNode object : this.json.readTree(BufferedHttpClient.create(this.pool).call(call).join().body())
 			.path("objects")) {
 			object.path("value")
 				.path("groups")
@@ -190,7 +190,7 @@
 		for (NodeProcess node : this.nodes) {
 			if (!node.equals(except)) {
 				HttpCall call = HttpCall.of(node.operators(), "GET", "/operator/state", Duration.ofSeconds(5));
-				numbers.add(this.json.readTree(HttpCaller.create(this.pool).call(call).join().body())
+				numbers.add(this.json.readTree(BufferedHttpClient.create(this.pool).call(call).join().body())
 					.path("number")
 					.asLong());
 			}
@@ -199,7 +199,7 @@
 	}
 
 	boolean awaitInForce(long number, int dataCentres) throws Exception {
-		OperatorClient operator = OperatorClient.create(HttpCaller.create(this.pool), this.json);
+		OperatorClient operator = OperatorClient.create(BufferedHttpClient.create(this.pool), this.json);
 		for (int attempt = 0; attempt < 200; attempt++) {
 			TicketRollout force = operator.show(this.nodes.get(0).operators(), number).get();
 			boolean everywhere = force.dataCentres()
@@ -241,7 +241,7 @@
 	}
 
 	private Map<String, Long> runs() {
-		return TargetRuns.byKey(HttpCaller.create(this.pool), this.json,
+		return TargetRuns.byKey(BufferedHttpClient.create(this.pool), this.json,
 				this.plainTargets.stream().map(PlainTarget::address).toList());
 	}
 
