--- a/src/main/java/sycamorehill/objectapi/HttpPlatformClient.java
+++ b/src/main/java/sycamorehill/objectapi/HttpPlatformClient.java
@@ -13,9 +13,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpAnswer;
 import sycamorehill.http.HttpCall;
-import sycamorehill.http.HttpCaller;
 import sycamorehill.http.NotSentException;
 import sycamorehill.model.identity.Address;
 import sycamorehill.model.platform.ObjectKey;
@@ -45,13 +45,13 @@
 	/** Time allowed for a watch beyond the time for which the platform may hold it. */
 	private static final Duration WATCH_MARGIN = Duration.ofSeconds(2);
 
-	private final HttpCaller httpClient;
+	private final BufferedHttpClient httpClient;
 
 	private final Address address;
 
 	private final ObjectMapper json;
 
-	private HttpPlatformClient(HttpCaller httpClient, Address address, ObjectMapper json) {
+	private HttpPlatformClient(BufferedHttpClient httpClient, Address address, ObjectMapper json) {
 		this.httpClient = httpClient;
 		this.address = address;
 		this.json = json;
@@ -64,7 +64,7 @@
 	 * @param json converts values to and from JSON
 	 * @return the client
 	 */
-	public static HttpPlatformClient create(HttpCaller httpClient, Address address, ObjectMapper json) {
+	public static HttpPlatformClient create(BufferedHttpClient httpClient, Address address, ObjectMapper json) {
 		return new HttpPlatformClient(httpClient, address, json);
 	}
 
--- a/src/main/java/sycamorehill/objectapi/HttpVmListClient.java
+++ b/src/main/java/sycamorehill/objectapi/HttpVmListClient.java
@@ -10,9 +10,9 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpAnswer;
 import sycamorehill.http.HttpCall;
-import sycamorehill.http.HttpCaller;
 import sycamorehill.model.group.VmEntry;
 import sycamorehill.model.group.VmStatus;
 import sycamorehill.model.identity.Address;
@@ -29,13 +29,13 @@
 
 	private static final int OK = 200;
 
-	private final HttpCaller httpClient;
+	private final BufferedHttpClient httpClient;
 
 	private final Address address;
 
 	private final ObjectMapper json;
 
-	private HttpVmListClient(HttpCaller httpClient, Address address, ObjectMapper json) {
+	private HttpVmListClient(BufferedHttpClient httpClient, Address address, ObjectMapper json) {
 		this.httpClient = httpClient;
 		this.address = address;
 		this.json = json;
@@ -48,7 +48,7 @@
 	 * @param json decodes the answers
 	 * @return the client
 	 */
-	public static HttpVmListClient create(HttpCaller httpClient, Address address, ObjectMapper json) {
+	public static HttpVmListClient create(BufferedHttpClient httpClient, Address address, ObjectMapper json) {
 		return new HttpVmListClient(httpClient, address, json);
 	}
 
