--- a/src/main/java/sycamorehill/entry/EntryNode.java
+++ b/src/main/java/sycamorehill/entry/EntryNode.java
@@ -377,9 +377,9 @@
 	}
 
 	/**
-	 * Starts a planned stop. The node accepts connections until the load balancer has
-	 * noticed the stop, and serves the requests on open connections until shortly before
-	 * the process is killed.
+	 * Starts a planned stop. The node still accepts connections until the load balancer
+	 * has noticed the stop, then closes idle ones, and serves requests on open
+	 * connections until shortly before the process is killed.
 	 */
 	public void stop() {
 		EventLog.write(LogLine.of(LogEvent.NODE_STOPPING, "node=" + this.settings.nodeName()));
--- a/src/test/java/sycamorehill/entry/CallClientTests.java
+++ b/src/test/java/sycamorehill/entry/CallClientTests.java
@@ -24,7 +24,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 /**
- * Calls of our own that get no answer.
+ * Tests calls of the node itself that get no answer.
  */
 class CallClientTests {
 
@@ -37,9 +37,9 @@
 		this.eventLoops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
 	}
 
-	// An engine behind a partition gets an order when the partition heals, seconds
-	// after the order was given up and others were given. The connection of a call
-	// that is given up is reset, so that what is still on its way is lost.
+	// During a network partition a command times out, but its bytes stay in transit and
+	// reach the engine seconds later, after newer commands. The client must reset the
+	// connection of a call that timed out, so that these bytes are discarded.
 	@Test
 	void timedOutCallResetsItsConnection() throws Exception {
 		try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/src/test/java/sycamorehill/entry/CompressedTextTests.java
+++ b/src/test/java/sycamorehill/entry/CompressedTextTests.java
@@ -18,8 +18,8 @@
 		assertThat(CompressedText.decompress(compressed)).isEqualTo(TEXT);
 	}
 
-	// A byte of a datagram was changed on its way. Read on, it would become a
-	// configuration that nobody has written, in force until a newer one comes.
+	// A byte of a datagram was corrupted in transit. If accepted, the text would become a
+	// configuration that nobody wrote, in effect until the next one.
 	@Test
 	void refusesCorruptedText() throws IOException {
 		byte[] compressed = CompressedText.compress(TEXT);
@@ -32,7 +32,7 @@
 		assertThatThrownBy(() -> CompressedText.decompress(null)).isInstanceOf(IOException.class);
 	}
 
-	// A few bytes that unpack to gigabytes would fill the memory of each node.
+	// A few bytes that decompress to gigabytes would exhaust the memory of each node.
 	@Test
 	void refusesTooLongText() throws IOException {
 		byte[] compressed = CompressedText.compress("a".repeat(5 * 1024 * 1024));
--- a/src/test/java/sycamorehill/entry/ConnectTimeoutTests.java
+++ b/src/test/java/sycamorehill/entry/ConnectTimeoutTests.java
@@ -7,7 +7,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * How long a connection attempt may take.
+ * Tests how the connect timeout follows the recent connections.
  */
 class ConnectTimeoutTests {
 
@@ -19,16 +19,16 @@
 		}
 	}
 
-	// An engine loses power. A caller whose request goes there has an answer in time only
-	// if the attempt is given up well before the time in which first events are wanted.
+	// An engine loses power. A request to it gets an answer on time only if the
+	// connection attempt times out well before the time limit of first events.
 	@Test
 	void timeoutIsShortWhereConnectionsAreFast() {
 		connect(40, 9);
 		assertThat(this.timeout.current()).isEqualTo(Duration.ofMillis(100));
 	}
 
-	// Targets in another region are 50 ms away: an attempt there must not be given up
-	// before it can succeed.
+	// Targets in another region are 50 ms away: the timeout must leave an attempt the
+	// time to succeed.
 	@Test
 	void timeoutIsLongerWhereConnectionsAreSlow() {
 		connect(40, 2);
@@ -43,7 +43,7 @@
 		assertThat(this.timeout.current()).isEqualTo(Duration.ofMillis(300));
 	}
 
-	// A burst of slow connections is over: the timeout goes down again.
+	// The timeout must shrink again after a burst of slow connections.
 	@Test
 	void timeoutShrinksAfterSlowConnections() {
 		connect(40, 50);
--- a/src/test/java/sycamorehill/entry/DatagramSplitterTests.java
+++ b/src/test/java/sycamorehill/entry/DatagramSplitterTests.java
@@ -13,7 +13,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 /**
- * Messages that are larger than a datagram.
+ * Tests splitting and assembling messages that are larger than a datagram.
  */
 class DatagramSplitterTests {
 
@@ -38,8 +38,8 @@
 		return assembled;
 	}
 
-	// A datagram that is larger than the path's unit is sent in fragments, and is lost
-	// with any of them.
+	// A datagram larger than the MTU of the path is fragmented, and is lost if any
+	// fragment is lost.
 	@Test
 	void noDatagramIsLargerThanAFrame() {
 		for (int size : new int[] { 0, 1, 1300, 1400, 5000, 90_000 }) {
@@ -56,7 +56,7 @@
 		assertThat(assemble(FIRST_SENDER, datagrams)).hasValue(sent);
 	}
 
-	// Two nodes start with the same message number: their parts must not be mixed.
+	// Two nodes may use the same message number: their parts must not be mixed.
 	@Test
 	void partsOfTwoSendersAreKeptApart() throws Exception {
 		List<byte[]> partsOfOne = DatagramSplitter.split(message(2000, 4), 7);
@@ -75,8 +75,8 @@
 		assertThat(this.assembler.add(FIRST_SENDER, datagrams.get(1), 0)).isPresent();
 	}
 
-	// A node whose link loses packets leaves incomplete messages behind, several a
-	// second: they must not fill the memory.
+	// A node whose link loses packets causes several incomplete messages per second,
+	// which must not fill the memory.
 	@Test
 	void incompleteMessagesAreDiscarded() throws Exception {
 		for (int number = 0; number < 10_000; number++) {
--- a/src/test/java/sycamorehill/entry/EntryNodeTests.java
+++ b/src/test/java/sycamorehill/entry/EntryNodeTests.java
@@ -38,8 +38,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A whole entry node over loopback, between raw sockets: what faulty callers and targets
- * get, byte by byte.
+ * Tests a complete entry node over loopback with raw sockets: the exact bytes that faulty
+ * callers and targets get.
  */
 class EntryNodeTests {
 
@@ -64,7 +64,8 @@
 		awaitRoutes();
 	}
 
-	// The node answers 503 until it has read its configuration and targets.
+	// Waits until the node has read its configuration and targets; before, it answers
+	// 503.
 	private void awaitRoutes() throws Exception {
 		for (int attempt = 0; attempt < 100; attempt++) {
 			if (ask("GET /nowhere/ HTTP/1.1\r\nHost: feed.example\r\nConnection: close\r\n\r\n")
@@ -73,7 +74,7 @@
 			}
 			Thread.sleep(20);
 		}
-		throw new AssertionError("the node has no configuration");
+		throw new AssertionError("the node has not read its configuration");
 	}
 
 	private static EntrySettings settings() {
@@ -126,8 +127,8 @@
 				+ "Deadline-Ms: 2000\r\nConnection: close\r\n" + more;
 	}
 
-	// An engineer sees requests fail and has only numbers to begin with: what came, what
-	// became of it, how long it took, by service.
+	// The metrics must show the number, outcome and duration of requests for each
+	// service.
 	@Test
 	void metricsCountRequestsByOutcome() throws Exception {
 		start((request) -> SIGNED_ANSWER);
@@ -163,8 +164,9 @@
 			.endsWith("abc");
 	}
 
-	// A caller hides a second request in the body of the first, by giving it two
-	// lengths. A target that goes by the other length would run the hidden one.
+	// Request smuggling: a caller hides a second request in the body of the first by
+	// sending two lengths. A target that uses the other length would execute the hidden
+	// request.
 	@Test
 	void refusesRequestWithAmbiguousLength() throws Exception {
 		start((request) -> SIGNED_ANSWER);
@@ -186,16 +188,16 @@
 		assertThat(this.target.requests()).isEmpty();
 	}
 
-	// An answer of another request arrives where the answer of this one is due: the
-	// caller must not get it, and an order must not be promised as not run.
+	// The answer to another request arrives instead of the expected one: the caller must
+	// not get it, and must not be told that its order did not run.
 	@Test
 	void rejectsAnswerToAnotherRequest() throws Exception {
 		start((request) -> SIGNED_ANSWER.replace("a1", "other"));
 		assertThat(ask(request("POST", "/once/x", "Content-Length: 0\r\n\r\n"))).startsWith("HTTP/1.1 502");
 	}
 
-	// A target breaks off within a plain answer: the caller gets no part of it as a
-	// success.
+	// A target closes the connection within a plain answer: the caller must not get a
+	// part of it as a success.
 	@Test
 	void holdsPlainAnswerUntilComplete() throws Exception {
 		start((request) -> SIGNED_ANSWER.replace("hello", "he") + '\0');
@@ -203,8 +205,8 @@
 			.doesNotContain("he\r\n");
 	}
 
-	// A target sends more bytes after a whole answer. They belong to no request: the next
-	// request on the same connection of the caller gets its own answer.
+	// A target sends more bytes after a complete answer. They belong to no request: the
+	// next request on the same connection of the caller must get its own answer.
 	@Test
 	void dropsBytesAfterCompleteAnswer() throws Exception {
 		start((request) -> SIGNED_ANSWER + SIGNED_ANSWER.replace("hello", "EXTRA"));
@@ -240,7 +242,7 @@
 		assertThat(ask(request("GET", "/elsewhere/x", "\r\n"))).startsWith("HTTP/1.1 404");
 	}
 
-	// A target in need gets more requests than it said that it takes.
+	// Without rate limiting, a target gets more requests than the limit that it reported.
 	@Test
 	void rateLimitOfTargetIsRespected() throws Exception {
 		start((request) -> SIGNED_ANSWER.replace("Content-Length", "Server-Limit: 1.0\r\nContent-Length"));
@@ -254,8 +256,8 @@
 		assertThat(this.target.requests().size() - before).isBetween(1, 11);
 	}
 
-	// Wrong bytes that a target hands out are taken for its word that it is in need no
-	// more.
+	// An answer without a signature, for example corrupted bytes, must not be taken as a
+	// report that the target has no rate limit any more.
 	@Test
 	void unsignedAnswerDoesNotLiftRateLimit() throws Exception {
 		AtomicInteger answered = new AtomicInteger();
@@ -272,7 +274,7 @@
 	}
 
 	/**
-	 * Objects that never change.
+	 * Feed of objects that never change.
 	 */
 	private record Fixed<T>(List<T> items) implements Feed<T> {
 
@@ -302,7 +304,7 @@
 	}
 
 	/**
-	 * Takes entries and keeps none.
+	 * Registry that accepts nodes and stores none.
 	 */
 	private static final class EmptyRegistry implements NodeRegistry {
 
@@ -324,7 +326,7 @@
 	}
 
 	/**
-	 * A lease that nobody gets.
+	 * Lease store that is unavailable.
 	 */
 	private static final class UnavailableLeaseStore implements LeaseStore {
 
@@ -346,7 +348,7 @@
 	}
 
 	/**
-	 * Engines that answer nothing.
+	 * Engines that return no answer.
 	 */
 	private static final class UnreachableEngines implements EnginePort {
 
--- a/src/test/java/sycamorehill/entry/EventSplitterTests.java
+++ b/src/test/java/sycamorehill/entry/EventSplitterTests.java
@@ -12,13 +12,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Cutting streams into events.
+ * Tests splitting a stream into events.
  */
 class EventSplitterTests {
 
 	private static final String STREAM = "id: 1\ndata: a\n\nweight-versions: 2\nid:2\ndata: b\ndata: id: 9\n\ndata: c\n\n";
 
-	// However the network cuts the bytes, the same whole events come out.
+	// The same complete events must result for any division of the bytes into packets.
 	@Test
 	void findsSameEventsForAnyChunking() {
 		for (int seed = 0; seed < 200; seed++) {
@@ -27,7 +27,8 @@
 		}
 	}
 
-	// An engine dies within an event: the part is kept back, and known to be there.
+	// An engine crashes within an event: the partial event must be held back and reported
+	// as present.
 	@Test
 	void holdsPartialEventBack() {
 		EventSplitter splitter = EventSplitter.create(UnpooledByteBufAllocator.DEFAULT);
--- a/src/test/java/sycamorehill/entry/FeedReaderTests.java
+++ b/src/test/java/sycamorehill/entry/FeedReaderTests.java
@@ -18,7 +18,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Following the store through its outages.
+ * Tests reading the store during and after its outages.
  */
 class FeedReaderTests {
 
@@ -32,10 +32,9 @@
 		this.executor.shutdownNow();
 	}
 
-	// The store goes silent and comes back while a call waits on a dead connection. A
-	// configuration that is accepted just then must be in force 2 s later: after the
-	// first failure calls don't wait, so that the store's return is noticed by the
-	// next one.
+	// The store becomes unreachable and recovers while a call waits on a dead connection.
+	// A configuration that is accepted at that moment must be in effect 2 s later: after
+	// the first failure calls don't wait, so that the next one detects the recovery.
 	@Test
 	void callsDoNotWaitWhileTheStoreIsUnreachable() throws Exception {
 		FailingFeed feed = new FailingFeed();
@@ -65,7 +64,7 @@
 		assertThat(contacts).startsWith(true, false, false, true);
 	}
 
-	// The store has forgotten the changes: everything is read again.
+	// The store no longer holds the changes: the reader must list all objects again.
 	@Test
 	void readsEverythingAgainWhenHistoryIsGone() throws Exception {
 		FailingFeed feed = new FailingFeed();
@@ -80,16 +79,16 @@
 
 			@Override
 			public void handleChanges(Feed.Page<String> changes, long since) {
-				// Nothing changes here.
+				// No changes are delivered in this test.
 			}
 
 		}).start();
 		assertThat(listedTwice.await(5, TimeUnit.SECONDS)).isTrue();
 	}
 
-	// The store has forgotten the changes that this node missed, and another node goes on
-	// telling it how far it has come. A target that left in between is only missed in a
-	// list: without it, the node would give work to that target for ever.
+	// The store no longer holds the changes that this node missed, while another node
+	// reports later revisions. The removal of a target in between is visible only in a
+	// list: without it, the node would send requests to that target indefinitely.
 	@Test
 	void listsAgainAlthoughLaterRevisionsAreReported() throws Exception {
 		FailingFeed feed = new FailingFeed();
@@ -108,7 +107,7 @@
 
 					@Override
 					public void handleChanges(Feed.Page<String> changes, long since) {
-						// History is gone: changes are not told.
+						// No changes are delivered, because the history is gone.
 					}
 
 				});
@@ -119,8 +118,8 @@
 		assertThat(listedAgain.await(5, TimeUnit.SECONDS)).isTrue();
 	}
 
-	// Another node reads for this one: it makes no calls, but for one when it is told
-	// that it missed something.
+	// Another node forwards the store updates to this one: the reader makes no calls
+	// except one that is requested after a missed update.
 	@Test
 	void makesNoCallsWhilePausedExceptOnRequest() throws Exception {
 		RecordingFeed feed = new RecordingFeed();
@@ -142,9 +141,9 @@
 		assertThat(feed.requestedRevisions).containsExactly(7L);
 	}
 
-	// A call waits in the store while another node tells of the changes. Its answer
-	// repeats them: an entry of a target that has left would come back. It is passed
-	// over.
+	// A call waits in the store while another node forwards the changes. The answer
+	// repeats them and could bring back the entry of a target that has left: it must be
+	// skipped.
 	@Test
 	void outdatedAnswerIsSkipped() throws Exception {
 		RecordingFeed feed = new RecordingFeed();
@@ -180,7 +179,7 @@
 	}
 
 	/**
-	 * Remembers after which revisions changes were asked for.
+	 * Records the revisions after which changes were requested.
 	 */
 	private static final class RecordingFeed extends ListedFeed {
 
@@ -202,7 +201,7 @@
 	}
 
 	/**
-	 * Answers a list, fails twice, then brings one change.
+	 * Returns a list, fails twice, then returns one change.
 	 */
 	private static final class FailingFeed extends ListedFeed {
 
@@ -228,7 +227,7 @@
 	}
 
 	/**
-	 * Answers a list of one object.
+	 * Returns a list of one object.
 	 */
 	private abstract static class ListedFeed implements Feed<String> {
 
--- a/src/test/java/sycamorehill/entry/NodeMessageCodecTests.java
+++ b/src/test/java/sycamorehill/entry/NodeMessageCodecTests.java
@@ -25,7 +25,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 /**
- * Messages between nodes on the wire.
+ * Tests the encoding of messages between nodes.
  */
 class NodeMessageCodecTests {
 
@@ -64,7 +64,7 @@
 		}
 	}
 
-	// A node of a later version tells something that this one does not know.
+	// A node of a later version sends a kind of message that this version does not know.
 	@Test
 	void refusesUnknownKind() throws IOException {
 		byte[] bytes = this.codec.write(new NodeMessage.Silence("n1", TARGET));
--- a/src/test/java/sycamorehill/entry/NodeMessengerTests.java
+++ b/src/test/java/sycamorehill/entry/NodeMessengerTests.java
@@ -33,7 +33,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Messages between nodes over real sockets.
+ * Tests messages between nodes over real sockets.
  */
 class NodeMessengerTests {
 
@@ -82,9 +82,9 @@
 		return (event instanceof EntryEvent.MessageHeard message) ? message.message() : null;
 	}
 
-	// Engines change state by the dozen when groups are formed. The node that reads the
-	// store tells the others of all of them at once, and each of the others read the
-	// store for itself: a datagram of more than 2,048 bytes was cut off and dropped.
+	// Dozens of engines change state when groups form, and the node that reads the store
+	// sends all changes to its peers at once. A datagram of more than 2,048 bytes was
+	// truncated and dropped, so that each peer read the store itself.
 	@Test
 	void updateWithManyChangesArrivesComplete() throws InterruptedException {
 		for (int changes : new int[] { 1, 24, 130 }) {
@@ -93,9 +93,9 @@
 		}
 	}
 
-	// Hundreds of entries come back at once after an outage. More datagrams in a row than
-	// a receiver's buffer holds would be lost in part, and all sent in vain: the others
-	// are told that there are changes, and read them.
+	// Hundreds of entries return at once after an outage. If more datagrams were sent
+	// than the receive buffer holds, some would be lost and the others useless. The peers
+	// are only notified of the changes and read them from the store.
 	@Test
 	void tooManyChangesAreOnlyAnnounced() throws InterruptedException {
 		this.sender.send(List.of(this.receiver), storeUpdate(400));
@@ -103,8 +103,8 @@
 				Optional.of(new Lease("one#a", 3, 90)), Duration.ofMillis(210)));
 	}
 
-	// Bytes of another program, or of another version, arrive on the port. The next
-	// message is read as if nothing had come.
+	// Bytes of another program or version arrive on the port: the next message must still
+	// be read.
 	@Test
 	void invalidDatagramDoesNotAffectNextMessage() throws Exception {
 		try (DatagramSocket socket = new DatagramSocket()) {
--- a/src/test/java/sycamorehill/entry/RawTarget.java
+++ b/src/test/java/sycamorehill/entry/RawTarget.java
@@ -13,7 +13,7 @@
 import sycamorehill.model.identity.Address;
 
 /**
- * A target that answers with whatever bytes a test wants, and keeps what it was sent.
+ * Target that answers with the bytes that a test supplies and records the requests.
  */
 final class RawTarget implements AutoCloseable {
 
@@ -30,7 +30,7 @@
 
 	/**
 	 * Starts a target.
-	 * @param answers makes the bytes of an answer from a request; an empty text closes
+	 * @param answers returns the bytes of the answer to a request; an empty text closes
 	 * the connection, and a text that ends with the zero character closes it after the
 	 * bytes
 	 * @return the target
@@ -83,8 +83,7 @@
 			}
 		}
 		catch (IOException ex) {
-			// The node closed the connection: what it was sent is kept, nothing more is
-			// due.
+			// The node closed the connection: records this and sends nothing more.
 			this.requests.add("closed");
 		}
 	}
--- a/src/test/java/sycamorehill/entry/TargetCodecTests.java
+++ b/src/test/java/sycamorehill/entry/TargetCodecTests.java
@@ -20,7 +20,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 /**
- * Changes of targets on their way between nodes.
+ * Tests the encoding of changes of targets between nodes.
  */
 class TargetCodecTests {
 
@@ -45,9 +45,9 @@
 		assertThat(TargetCodec.read(this.codec.readTree(bytes))).isEqualTo(changes);
 	}
 
-	// Another version of the program sends a state that this one doesn't know: the
-	// message is dropped whole, as one that was lost, and what it told is read from
-	// the store.
+	// Another version of the program sends a member state that this one doesn't know: the
+	// whole message is dropped as if it were lost, and its changes are read from the
+	// store.
 	@Test
 	void refusesUnknownMemberState() {
 		ArrayNode written = this.codec.createArrayNode();
