--- a/src/main/java/sycamorehill/logic/membership/MembershipReducer.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipReducer.java
@@ -23,7 +23,8 @@
 import sycamorehill.model.policy.MembershipPolicy;
 
 /**
- * Which nodes of ours are alive.
+ * Maintains the set of live nodes from heartbeats and from the announcements on the
+ * platform.
  */
 public final class MembershipReducer implements Reducer<MembershipState> {
 
@@ -35,7 +36,7 @@
 	}
 
 	/**
-	 * Creates the reducer.
+	 * Creates a reducer.
 	 * @return the reducer
 	 */
 	public static MembershipReducer create() {
@@ -55,7 +56,7 @@
 		else if (event instanceof NodeEvent.StopRequested) {
 			step.set(step.state().withStopping());
 			Heartbeats.sendAll(step);
-			Liveness.refresh(step);
+			Liveness.recomputeLiveNodes(step);
 		}
 		else if (event instanceof PeerEvent.MessageReceived received) {
 			handleMessage(step, received);
@@ -82,7 +83,7 @@
 				step.set(step.observations().withContact(contact.identityOfUnknownIncarnation()));
 			}
 		}
-		Liveness.refresh(step);
+		Liveness.recomputeLiveNodes(step);
 		PeerDiscovery.handleTick(step);
 	}
 
--- a/src/main/java/sycamorehill/logic/membership/RolloutQueryHandler.java
+++ b/src/main/java/sycamorehill/logic/membership/RolloutQueryHandler.java
@@ -22,8 +22,8 @@
 import sycamorehill.model.ticket.TicketRollout;
 
 /**
- * Answers where a ticket is in force. The delegates know it from heartbeats and are asked
- * only when an operator asks.
+ * Answers queries for the rollout status of a ticket. The delegates know the status of
+ * their data centres from heartbeats. They are asked only when an operator queries it.
  */
 final class RolloutQueryHandler {
 
@@ -69,8 +69,9 @@
 	}
 
 	/**
-	 * Takes down how far all nodes of the own data centre are.
-	 * @param step the step under way
+	 * Records the latest ticket that this node's data centre has applied at all nodes, if
+	 * this node is a delegate.
+	 * @param step the current step
 	 */
 	static void recordProgress(MembershipStep step) {
 		if (!step.isDelegate()) {
@@ -97,16 +98,17 @@
 			DataCentreRollout answer = query.answers().get(dataCentre);
 			rollouts.add((answer != null) ? answer : unansweredRollout(step, dataCentre));
 		}
-		step.add(new OperatorEffect.AnswerForce(query.call(),
+		step.addEffect(new OperatorEffect.AnswerForce(query.call(),
 				new TicketRollout(query.number(), step.view().ticket(query.number()), rollouts)));
 	}
 
 	private static DataCentreRollout unansweredRollout(MembershipStep step, DataCentreName dataCentre) {
 		DataCentreView view = step.observations().view(dataCentre, step.now());
 		int known = step.state().liveNodes().in(dataCentre).size();
-		String last = view.isConfirmed() ? "the last word of it came " + secondsSince(step, view.vouchedAt()) + " ago"
+		String lastConfirmation = view.isConfirmed()
+				? "the last word of it came " + secondsSince(step, view.vouchedAt()) + " ago"
 				: "no word of it ever came";
-		String reason = "no delegate of " + dataCentre + " has answered; " + last
+		String reason = "no delegate of " + dataCentre + " has answered; " + lastConfirmation
 				+ ": it may serve with an older truth";
 		return new DataCentreRollout(dataCentre, 0, known, Optional.empty(), List.of(reason));
 	}
