--- a/src/main/java/sycamorehill/entry/CallClient.java
+++ b/src/main/java/sycamorehill/entry/CallClient.java
@@ -35,10 +35,10 @@
 
 	private static final Duration MAXIMUM_IDLE_TIME = Duration.ofSeconds(5);
 
-	private final TargetConnectionPool connections;
+	private final TargetConnectionPool connectionPool;
 
 	private CallClient(TargetConnectionPool connections) {
-		this.connections = connections;
+		this.connectionPool = connections;
 	}
 
 	static CallClient of(TargetConnectionPool connections) {
@@ -54,17 +54,17 @@
 	 */
 	public CompletableFuture<CallAnswer> call(Call call, Header header, Duration timeout) {
 		CompletableFuture<CallAnswer> answer = new CompletableFuture<>();
-		this.connections.loop().execute(() -> start(call, header, timeout, answer));
+		this.connectionPool.loop().execute(() -> start(call, header, timeout, answer));
 		return answer;
 	}
 
 	private void start(Call call, Header header, Duration timeout, CompletableFuture<CallAnswer> answer) {
-		TargetConnection idle = this.connections.acquireIdle(call.address(), MAXIMUM_IDLE_TIME);
+		TargetConnection idle = this.connectionPool.acquireIdle(call.address(), MAXIMUM_IDLE_TIME);
 		if (idle != null) {
 			send(idle, call, header, timeout, answer);
 			return;
 		}
-		ChannelFuture connecting = this.connections.connect(call.address());
+		ChannelFuture connecting = this.connectionPool.connect(call.address());
 		connecting.addListener((future) -> {
 			if (future.isSuccess()) {
 				send(connecting.channel().pipeline().get(TargetConnection.class), call, header, timeout, answer);
@@ -155,7 +155,7 @@
 		}
 
 		void startTimer(Duration timeout) {
-			this.timer = CallClient.this.connections.loop()
+			this.timer = CallClient.this.connectionPool.loop()
 				.schedule(() -> abort("no answer in " + timeout), timeout.toNanos(), TimeUnit.NANOSECONDS);
 		}
 
@@ -179,7 +179,8 @@
 		public void handleEnd() {
 			this.timer.cancel(false);
 			if (HttpUtil.isKeepAlive(this.head)) {
-				CallClient.this.connections.release(this.address, this.connection, MAXIMUM_IDLE_TIME.multipliedBy(2));
+				CallClient.this.connectionPool.release(this.address, this.connection,
+						MAXIMUM_IDLE_TIME.multipliedBy(2));
 			}
 			else {
 				this.connection.close();
--- a/src/main/java/sycamorehill/entry/CallerServer.java
+++ b/src/main/java/sycamorehill/entry/CallerServer.java
@@ -51,9 +51,9 @@
 
 	private final EventSink eventSink;
 
-	private final TargetConnectionPool connections;
+	private final TargetConnectionPool connectionPool;
 
-	private final TargetActivity activity = TargetActivity.create();
+	private final TargetActivity targetActivity = TargetActivity.create();
 
 	private final Map<Long, CallerExchange> exchanges = new HashMap<>();
 
@@ -69,7 +69,7 @@
 		this.loop = loop;
 		this.codec = codec;
 		this.eventSink = eventSink;
-		this.connections = connections;
+		this.connectionPool = connections;
 	}
 
 	static CallerServer of(EventLoop loop, ExchangeCodec codec, EventSink eventSink, TargetConnectionPool connections) {
@@ -102,9 +102,9 @@
 	 * Reports targets that have become silent and closes connections that have been idle
 	 * for too long. Called several times a second.
 	 */
-	void checkTargets() {
-		this.connections.closeExpired();
-		this.activity.findSilentTargets(System.nanoTime())
+	void runPeriodicChecks() {
+		this.connectionPool.closeExpired();
+		this.targetActivity.findSilentTargets(System.nanoTime())
 			.forEach((target) -> this.eventSink.post(new EntryEvent.TargetSilent(target)));
 	}
 
@@ -140,7 +140,7 @@
 				this.limits = set.limits();
 			}
 			else if (effect instanceof EntryEffect.CloseTargetConnections close) {
-				this.connections.closeIdle(close.target());
+				this.connectionPool.closeIdle(close.target());
 			}
 			else {
 				executeForRequest(effect);
@@ -153,8 +153,8 @@
 			withExchange(limit.number(), (exchange) -> exchange.limitTime(limit.timeout(), this.loop, this.eventSink));
 		}
 		else if (effect instanceof EntryEffect.StartAttempt start) {
-			withExchange(start.number(),
-					(exchange) -> exchange.startAttempt(start, this.connections, this.activity, this.eventSink));
+			withExchange(start.number(), (exchange) -> exchange.startAttempt(start, this.connectionPool,
+					this.targetActivity, this.eventSink));
 		}
 		else if (effect instanceof EntryEffect.CancelAttempt cancel) {
 			withExchange(cancel.number(), CallerExchange::cancelAttempt);
--- a/src/main/java/sycamorehill/entry/EntryNode.java
+++ b/src/main/java/sycamorehill/entry/EntryNode.java
@@ -139,7 +139,7 @@
 	private void tick() {
 		try {
 			processEvent(new EntryEvent.Ticked());
-			this.callerServer.checkTargets();
+			this.callerServer.runPeriodicChecks();
 			this.configurationReader.resumeIfNeeded();
 			this.targetReader.resumeIfNeeded();
 		}
--- a/src/main/java/sycamorehill/entry/StrictRequestDecoder.java
+++ b/src/main/java/sycamorehill/entry/StrictRequestDecoder.java
@@ -13,7 +13,7 @@
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
-	private static final int CHUNK_BYTES = 64 * 1024;
+	private static final int MAXIMUM_CHUNK_BYTES = 64 * 1024;
 
 	private StrictRequestDecoder(HttpDecoderConfig config) {
 		super(config);
@@ -22,7 +22,7 @@
 	static StrictRequestDecoder of(CallerLimits limits) {
 		return new StrictRequestDecoder(new HttpDecoderConfig().setMaxInitialLineLength(limits.maximumHeaderBytes())
 			.setMaxHeaderSize(limits.maximumHeaderBytes())
-			.setMaxChunkSize(CHUNK_BYTES)
+			.setMaxChunkSize(MAXIMUM_CHUNK_BYTES)
 			.setAllowDuplicateContentLengths(false)
 			.setStrictLineParsing(true));
 	}
--- a/src/main/java/sycamorehill/entry/StrictResponseDecoder.java
+++ b/src/main/java/sycamorehill/entry/StrictResponseDecoder.java
@@ -9,18 +9,18 @@
  */
 final class StrictResponseDecoder extends HttpResponseDecoder {
 
-	private static final int HEADER_BYTES = 64 * 1024;
+	private static final int MAXIMUM_HEADER_BYTES = 64 * 1024;
 
-	private static final int CHUNK_BYTES = 64 * 1024;
+	private static final int MAXIMUM_CHUNK_BYTES = 64 * 1024;
 
 	private StrictResponseDecoder(HttpDecoderConfig config) {
 		super(config);
 	}
 
 	static StrictResponseDecoder create() {
-		return new StrictResponseDecoder(new HttpDecoderConfig().setMaxInitialLineLength(HEADER_BYTES)
-			.setMaxHeaderSize(HEADER_BYTES)
-			.setMaxChunkSize(CHUNK_BYTES)
+		return new StrictResponseDecoder(new HttpDecoderConfig().setMaxInitialLineLength(MAXIMUM_HEADER_BYTES)
+			.setMaxHeaderSize(MAXIMUM_HEADER_BYTES)
+			.setMaxChunkSize(MAXIMUM_CHUNK_BYTES)
 			.setAllowDuplicateContentLengths(false));
 	}
 
--- a/src/main/java/sycamorehill/entry/TargetAttempt.java
+++ b/src/main/java/sycamorehill/entry/TargetAttempt.java
@@ -38,9 +38,9 @@
 	 * the target closes the connection while the request is in transit, the outcome is
 	 * unknown.
 	 */
-	private static final Duration MAXIMUM_IDLE_NON_IDEMPOTENT = Duration.ofMillis(400);
+	private static final Duration MAXIMUM_IDLE_TIME_NON_IDEMPOTENT = Duration.ofMillis(400);
 
-	private static final Duration MAXIMUM_IDLE_IDEMPOTENT = Duration.ofMinutes(10);
+	private static final Duration MAXIMUM_IDLE_TIME_IDEMPOTENT = Duration.ofMinutes(10);
 
 	private final EntryEffect.StartAttempt start;
 
@@ -94,8 +94,8 @@
 	}
 
 	private void start() {
-		Duration maximumIdle = this.start.handling().kind().isRepeatable() ? MAXIMUM_IDLE_IDEMPOTENT
-				: MAXIMUM_IDLE_NON_IDEMPOTENT;
+		Duration maximumIdle = this.start.handling().kind().isRepeatable() ? MAXIMUM_IDLE_TIME_IDEMPOTENT
+				: MAXIMUM_IDLE_TIME_NON_IDEMPOTENT;
 		TargetConnection idle = this.connectionPool.acquireIdle(this.start.target(), maximumIdle);
 		if (idle != null) {
 			this.reused = true;
