--- a/src/main/java/sycamorehill/peer/AcceptedConnection.java
+++ b/src/main/java/sycamorehill/peer/AcceptedConnection.java
@@ -20,8 +20,9 @@
 import sycamorehill.peer.PeerMessageCodec.PeerHello;
 
 /**
- * The receiving end of one connection: sends a challenge, checks each frame and hands the
- * messages on. Whatever is wrong closes this connection only.
+ * Handles the receiving end of one connection: sends a challenge, verifies each frame and
+ * delivers the messages as events. An invalid frame closes this connection and leaves all
+ * others open.
  */
 final class AcceptedConnection extends SimpleChannelInboundHandler<ByteBuf> {
 
--- a/src/main/java/sycamorehill/peer/DialledConnection.java
+++ b/src/main/java/sycamorehill/peer/DialledConnection.java
@@ -23,8 +23,8 @@
 import sycamorehill.peer.PeerMessageCodec.PeerHello;
 
 /**
- * The sending end of one connection: answers the challenge, authenticates each frame and
- * gives the connection up when its frames are not acknowledged.
+ * Handles the sending end of one connection: answers the challenge, authenticates each
+ * frame and closes the connection if its messages are not acknowledged in time.
  */
 final class DialledConnection extends ChannelDuplexHandler {
 
--- a/src/main/java/sycamorehill/peer/FrameAuthenticator.java
+++ b/src/main/java/sycamorehill/peer/FrameAuthenticator.java
@@ -9,15 +9,15 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Puts a message authentication code in front of each frame of one connection, and checks
- * it. The code covers the connection's nonce and the frame's sequence number. It guards
- * against strangers who inject tickets or claims, and against a recorded frame that is
- * sent again, which would show as an old report or claim taken for new: another
- * connection has another nonce, and the same connection another sequence number.
+ * Computes and verifies the message authentication code in front of each frame of one
+ * connection. The code covers the connection's nonce and the frame's sequence number. It
+ * keeps senders without the shared secret from injecting tickets or claims. It also
+ * prevents replay, by which an old report or claim would be accepted as a new one: each
+ * connection has its own nonce and each frame its own sequence number.
  */
 final class FrameAuthenticator {
 
-	/** HMAC-SHA-256 cut to half its length, as RFC 4868 does. */
+	/** Length of a code: HMAC-SHA-256 truncated to half its length, as in RFC 4868. */
 	static final int CODE_BYTES = 16;
 
 	private static final String ALGORITHM = "HmacSHA256";
@@ -40,7 +40,7 @@
 			return new FrameAuthenticator(mac, nonce.clone());
 		}
 		catch (GeneralSecurityException ex) {
-			throw new IllegalStateException("every Java platform has " + ALGORITHM, ex);
+			throw new IllegalStateException("the Java platform does not provide " + ALGORITHM, ex);
 		}
 	}
 
--- a/src/main/java/sycamorehill/peer/NettyPeerTransport.java
+++ b/src/main/java/sycamorehill/peer/NettyPeerTransport.java
@@ -32,8 +32,8 @@
 import sycamorehill.model.peer.PeerMessage;
 
 /**
- * The transport over TCP. Connections carry messages one way: each node dials the nodes
- * that it sends to.
+ * Implements the transport over TCP with Netty. A connection carries messages in one
+ * direction: each node opens a connection to every node that it sends to.
  */
 public final class NettyPeerTransport implements PeerTransport {
 
@@ -74,12 +74,12 @@
 	}
 
 	/**
-	 * Starts listening.
-	 * @param self who this node is
-	 * @param bind where to listen
-	 * @param sharedSecret known to all nodes and nobody else
-	 * @param events takes messages and failures; called by traffic threads and must not
-	 * block
+	 * Creates a transport and starts listening.
+	 * @param self the identity of this node
+	 * @param bind the address to listen on
+	 * @param sharedSecret the secret that only the nodes know
+	 * @param events receives messages and send failures; called on the event loop threads
+	 * and by senders, and must not block
 	 * @return the transport
 	 */
 	public static NettyPeerTransport start(NodeIdentity self, Address bind, byte[] sharedSecret,
@@ -112,8 +112,8 @@
 	}
 
 	/**
-	 * What the transport has done so far.
-	 * @return the counters, which go on counting
+	 * Returns the counters of this transport.
+	 * @return the live counters, not a copy
 	 */
 	public PeerCounters counters() {
 		return this.context.counters();
--- a/src/main/java/sycamorehill/peer/PeerContext.java
+++ b/src/main/java/sycamorehill/peer/PeerContext.java
@@ -7,14 +7,14 @@
 import sycamorehill.model.log.LogLine;
 
 /**
- * What every connection of one transport shares.
+ * Holds what all connections of one transport share.
  *
- * @param self who this node is
- * @param secret the shared secret
- * @param codec the messages
- * @param counters counts what happens
- * @param events takes what comes from outside
- * @param log takes numbered log lines
+ * @param self the identity of this node
+ * @param secret the secret shared by all nodes
+ * @param codec encodes and decodes messages
+ * @param counters the counters of the transport
+ * @param events receives messages and send failures
+ * @param log receives log lines
  */
 record PeerContext(NodeIdentity self, byte[] secret, PeerMessageCodec codec, PeerCounters counters,
 		Consumer<PeerEvent> events, Consumer<LogLine> log) {
--- a/src/main/java/sycamorehill/peer/PeerCounters.java
+++ b/src/main/java/sycamorehill/peer/PeerCounters.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts what the transport does, for the metrics.
+ * Counts frames, bytes and failures of the transport for the metrics.
  */
 public final class PeerCounters {
 
@@ -29,7 +29,7 @@
 	}
 
 	/**
-	 * Frames sent.
+	 * Returns the number of frames sent.
 	 * @return the count
 	 */
 	public long sentFrames() {
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * Bytes sent, without those of TCP itself.
+	 * Returns the number of bytes sent, excluding TCP overhead.
 	 * @return the count
 	 */
 	public long sentBytes() {
@@ -45,7 +45,7 @@
 	}
 
 	/**
-	 * Frames received with a right code.
+	 * Returns the number of frames received with a valid authentication code.
 	 * @return the count
 	 */
 	public long receivedFrames() {
@@ -53,7 +53,7 @@
 	}
 
 	/**
-	 * Bytes received in such frames.
+	 * Returns the number of bytes received in frames with a valid authentication code.
 	 * @return the count
 	 */
 	public long receivedBytes() {
@@ -61,7 +61,7 @@
 	}
 
 	/**
-	 * Messages passed over because this build does not know their type.
+	 * Returns the number of messages ignored because this build does not know their type.
 	 * @return the count
 	 */
 	public long unknownTypes() {
@@ -69,7 +69,8 @@
 	}
 
 	/**
-	 * Connections closed because of what came over them.
+	 * Returns the number of connections closed because of invalid input, missing
+	 * authentication or too many unauthenticated connections.
 	 * @return the count
 	 */
 	public long refusedConnections() {
@@ -77,7 +78,7 @@
 	}
 
 	/**
-	 * Messages that could not be sent.
+	 * Returns the number of messages that could not be sent.
 	 * @return the count
 	 */
 	public long failedSends() {
--- a/src/main/java/sycamorehill/peer/PeerFrameDecoder.java
+++ b/src/main/java/sycamorehill/peer/PeerFrameDecoder.java
@@ -7,7 +7,8 @@
 import io.netty.handler.codec.TooLongFrameException;
 
 /**
- * Cuts the stream into frames; the bound is low until the other end has proven itself.
+ * Splits the byte stream into frames. Until the other end has authenticated itself, only
+ * small frames are allowed.
  */
 final class PeerFrameDecoder extends LengthFieldBasedFrameDecoder {
 
--- a/src/main/java/sycamorehill/peer/PeerLink.java
+++ b/src/main/java/sycamorehill/peer/PeerLink.java
@@ -23,16 +23,16 @@
 import sycamorehill.model.peer.PeerMessage;
 
 /**
- * Messages to one node: connects when there is something to send, keeps the connection,
- * and waits longer after each failure. Everything but {@link #send} runs on one event
- * loop.
+ * Sends messages to one node. Connects when there is a message to send, keeps the
+ * connection open, and backs off exponentially after failures. Everything but
+ * {@link #send} runs on one event loop.
  */
 final class PeerLink {
 
-	/** Messages to one node that have not been written yet. */
+	/** Bounds the messages to one node that have not been written yet. */
 	static final int MAXIMUM_PENDING_MESSAGES = 1024;
 
-	/** Their bytes once encoded. */
+	/** Bounds the encoded size of the messages that have not been written yet. */
 	static final int MAXIMUM_PENDING_BYTES = 2 * PeerProtocol.MAXIMUM_FRAME_BYTES;
 
 	private static final Duration MINIMUM_BACKOFF = Duration.ofMillis(100);
@@ -80,7 +80,7 @@
 	CompletableFuture<Void> send(NodeIdentity to, PeerMessage message) {
 		PendingMessage pending = new PendingMessage(message, new CompletableFuture<>());
 		if (this.pendingMessages.incrementAndGet() > MAXIMUM_PENDING_MESSAGES) {
-			fail(pending, "too many messages wait for the node");
+			fail(pending, "too many pending messages for the node");
 			return pending.result;
 		}
 		try {
@@ -108,7 +108,7 @@
 			return;
 		}
 		if (this.pendingBytes + encoded.length > MAXIMUM_PENDING_BYTES) {
-			fail(pending, "too many bytes wait for the node");
+			fail(pending, "too many pending bytes for the node");
 			return;
 		}
 		pending.encoded = encoded;
@@ -121,14 +121,13 @@
 		connect();
 	}
 
-	// A restarted node may listen elsewhere; its new address shows in its identity.
+	// A restarted node may listen on another address, which is part of its identity.
 	private void updatePeer(NodeIdentity to) {
 		boolean addressChanged = !to.peerAddress().equals(this.peer.peerAddress());
 		this.peer = to;
 		if (addressChanged) {
-			// The old connection is let go of before it is closed, or its end would count
-			// as a
-			// failure of the new address.
+			// Clear the channel before closing it, or the close would count as a failure
+			// of the new address.
 			Channel oldChannel = this.channel;
 			this.channel = null;
 			this.open = false;
@@ -163,7 +162,7 @@
 			return;
 		}
 		if (System.nanoTime() - this.nextConnectNanos < 0) {
-			failUnsentMessages("the node could not be reached a moment ago");
+			failUnsentMessages("not reconnecting to the node before the backoff has elapsed");
 			return;
 		}
 		Address address = this.peer.peerAddress();
@@ -187,8 +186,9 @@
 		}
 	}
 
-	// Only a frame that the other end has read proves the connection: a node with another
-	// secret accepts it, closes it at the first frame and would be dialled without end.
+	// Resets the backoff only when the other end has acknowledged a message. A node with
+	// another secret accepts the connection and closes it at the first frame; if an open
+	// connection were enough, this node would reconnect without any backoff.
 	void handleAcknowledgement(Channel dialled) {
 		if (dialled == this.channel) {
 			this.confirmed = true;
@@ -205,7 +205,7 @@
 		if (!this.confirmed) {
 			backOff();
 		}
-		failUnsentMessages("the node could not be reached");
+		failUnsentMessages("the connection to the node failed or was closed");
 	}
 
 	private void backOff() {
--- a/src/main/java/sycamorehill/peer/PeerMessageCodec.java
+++ b/src/main/java/sycamorehill/peer/PeerMessageCodec.java
@@ -43,9 +43,9 @@
 import sycamorehill.model.peer.VmSightsSent;
 
 /**
- * Turns messages into bytes and back. Each type of message has a name that never changes
- * its meaning; a name that this build does not know is passed over, so that nodes of two
- * versions can talk.
+ * Encodes and decodes messages. Each message type has a name on the wire whose meaning
+ * never changes. Messages with an unknown name are ignored, so that nodes of different
+ * versions can communicate.
  */
 public final class PeerMessageCodec {
 
@@ -65,7 +65,7 @@
 	}
 
 	/**
-	 * Creates a codec that knows no message yet.
+	 * Creates a codec without any message types.
 	 * @return the codec
 	 */
 	public static PeerMessageCodec empty() {
@@ -73,8 +73,8 @@
 	}
 
 	/**
-	 * Creates the codec of this build. Every message of {@code sycamorehill.model.peer}
-	 * has a line here.
+	 * Creates the codec of this build, in which every message of
+	 * {@code sycamorehill.model.peer} must be registered.
 	 * @return the codec
 	 */
 	public static PeerMessageCodec standard() {
@@ -110,34 +110,36 @@
 	}
 
 	/**
-	 * Adds a type of message.
-	 * @param name its name on the wire
-	 * @param type its class
+	 * Registers a message type.
+	 * @param name the name of the type on the wire
+	 * @param type the class of the message
 	 * @return this codec
 	 */
 	public PeerMessageCodec register(String name, Class<? extends PeerMessage> type) {
 		if (this.readersByName.put(name, this.mapper.readerFor(type)) != null
 				|| this.namesByType.put(type, name) != null) {
-			throw new IllegalArgumentException("registered twice: " + name);
+			throw new IllegalArgumentException("message type registered twice: " + name);
 		}
 		return this;
 	}
 
 	/**
-	 * The bytes of a message on the wire with the frame around it, without those of TCP.
+	 * Returns the size of a message on the wire, including its frame but excluding TCP
+	 * overhead.
 	 * @param message the message
-	 * @return the length
-	 * @throws JsonProcessingException if the message can't be written
+	 * @return the size in bytes
+	 * @throws JsonProcessingException if the message can't be encoded
 	 */
 	public int frameLength(PeerMessage message) throws JsonProcessingException {
 		return PeerProtocol.LENGTH_BYTES + FrameAuthenticator.CODE_BYTES + write(message).length;
 	}
 
 	/**
-	 * The message as its receiver reads it.
-	 * @param message the message as its sender made it
-	 * @return the message after writing and reading
-	 * @throws IOException if it can't be read
+	 * Encodes a message and decodes it again, which gives the message as its receiver
+	 * sees it.
+	 * @param message the message of the sender
+	 * @return the decoded message
+	 * @throws IOException if the message can't be encoded or decoded
 	 */
 	public PeerMessage roundTrip(PeerMessage message) throws IOException {
 		return read(write(message), 0).orElseThrow();
@@ -146,7 +148,7 @@
 	byte[] write(PeerMessage message) throws JsonProcessingException {
 		String name = this.namesByType.get(message.getClass());
 		if (name == null) {
-			throw new IllegalArgumentException("not registered: " + message.getClass());
+			throw new IllegalArgumentException("message type not registered: " + message.getClass());
 		}
 		return this.writer.writeValueAsBytes(new PeerEnvelope(name, this.writer.writeValueAsBytes(message)));
 	}
@@ -169,23 +171,24 @@
 	}
 
 	/**
-	 * A frame after the first: the body is kept as bytes, so that an unknown type costs
-	 * no parsing.
+	 * Contains the message of a frame after the first one. The body is nested as bytes,
+	 * so that a message of unknown type is not parsed.
 	 *
-	 * @param type name of the message's type
-	 * @param body the message
+	 * @param type the name of the message type on the wire
+	 * @param body the encoded message
 	 */
 	record PeerEnvelope(String type, byte[] body) {
 	}
 
 	/**
-	 * The first frame of a connection; what it says holds for all later ones, so that
-	 * they need not repeat it.
+	 * Contains the first frame of a connection. It applies to the whole connection, so
+	 * that later frames need not repeat the sender.
 	 *
-	 * @param version protocol version of the sender
-	 * @param sender who sends
-	 * @param recipient whom the sender means: a challenge that a stranger passes on from
-	 * another node is of no use to it
+	 * @param version the protocol version of the sender
+	 * @param sender the identity of the sender
+	 * @param recipient the node that the sender wants to reach; a node refuses a
+	 * connection meant for another one, so that nobody can relay the challenge of one
+	 * node to obtain an answer meant for another
 	 */
 	record PeerHello(int version, NodeIdentity sender, NodeName recipient) {
 	}
--- a/src/main/java/sycamorehill/peer/PeerProtocol.java
+++ b/src/main/java/sycamorehill/peer/PeerProtocol.java
@@ -3,44 +3,48 @@
 import java.time.Duration;
 
 /**
- * Numbers that both ends of a connection agree on.
+ * Defines the constants of the protocol between nodes.
  */
 final class PeerProtocol {
 
-	/** The version that this build speaks. */
+	/** Protocol version of this build. */
 	static final int VERSION = 1;
 
-	/** The oldest version that this build still understands. */
+	/** Lowest protocol version that this build accepts. */
 	static final int MINIMUM_VERSION = 1;
 
-	/** The largest frame of a node that has proven that it knows the secret. */
+	/** Bounds a frame on an authenticated connection. */
 	static final int MAXIMUM_FRAME_BYTES = 1024 * 1024;
 
 	/**
-	 * The largest frame of a stranger: connections that never prove anything must not
-	 * make this node hold a megabyte each.
+	 * Bounds a frame on a connection that is not authenticated yet. Such a connection
+	 * must not be able to make this node buffer a megabyte.
 	 */
 	static final int MAXIMUM_UNAUTHENTICATED_FRAME_BYTES = 4096;
 
-	/** Bytes of the length in front of each frame. */
+	/** Size of the length field in front of each frame. */
 	static final int LENGTH_BYTES = 4;
 
-	/** Bytes of the random challenge that the accepting node sends first. */
+	/** Size of the random challenge that the accepting node sends first. */
 	static final int NONCE_BYTES = 16;
 
-	/** Accepted connections that have not proven anything yet. */
+	/** Bounds the accepted connections that are not authenticated yet. */
 	static final int MAXIMUM_UNAUTHENTICATED_CONNECTIONS = 128;
 
-	/** How long a stranger may take to prove itself. */
+	/** Bounds the time until a new connection is authenticated. */
 	static final Duration AUTHENTICATION_TIMEOUT = Duration.ofSeconds(5);
 
-	/** How often the accepting node says how many frames it has read. */
+	/**
+	 * Delay after which the accepting node acknowledges received messages; all messages
+	 * read in the meantime share one acknowledgement.
+	 */
 	static final Duration ACKNOWLEDGE_INTERVAL = Duration.ofSeconds(2);
 
 	/**
-	 * After this time without an acknowledgement the sender gives the connection up. A
-	 * network that drops everything gives no error to the writer for minutes, and after
-	 * it heals TCP waits for its own long backoff: messages would vanish meanwhile.
+	 * Time without an acknowledgement after which the sender closes the connection. If
+	 * the network drops all packets, the writer sees no error for minutes, and once the
+	 * network works again, TCP still waits for its own long backoff. Messages would be
+	 * lost until then.
 	 */
 	static final Duration ACKNOWLEDGE_TIMEOUT = Duration.ofSeconds(6);
 
--- a/src/main/java/sycamorehill/peer/PeerSendException.java
+++ b/src/main/java/sycamorehill/peer/PeerSendException.java
@@ -1,7 +1,7 @@
 package sycamorehill.peer;
 
 /**
- * A message could not be sent.
+ * Thrown when a message could not be sent to another node.
  */
 public final class PeerSendException extends Exception {
 
--- a/src/main/java/sycamorehill/peer/package-info.java
+++ b/src/main/java/sycamorehill/peer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Transport between our own processes: TCP, length-framed MessagePack, authenticated by a
- * shared secret.
+ * Transport of messages between nodes: length-prefixed MessagePack frames over TCP,
+ * authenticated with a shared secret.
  */
 package sycamorehill.peer;
--- a/src/test/java/sycamorehill/peer/NettyPeerTransportTests.java
+++ b/src/test/java/sycamorehill/peer/NettyPeerTransportTests.java
@@ -54,8 +54,10 @@
 
 	@Test
 	void messagesOfNewerVersionAreRead() throws Exception {
-		// A rolling upgrade: the new node adds a field and a type of message. The old one
-		// must go on hearing what it knows, or its duties stop until all are upgraded.
+		// During a rolling upgrade, a new node sends an additional field and a new
+		// message
+		// type. If the old node rejected the connection, it could not do its part until
+		// all nodes are upgraded.
 		PeerMessageCodec later = PeerMessageCodec.empty()
 			.register("note", LaterNote.class)
 			.register("novelty", UnknownMessage.class);
@@ -69,8 +71,8 @@
 
 	@Test
 	void connectionWithWrongSecretIsRefused() throws Exception {
-		// Somebody in the network starts a node of his own and reports a target as gone.
-		// Nothing that he sends may become an event.
+		// A node that doesn't know the secret reports a target as gone. Nothing that it
+		// sends may become an event.
 		try (PeerNode unauthenticated = PeerNode.start("n1", "guessed", PeerNode.codec());
 				PeerNode node = PeerNode.start("n2")) {
 			unauthenticated.transport.send(node.identity(), Note.of("false report"));
@@ -81,10 +83,10 @@
 
 	@Test
 	void replayedConnectionIsRefused() throws Exception {
-		// Somebody records what a node sent and plays it to the receiver an hour later:
-		// an
-		// old claim or report would be taken for a new one. The receiver's challenge
-		// differs, so the first frame already has a wrong code.
+		// An attacker replays a recorded connection, by which an old claim or report
+		// would
+		// be accepted as a new one. The receiver sends another challenge, so the code of
+		// the first frame is already wrong.
 		try (PeerNode one = PeerNode.start("n1");
 				PeerNode two = PeerNode.start("n2");
 				RecordingProxy recorder = new RecordingProxy(two.transport.listenAddress())) {
@@ -100,9 +102,8 @@
 
 	@Test
 	void connectionMeantForAnotherNodeIsRefused() throws Exception {
-		// The address of n3 leads to n2, by a mistake or a stranger: what was meant for
-		// n3
-		// must not count as said to n2.
+		// The address of n3 leads to n2, by mistake or by an attack. n2 must not accept
+		// messages meant for n3.
 		try (PeerNode one = PeerNode.start("n1"); PeerNode two = PeerNode.start("n2")) {
 			one.transport.send(PeerNode.identity("n3", two.transport.listenAddress()), Note.of("for n3"));
 			Assertions.assertThat(two.nextLog().detail()).contains("it means the node n3");
@@ -156,9 +157,8 @@
 
 	@Test
 	void queueForSilentNodeIsBounded() throws Exception {
-		// A paused node accepts connections in its kernel and says nothing. Messages to
-		// it
-		// must not pile up in the sender's 64 MB.
+		// The kernel of a paused node still accepts connections, but the node sends
+		// nothing. Pending messages must not fill the sender's 64 MB of memory.
 		try (PeerNode one = PeerNode.start("n1"); ServerSocket silent = listen()) {
 			Address address = Address.of("127.0.0.1", silent.getLocalPort());
 			List<CompletableFuture<Void>> sent = new ArrayList<>();
@@ -173,8 +173,8 @@
 
 	@Test
 	void restartedNodeReceivesMessagesAtItsNewAddress() throws Exception {
-		// A node is replaced while its old process still hangs with its connections open.
-		// What is sent to the new one must not go on to the old one.
+		// A node is replaced while its old process hangs and keeps its connections open.
+		// Messages to the new process must not go to the old one.
 		try (PeerNode one = PeerNode.start("n1");
 				PeerNode before = PeerNode.start("n2");
 				PeerNode after = PeerNode.start("n2")) {
--- a/src/test/java/sycamorehill/peer/PeerNode.java
+++ b/src/test/java/sycamorehill/peer/PeerNode.java
@@ -16,7 +16,7 @@
 import sycamorehill.model.peer.PeerMessage;
 
 /**
- * A node's transport on a free port, with what it heard and logged.
+ * Runs the transport of a node on a free port and records its events and log lines.
  */
 final class PeerNode implements AutoCloseable {
 
@@ -75,7 +75,7 @@
 	}
 
 	/**
-	 * A message of the tests.
+	 * A message type of the tests.
 	 *
 	 * @param text some text
 	 * @param numbers some numbers
@@ -89,17 +89,17 @@
 	}
 
 	/**
-	 * The same message as a later version writes it.
+	 * The message type {@link Note} in a later version.
 	 *
 	 * @param text some text
 	 * @param numbers some numbers
-	 * @param colour a field that the earlier version does not know
+	 * @param colour a field that the earlier version doesn't know
 	 */
 	record LaterNote(String text, List<Long> numbers, String colour) implements PeerMessage {
 	}
 
 	/**
-	 * A message that an earlier version does not know.
+	 * A message type that an earlier version doesn't know.
 	 *
 	 * @param text some text
 	 */
--- a/src/test/java/sycamorehill/peer/RecordingProxy.java
+++ b/src/test/java/sycamorehill/peer/RecordingProxy.java
@@ -11,7 +11,7 @@
 import sycamorehill.model.identity.Address;
 
 /**
- * Passes one connection on and records what the dialling end sends.
+ * Relays one connection and records what the connecting end sends.
  */
 final class RecordingProxy implements AutoCloseable {
 
@@ -67,7 +67,7 @@
 				work.run();
 			}
 			catch (IOException ex) {
-				// the connection is closed: nothing is left to pass on
+				// the connection is closed: nothing is left to relay
 			}
 		});
 		thread.setDaemon(true);
