--- a/src/main/java/sycamorehill/http/BodyReader.java
+++ b/src/main/java/sycamorehill/http/BodyReader.java
@@ -8,7 +8,7 @@
 import io.servicetalk.concurrent.api.Single;
 
 /**
- * Reads bodies whole, with a bound, so that no sender can fill the memory.
+ * Reads complete bodies up to a maximum size, so that no sender can exhaust the memory.
  */
 public final class BodyReader {
 
@@ -17,10 +17,10 @@
 
 	/**
 	 * Reads a body as UTF-8 text.
-	 * @param payload the body as it arrives
-	 * @param maximumBytes the bound; a larger body fails with
+	 * @param payload the chunks of the body
+	 * @param maximumBytes the maximum size; a larger body fails with
 	 * {@link BodyTooLargeException}
-	 * @return the text
+	 * @return the text of the complete body
 	 */
 	public static Single<String> readText(Publisher<Buffer> payload, int maximumBytes) {
 		return payload
--- a/src/main/java/sycamorehill/http/BodyTooLargeException.java
+++ b/src/main/java/sycamorehill/http/BodyTooLargeException.java
@@ -1,7 +1,7 @@
 package sycamorehill.http;
 
 /**
- * A body is larger than its reader is willing to hold.
+ * Thrown when a body or a line is larger than its reader accepts.
  */
 public final class BodyTooLargeException extends RuntimeException {
 
@@ -12,9 +12,9 @@
 	}
 
 	/**
-	 * Creates the failure.
-	 * @param maximumBytes the bound that was passed
-	 * @return the failure
+	 * Creates the exception.
+	 * @param maximumBytes the maximum size that was exceeded
+	 * @return the exception
 	 */
 	public static BodyTooLargeException exceeding(int maximumBytes) {
 		return new BodyTooLargeException("the body is larger than " + maximumBytes + " bytes");
--- a/src/main/java/sycamorehill/http/BufferedHttpClient.java
+++ b/src/main/java/sycamorehill/http/BufferedHttpClient.java
@@ -17,8 +17,9 @@
 import io.servicetalk.transport.api.RetryableException;
 
 /**
- * Makes calls whose answers are held whole. A failure before the first byte was written
- * is told apart from one after it, for only the first certainly ran nothing.
+ * Makes HTTP calls and collects each answer in memory. It distinguishes failures before
+ * the first byte of the request was written from later ones, because only the former
+ * guarantee that the server didn't execute the request.
  */
 public final class BufferedHttpClient {
 
@@ -33,9 +34,9 @@
 	}
 
 	/**
-	 * Creates a caller.
-	 * @param pool the clients to use
-	 * @return the caller
+	 * Creates a client.
+	 * @param pool the pool of clients to use
+	 * @return the client
 	 */
 	public static BufferedHttpClient create(HttpClientPool pool) {
 		return new BufferedHttpClient(pool);
@@ -44,7 +45,8 @@
 	/**
 	 * Makes a call.
 	 * @param call the call
-	 * @return the whole answer; fails with {@link NotSentException} if nothing was sent
+	 * @return a future with the complete answer, which fails with
+	 * {@link NotSentException} if nothing was sent
 	 */
 	public CompletableFuture<HttpAnswer> call(HttpCall call) {
 		StreamingHttpClient client = this.pool.client(call.address());
@@ -57,8 +59,8 @@
 	}
 
 	/**
-	 * Builds the library's request.
-	 * @param client the client that will send it
+	 * Creates the ServiceTalk request for a call.
+	 * @param client the client that will send the request
 	 * @param call the call
 	 * @return the request
 	 */
@@ -75,9 +77,10 @@
 	}
 
 	/**
-	 * Sorts a failure.
-	 * @param failure what the library reported
-	 * @return {@link NotSentException} if no byte was written, else the failure itself
+	 * Classifies a failure by whether the request was sent.
+	 * @param failure the failure that ServiceTalk reported
+	 * @return a {@link NotSentException} if no byte was written, otherwise the failure
+	 * itself
 	 */
 	public static Throwable classifyFailure(Throwable failure) {
 		boolean notSent = failure instanceof ConnectException || failure instanceof RetryableException;
--- a/src/main/java/sycamorehill/http/EventStreamReader.java
+++ b/src/main/java/sycamorehill/http/EventStreamReader.java
@@ -8,8 +8,8 @@
 import io.servicetalk.buffer.api.Buffer;
 
 /**
- * Cuts a server-sent event stream into its data lines. Not thread-safe: one stream, one
- * reader.
+ * Splits a stream of server-sent events into its data lines. Not thread-safe; each stream
+ * needs its own reader.
  */
 public final class EventStreamReader {
 
@@ -23,7 +23,7 @@
 	}
 
 	/**
-	 * Creates a reader at the start of a stream.
+	 * Creates a reader for a new stream.
 	 * @return the reader
 	 */
 	public static EventStreamReader create() {
@@ -31,9 +31,9 @@
 	}
 
 	/**
-	 * Takes the next bytes in.
-	 * @param buffer the bytes as they arrived, cut anywhere
-	 * @return the data of every line that is now whole
+	 * Reads the next bytes of the stream.
+	 * @param buffer the received bytes, which may end in the middle of a line
+	 * @return the data of every line completed by these bytes
 	 */
 	public List<String> read(Buffer buffer) {
 		List<String> data = new ArrayList<>();
--- a/src/main/java/sycamorehill/http/HttpAnswer.java
+++ b/src/main/java/sycamorehill/http/HttpAnswer.java
@@ -4,18 +4,18 @@
 import java.util.Optional;
 
 /**
- * A whole answer.
+ * Holds a complete HTTP answer.
  *
- * @param status the HTTP status
+ * @param status the HTTP status code
  * @param headers the headers
  * @param body the body as text
  */
 public record HttpAnswer(int status, List<HttpHeader> headers, String body) {
 
 	/**
-	 * Finds a header.
-	 * @param name its name, in any case
-	 * @return the first value
+	 * Returns the first value of a header.
+	 * @param name the name of the header, case-insensitive
+	 * @return the value, empty if there is no such header
 	 */
 	public Optional<String> header(String name) {
 		return this.headers.stream()
--- a/src/main/java/sycamorehill/http/HttpCall.java
+++ b/src/main/java/sycamorehill/http/HttpCall.java
@@ -7,24 +7,24 @@
 import sycamorehill.model.identity.Address;
 
 /**
- * One call whose answer is small enough to be held whole.
+ * Describes an HTTP call whose answer is small enough to be held in memory.
  *
- * @param address whom to call
+ * @param address the address of the server
  * @param method the HTTP method
- * @param target path and query
+ * @param target the path and query
  * @param headers the headers
  * @param body the body, empty for none
- * @param timeout the longest wait for the whole answer
+ * @param timeout the maximum time until the answer is complete
  */
 public record HttpCall(Address address, String method, String target, List<HttpHeader> headers, Optional<String> body,
 		Duration timeout) {
 
 	/**
-	 * A call without a body.
-	 * @param address whom to call
+	 * Creates a call without headers and body.
+	 * @param address the address of the server
 	 * @param method the HTTP method
-	 * @param target path and query
-	 * @param timeout the longest wait for the whole answer
+	 * @param target the path and query
+	 * @param timeout the maximum time until the answer is complete
 	 * @return the call
 	 */
 	public static HttpCall of(Address address, String method, String target, Duration timeout) {
@@ -32,10 +32,10 @@
 	}
 
 	/**
-	 * The call with a body.
+	 * Returns a copy of this call with a body.
 	 * @param text the body
-	 * @param contentType its media type
-	 * @return the changed call
+	 * @param contentType the media type of the body
+	 * @return the copy
 	 */
 	public HttpCall withBody(String text, String contentType) {
 		return new HttpCall(this.address, this.method, this.target,
@@ -44,10 +44,10 @@
 	}
 
 	/**
-	 * The call with one more header.
-	 * @param name the header's name
-	 * @param value its value
-	 * @return the changed call
+	 * Returns a copy of this call with an additional header.
+	 * @param name the name of the header
+	 * @param value the value of the header
+	 * @return the copy
 	 */
 	public HttpCall withHeader(String name, String value) {
 		return new HttpCall(this.address, this.method, this.target,
--- a/src/main/java/sycamorehill/http/HttpClientPool.java
+++ b/src/main/java/sycamorehill/http/HttpClientPool.java
@@ -17,9 +17,10 @@
 import sycamorehill.model.identity.Address;
 
 /**
- * One HTTP client for each address. The library's own retries are off, because a retry
- * below the decisions could run an order twice; its health checks are off, because which
- * target gets work is decided elsewhere.
+ * Holds one HTTP client for each address. ServiceTalk's own retries are disabled, because
+ * a retry that the load balancer doesn't decide on could execute an order twice. Its
+ * health checks are disabled, because other parts of the load balancer select the
+ * targets.
  */
 public final class HttpClientPool implements AutoCloseable {
 
@@ -37,7 +38,7 @@
 
 	/**
 	 * Creates an empty pool.
-	 * @param connectTimeout the longest wait for a connection
+	 * @param connectTimeout the maximum time to establish a connection
 	 * @return the pool
 	 */
 	public static HttpClientPool create(Duration connectTimeout) {
@@ -45,9 +46,9 @@
 	}
 
 	/**
-	 * The client of an address.
+	 * Returns the client of an address and creates it if there is none.
 	 * @param address the address
-	 * @return the client, made when it is first asked for
+	 * @return the client
 	 */
 	public StreamingHttpClient client(Address address) {
 		if (this.clients.size() > MAXIMUM_CLIENTS) {
--- a/src/main/java/sycamorehill/http/HttpHeader.java
+++ b/src/main/java/sycamorehill/http/HttpHeader.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * One header of a request or an answer.
+ * Holds one header of a request or an answer.
  *
- * @param name its name
- * @param value its value
+ * @param name the name of the header
+ * @param value the value of the header
  */
 public record HttpHeader(String name, String value) {
 
 	/**
 	 * Creates a header.
-	 * @param name its name
-	 * @param value its value
+	 * @param name the name of the header
+	 * @param value the value of the header
 	 * @return the header
 	 */
 	public static HttpHeader of(String name, String value) {
--- a/src/main/java/sycamorehill/http/NotSentException.java
+++ b/src/main/java/sycamorehill/http/NotSentException.java
@@ -1,7 +1,8 @@
 package sycamorehill.http;
 
 /**
- * No byte of a request was handed to its receiver, so that it certainly did not run.
+ * Thrown when no byte of a request was sent, so that the server certainly didn't execute
+ * it.
  */
 public final class NotSentException extends RuntimeException {
 
@@ -12,9 +13,9 @@
 	}
 
 	/**
-	 * Creates the failure.
-	 * @param cause what kept the request from being sent
-	 * @return the failure
+	 * Creates the exception.
+	 * @param cause the failure that prevented the request from being sent
+	 * @return the exception
 	 */
 	public static NotSentException of(Throwable cause) {
 		return new NotSentException(String.valueOf(cause.getMessage()), cause);
--- a/src/main/java/sycamorehill/http/package-info.java
+++ b/src/main/java/sycamorehill/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP by library: clients without retries of their own, bounded bodies, server-sent
- * events.
+ * HTTP clients without automatic retries, and readers for bodies of bounded size and
+ * server-sent events.
  */
 package sycamorehill.http;
--- a/src/main/java/sycamorehill/json/IdentifierModule.java
+++ b/src/main/java/sycamorehill/json/IdentifierModule.java
@@ -32,7 +32,7 @@
 import sycamorehill.model.ticket.ItemKey;
 
 /**
- * Writes identifiers as plain strings, also where they are the keys of a map.
+ * Serializes identifiers as plain strings, as values and as keys of a map.
  */
 final class IdentifierModule extends SimpleModule {
 
--- a/src/main/java/sycamorehill/json/IdentifierText.java
+++ b/src/main/java/sycamorehill/json/IdentifierText.java
@@ -13,7 +13,7 @@
 import sycamorehill.model.ticket.ItemKind;
 
 /**
- * The text forms of identifiers that have more than one part.
+ * Formats and parses the identifiers that consist of several parts.
  */
 final class IdentifierText {
 
--- a/src/main/java/sycamorehill/json/ModelJson.java
+++ b/src/main/java/sycamorehill/json/ModelJson.java
@@ -20,10 +20,10 @@
 import sycamorehill.model.ticket.WorkspaceItem;
 
 /**
- * Mappers for the model's records, which carry no annotations of their own. Identifiers
- * are plain strings, the subtypes of a sealed interface are told apart by the property
- * {@code type}, times are ISO text, and unknown properties are passed over, so that an
- * old node can read what a new one writes.
+ * Creates mappers for the records of the model, which have no annotations. Identifiers
+ * are plain strings, the property {@code type} distinguishes the subtypes of a sealed
+ * interface, and times are ISO 8601 text. Unknown properties are ignored, so that an old
+ * node can read what a new one writes.
  */
 public final class ModelJson {
 
--- a/src/main/java/sycamorehill/json/package-info.java
+++ b/src/main/java/sycamorehill/json/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The one mapping of the model to JSON and MessagePack, shared by all edges.
+ * Mapping of the model to JSON and MessagePack, shared by all parts that communicate with
+ * other processes.
  */
 package sycamorehill.json;
