--- a/src/main/java/sycamorehill/peer/PeerMessageCodec.java
+++ b/src/main/java/sycamorehill/peer/PeerMessageCodec.java
@@ -186,9 +186,9 @@
 	 *
 	 * @param version the protocol version of the sender
 	 * @param sender the identity of the sender
-	 * @param recipient the node that the sender wants to reach; a node refuses a
-	 * connection meant for another one, so that nobody can relay the challenge of one
-	 * node to obtain an answer meant for another
+	 * @param recipient the node that the sender wants to reach; a node refuses
+	 * connections meant for another node, which keeps an attacker from relaying this
+	 * node's challenge to a sender that wants to reach another one
 	 */
 	record PeerHello(int version, NodeIdentity sender, NodeName recipient) {
 	}
--- a/src/test/java/sycamorehill/peer/NettyPeerTransportTests.java
+++ b/src/test/java/sycamorehill/peer/NettyPeerTransportTests.java
@@ -56,8 +56,8 @@
 	void messagesOfNewerVersionAreRead() throws Exception {
 		// During a rolling upgrade, a new node sends an additional field and a new
 		// message
-		// type. If the old node rejected the connection, it could not do its part until
-		// all nodes are upgraded.
+		// type. If the old node no longer received the messages that it knows, its duties
+		// would stop until all nodes are upgraded.
 		PeerMessageCodec later = PeerMessageCodec.empty()
 			.register("note", LaterNote.class)
 			.register("novelty", UnknownMessage.class);
