--- a/src/main/java/sycamorehill/logic/membership/Liveness.java
+++ b/src/main/java/sycamorehill/logic/membership/Liveness.java
@@ -19,8 +19,8 @@
 import sycamorehill.model.peer.MembersChanged;
 
 /**
- * Decides from the sightings who is alive, drops who has been silent for too long, and
- * pushes changes.
+ * Decides which nodes are live, removes nodes that have been silent for too long, and
+ * pushes the changes to other nodes.
  */
 final class Liveness {
 
@@ -28,7 +28,7 @@
 
 	private static final Duration LOST_NODE_RETENTION = Duration.ofMinutes(10);
 
-	private static final Duration MAXIMUM_REFRESH_INTERVAL = Duration.ofSeconds(10);
+	private static final Duration MAXIMUM_RECOMPUTE_INTERVAL = Duration.ofSeconds(10);
 
 	private static final long STOPPING_FACTOR = 31;
 
@@ -52,42 +52,42 @@
 		}
 		removeSilentDataCentres(step);
 		removeSilentContacts(step);
-		refreshIfChanged(step);
+		recomputeIfChanged(step);
 		if (step.isDelegate()) {
 			pushChanges(step);
 			RolloutQueryHandler.recordProgress(step);
 		}
 	}
 
-	// Drawing anew costs as much as there are nodes: once a second it would be the
-	// largest part of this reducer's processor time.
-	private static void refreshIfChanged(MembershipStep step) {
+	// Recomputing the live nodes takes time proportional to their number. Doing so every
+	// second would take most of the processor time of this reducer.
+	private static void recomputeIfChanged(MembershipStep step) {
 		MembershipTimers timers = step.state().timers();
-		long from = signature(step);
-		if (from != timers.drawnFrom() || !timers.drawnAt().plus(MAXIMUM_REFRESH_INTERVAL).isAfter(step.now())) {
-			refresh(step);
-			step.set(step.state().withTimers(step.state().timers().withLiveNodesRefreshed(from, step.now())));
+		long hash = hashOfObservations(step);
+		if (hash != timers.drawnFrom() || !timers.drawnAt().plus(MAXIMUM_RECOMPUTE_INTERVAL).isAfter(step.now())) {
+			recomputeLiveNodes(step);
+			step.set(step.state().withTimers(step.state().timers().withLiveNodesRecomputed(hash, step.now())));
 		}
 	}
 
-	private static long signature(MembershipStep step) {
-		long signature = step.state().stopping() ? 1 : 0;
+	private static long hashOfObservations(MembershipStep step) {
+		long hash = step.state().stopping() ? 1 : 0;
 		for (DataCentreView view : step.observations().views().values()) {
-			signature ^= view.hash();
+			hash ^= view.hash();
 		}
 		for (DirectContact contact : step.observations().direct().values()) {
 			if (!Heartbeats.isSilent(step, contact, step.now())) {
-				signature += contact.identity().incarnation().hashCode() * (contact.stopping() ? STOPPING_FACTOR : 1L);
+				hash += contact.identity().incarnation().hashCode() * (contact.stopping() ? STOPPING_FACTOR : 1L);
 			}
 		}
-		return signature;
+		return hash;
 	}
 
 	/**
-	 * Draws the live nodes anew and sees whether this node is a delegate.
-	 * @param step the step under way
+	 * Recomputes the live nodes and whether this node is a delegate.
+	 * @param step the current step
 	 */
-	static void refresh(MembershipStep step) {
+	static void recomputeLiveNodes(MembershipStep step) {
 		PMap<NodeName, LiveNode> nodes = TreePMap.empty();
 		for (DataCentreView view : step.observations().views().values()) {
 			for (Map.Entry<NodeName, MemberEntry> entry : view.members().entrySet()) {
@@ -114,8 +114,8 @@
 			.of(step.state().liveNodes().notStoppingIn(step.ownDataCentre()), step.policy().delegates())
 			.stream()
 			.anyMatch((node) -> node.identity().equals(step.self()));
-		// A stopping delegate without a successor goes on, or nobody would hear its data
-		// centre.
+		// A stopping delegate without a successor keeps its role. Otherwise the data
+		// centre would have no delegate to receive its heartbeats.
 		boolean lastDelegate = step.state().stopping() && step.isDelegate()
 				&& step.state().liveNodes().notStoppingIn(step.ownDataCentre()).isEmpty();
 		if ((selected || lastDelegate) == step.isDelegate()) {
@@ -174,8 +174,9 @@
 					(report) -> report.heardAt().plus(timeout).isAfter(step.now()) && !report.unheard().contains(name));
 	}
 
-	// A node that hears no delegate any more turns to those that come next, and in
-	// the end counts on nobody that it doesn't hear itself.
+	// A node that receives no confirmations from its delegates removes them, so that the
+	// nodes with the next highest hashes become its delegates. After several attempts it
+	// removes all members that it does not receive heartbeats from itself.
 	private static void skipSilentDelegates(MembershipStep step) {
 		DataCentreView view = step.ownView();
 		Instant due = view.vouchedAt().plus(step.silenceTimeout().multipliedBy(view.steps() + 1L));
