--- a/src/main/java/sycamorehill/cli/ServeCommand.java
+++ b/src/main/java/sycamorehill/cli/ServeCommand.java
@@ -13,7 +13,7 @@
 import sycamorehill.platform.PlatformSettings;
 import sycamorehill.platform.UsersPlatform;
 import sycamorehill.runtime.Node;
-import sycamorehill.runtime.NodeEnd;
+import sycamorehill.runtime.NodeTermination;
 import sycamorehill.settings.NodeSettings;
 import sycamorehill.settings.NodeSettingsReader;
 
@@ -60,9 +60,9 @@
 		NodeSettings sound = SoundSettings.of(NodeSettingsReader.read(Path.of(this.settings)));
 		Node node = Node.start(sound, Clock.systemUTC());
 		StopSignals.install(node::stop);
-		NodeEnd end = node.end().get();
+		NodeTermination end = node.whenStopped().get();
 		node.close();
-		return (end == NodeEnd.STOPPED) ? ExitCode.DONE : ExitCode.REFUSED;
+		return (end == NodeTermination.STOPPED) ? ExitCode.DONE : ExitCode.REFUSED;
 	}
 
 }
--- a/src/main/java/sycamorehill/operator/NodeReader.java
+++ b/src/main/java/sycamorehill/operator/NodeReader.java
@@ -15,14 +15,14 @@
 	 * The state in force on the node.
 	 * @return the truth, once the node has one
 	 */
-	Optional<DesiredState> truth();
+	Optional<DesiredState> desiredState();
 
 	/**
 	 * The state after a ticket.
 	 * @param number the ticket
 	 * @return the truth, while the node keeps the history that far
 	 */
-	Optional<DesiredState> truthAfter(long number);
+	Optional<DesiredState> desiredStateAfter(long number);
 
 	/**
 	 * The tickets that the node still keeps.
--- a/src/main/java/sycamorehill/operator/OperatorAnswer.java
+++ b/src/main/java/sycamorehill/operator/OperatorAnswer.java
@@ -18,16 +18,16 @@
 
 	static final int CONFLICT = 409;
 
-	static final int UNAVAILABLE = 503;
+	static final int SERVICE_UNAVAILABLE = 503;
 
-	static final int NOT_KNOWN = 504;
+	static final int GATEWAY_TIMEOUT = 504;
 
 	static OperatorAnswer of(int status, Object body) {
 		return new OperatorAnswer(status, body);
 	}
 
-	static OperatorAnswer fault(int status, String detail) {
-		return new OperatorAnswer(status, new OperatorFault(detail));
+	static OperatorAnswer error(int status, String detail) {
+		return new OperatorAnswer(status, new OperatorError(detail));
 	}
 
 }
--- a/src/main/java/sycamorehill/operator/OperatorFault.java
+++ b/src/main/java/sycamorehill/operator/OperatorError.java
@@ -5,6 +5,6 @@
  *
  * @param detail one sentence for people
  */
-public record OperatorFault(String detail) {
+public record OperatorError(String detail) {
 
 }
--- a/src/main/java/sycamorehill/operator/OperatorServer.java
+++ b/src/main/java/sycamorehill/operator/OperatorServer.java
@@ -37,17 +37,17 @@
  */
 public final class OperatorServer implements AutoCloseable {
 
-	private static final String TICKETS = "/operator/tickets";
+	private static final String TICKETS_PATH = "/operator/tickets";
 
-	private static final String STATE = "/operator/state";
+	private static final String STATE_PATH = "/operator/state";
 
-	private static final int MOST_TICKET_BYTES = 1024 * 1024;
+	private static final int MAXIMUM_TICKET_BYTES = 1024 * 1024;
 
-	private static final Duration PATIENCE = Duration.ofSeconds(15);
+	private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(15);
 
-	private final OperatorCalls calls;
+	private final PendingOperatorCalls calls;
 
-	private final NodeReader node;
+	private final NodeReader nodeReader;
 
 	private final EventSink events;
 
@@ -55,9 +55,9 @@
 
 	private HttpServerContext server;
 
-	private OperatorServer(OperatorCalls calls, NodeReader node, EventSink events, ObjectMapper json) {
+	private OperatorServer(PendingOperatorCalls calls, NodeReader nodeReader, EventSink events, ObjectMapper json) {
 		this.calls = calls;
-		this.node = node;
+		this.nodeReader = nodeReader;
 		this.events = events;
 		this.json = json;
 	}
@@ -65,13 +65,14 @@
 	/**
 	 * Creates the server; {@link #listen} opens it.
 	 * @param calls operators that wait
-	 * @param node what operators read
+	 * @param nodeReader what operators read
 	 * @param events where tickets go for decision
 	 * @param json reads and writes bodies
 	 * @return the server
 	 */
-	public static OperatorServer create(OperatorCalls calls, NodeReader node, EventSink events, ObjectMapper json) {
-		return new OperatorServer(calls, node, events, json);
+	public static OperatorServer create(PendingOperatorCalls calls, NodeReader nodeReader, EventSink events,
+			ObjectMapper json) {
+		return new OperatorServer(calls, nodeReader, events, json);
 	}
 
 	/**
@@ -90,111 +91,112 @@
 
 	private Single<StreamingHttpResponse> handle(HttpServiceContext context, StreamingHttpRequest request,
 			StreamingHttpResponseFactory factory) {
-		return Bodies.text(request.payloadBody(), MOST_TICKET_BYTES)
-			.flatMap((body) -> Single.fromStage(answer(request, body)))
+		return Bodies.text(request.payloadBody(), MAXIMUM_TICKET_BYTES)
+			.flatMap((body) -> Single.fromStage(route(request, body)))
 			.onErrorReturn(
-					(failure) -> OperatorAnswer.fault(OperatorAnswer.BAD_REQUEST, String.valueOf(failure.getMessage())))
-			.map((answer) -> write(factory, answer));
+					(failure) -> OperatorAnswer.error(OperatorAnswer.BAD_REQUEST, String.valueOf(failure.getMessage())))
+			.map((answer) -> toResponse(factory, answer));
 	}
 
-	private CompletionStage<OperatorAnswer> answer(StreamingHttpRequest request, String body) {
+	private CompletionStage<OperatorAnswer> route(StreamingHttpRequest request, String body) {
 		String path = request.path();
-		if (path.equals(TICKETS) && request.method().equals(HttpRequestMethod.POST)) {
-			return file(body);
+		if (path.equals(TICKETS_PATH) && request.method().equals(HttpRequestMethod.POST)) {
+			return fileTicket(body);
 		}
-		if (path.equals(TICKETS)) {
-			return done(OperatorAnswer.of(OperatorAnswer.OK, this.node.tickets()));
+		if (path.equals(TICKETS_PATH)) {
+			return completed(OperatorAnswer.of(OperatorAnswer.OK, this.nodeReader.tickets()));
 		}
-		if (path.startsWith(TICKETS + "/")) {
-			return force(path.substring(TICKETS.length() + 1));
+		if (path.startsWith(TICKETS_PATH + "/")) {
+			return rolloutAnswer(path.substring(TICKETS_PATH.length() + 1));
 		}
-		if (path.equals(STATE)) {
-			return done(state(request.queryParameter("at")));
+		if (path.equals(STATE_PATH)) {
+			return completed(stateAnswer(request.queryParameter("at")));
 		}
-		return done(read(path));
+		return completed(readAnswer(path));
 	}
 
-	private OperatorAnswer read(String path) {
+	private OperatorAnswer readAnswer(String path) {
 		return switch (path) {
-			case "/operator/dump" -> OperatorAnswer.of(OperatorAnswer.OK, this.node.dump());
-			case "/metrics" -> OperatorAnswer.of(OperatorAnswer.OK, this.node.metrics());
-			default -> OperatorAnswer.fault(OperatorAnswer.NOT_FOUND,
+			case "/operator/dump" -> OperatorAnswer.of(OperatorAnswer.OK, this.nodeReader.dump());
+			case "/metrics" -> OperatorAnswer.of(OperatorAnswer.OK, this.nodeReader.metrics());
+			default -> OperatorAnswer.error(OperatorAnswer.NOT_FOUND,
 					"operators use /operator/tickets, /operator/state, /operator/dump and /metrics");
 		};
 	}
 
-	private OperatorAnswer state(String at) {
+	private OperatorAnswer stateAnswer(String at) {
 		if (at == null) {
-			return this.node.truth()
-				.map(OperatorServer::state)
-				.orElseGet(() -> OperatorAnswer.fault(OperatorAnswer.UNAVAILABLE,
+			return this.nodeReader.desiredState()
+				.map(OperatorServer::stateAnswer)
+				.orElseGet(() -> OperatorAnswer.error(OperatorAnswer.SERVICE_UNAVAILABLE,
 						"the node has no state yet: neither the platform nor a peer has given it one"));
 		}
 		try {
-			return this.node.truthAfter(Long.parseLong(at))
-				.map(OperatorServer::state)
-				.orElseGet(() -> OperatorAnswer.fault(OperatorAnswer.NOT_FOUND,
+			return this.nodeReader.desiredStateAfter(Long.parseLong(at))
+				.map(OperatorServer::stateAnswer)
+				.orElseGet(() -> OperatorAnswer.error(OperatorAnswer.NOT_FOUND,
 						"the node does not keep the state after ticket " + at));
 		}
 		catch (NumberFormatException ex) {
-			return OperatorAnswer.fault(OperatorAnswer.BAD_REQUEST, "'at' must be a ticket's number, not '" + at + "'");
+			return OperatorAnswer.error(OperatorAnswer.BAD_REQUEST, "'at' must be a ticket's number, not '" + at + "'");
 		}
 	}
 
-	private static OperatorAnswer state(DesiredState truth) {
-		return OperatorAnswer.of(OperatorAnswer.OK, StateBody.of(truth));
+	private static OperatorAnswer stateAnswer(DesiredState desiredState) {
+		return OperatorAnswer.of(OperatorAnswer.OK, StateBody.of(desiredState));
 	}
 
-	private CompletionStage<OperatorAnswer> file(String body) {
+	private CompletionStage<OperatorAnswer> fileTicket(String body) {
 		TicketDraft draft;
 		try {
 			draft = this.json.readValue(body, TicketDraft.class);
 		}
 		catch (JsonProcessingException ex) {
-			return done(
-					OperatorAnswer.fault(OperatorAnswer.BAD_REQUEST, "the ticket can't be read: " + unreadable(ex)));
+			return completed(
+					OperatorAnswer.error(OperatorAnswer.BAD_REQUEST, "the ticket can't be read: " + describe(ex)));
 		}
 		if (draft == null || draft.filing() == null) {
-			return done(OperatorAnswer.fault(OperatorAnswer.BAD_REQUEST,
+			return completed(OperatorAnswer.error(OperatorAnswer.BAD_REQUEST,
 					"the ticket needs 'filing', an identifier of your own"));
 		}
 		OperatorCallIdentifier call = this.calls.nextIdentifier();
 		CompletableFuture<FilingOutcome> outcome = this.calls.awaitFiling(call);
 		this.events.post(new OperatorEvent.TicketFiled(call, draft));
-		FilingOutcome late = new FilingOutcome.NotKnown("no decision within " + PATIENCE.toSeconds() + " s");
-		return outcome.completeOnTimeout(late, PATIENCE.toMillis(), TimeUnit.MILLISECONDS)
-			.whenComplete((found, failure) -> this.calls.forget(call))
-			.thenApply(OperatorServer::filed);
+		FilingOutcome unknown = new FilingOutcome.NotKnown("no decision within " + ANSWER_TIMEOUT.toSeconds() + " s");
+		return outcome.completeOnTimeout(unknown, ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
+			.whenComplete((result, failure) -> this.calls.remove(call))
+			.thenApply(OperatorServer::filingAnswer);
 	}
 
-	private static OperatorAnswer filed(FilingOutcome outcome) {
+	private static OperatorAnswer filingAnswer(FilingOutcome outcome) {
 		if (outcome instanceof FilingOutcome.Accepted) {
 			return OperatorAnswer.of(OperatorAnswer.CREATED, outcome);
 		}
-		int status = (outcome instanceof FilingOutcome.Refused) ? OperatorAnswer.CONFLICT : OperatorAnswer.NOT_KNOWN;
+		int status = (outcome instanceof FilingOutcome.Refused) ? OperatorAnswer.CONFLICT
+				: OperatorAnswer.GATEWAY_TIMEOUT;
 		return OperatorAnswer.of(status, outcome);
 	}
 
-	private CompletionStage<OperatorAnswer> force(String text) {
+	private CompletionStage<OperatorAnswer> rolloutAnswer(String text) {
 		long number;
 		try {
 			number = Long.parseLong(text);
 		}
 		catch (NumberFormatException ex) {
-			return done(OperatorAnswer.fault(OperatorAnswer.BAD_REQUEST,
+			return completed(OperatorAnswer.error(OperatorAnswer.BAD_REQUEST,
 					"a ticket's number is expected, not '" + text + "'"));
 		}
 		OperatorCallIdentifier call = this.calls.nextIdentifier();
-		CompletableFuture<TicketRollout> force = this.calls.awaitForce(call);
+		CompletableFuture<TicketRollout> rollout = this.calls.awaitRollout(call);
 		this.events.post(new OperatorEvent.TicketForceAsked(call, number));
-		return force.orTimeout(PATIENCE.toMillis(), TimeUnit.MILLISECONDS)
-			.whenComplete((found, failure) -> this.calls.forget(call))
-			.handle((found, failure) -> (failure != null)
-					? OperatorAnswer.fault(OperatorAnswer.NOT_KNOWN, "the node did not answer in time")
-					: OperatorAnswer.of(OperatorAnswer.OK, found));
+		return rollout.orTimeout(ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
+			.whenComplete((result, failure) -> this.calls.remove(call))
+			.handle((result, failure) -> (failure != null)
+					? OperatorAnswer.error(OperatorAnswer.GATEWAY_TIMEOUT, "the node did not answer in time")
+					: OperatorAnswer.of(OperatorAnswer.OK, result));
 	}
 
-	private StreamingHttpResponse write(StreamingHttpResponseFactory factory, OperatorAnswer answer) {
+	private StreamingHttpResponse toResponse(StreamingHttpResponseFactory factory, OperatorAnswer answer) {
 		String text;
 		try {
 			text = this.json.writeValueAsString(answer.body());
@@ -207,14 +209,14 @@
 			.payloadBody(Publisher.from(BufferAllocators.DEFAULT_ALLOCATOR.fromUtf8(text)));
 	}
 
-	private static String unreadable(JsonProcessingException failure) {
+	private static String describe(JsonProcessingException failure) {
 		if (failure instanceof JsonMappingException mapping && !mapping.getPath().isEmpty()) {
 			return mapping.getPathReference() + ": " + mapping.getOriginalMessage();
 		}
 		return failure.getOriginalMessage();
 	}
 
-	private static CompletionStage<OperatorAnswer> done(OperatorAnswer answer) {
+	private static CompletionStage<OperatorAnswer> completed(OperatorAnswer answer) {
 		return CompletableFuture.completedFuture(answer);
 	}
 
--- a/src/main/java/sycamorehill/operator/StateBody.java
+++ b/src/main/java/sycamorehill/operator/StateBody.java
@@ -15,15 +15,15 @@
 
 	/**
 	 * Orders the items of a truth.
-	 * @param truth the truth
+	 * @param desiredState the truth
 	 * @return its items by key
 	 */
-	public static StateBody of(DesiredState truth) {
-		return new StateBody(truth.number(),
-				truth.items()
+	public static StateBody of(DesiredState desiredState) {
+		return new StateBody(desiredState.number(),
+				desiredState.items()
 					.values()
 					.stream()
-					.sorted((one, other) -> one.item().key().compareTo(other.item().key()))
+					.sorted((first, second) -> first.item().key().compareTo(second.item().key()))
 					.toList());
 	}
 
--- a/src/main/java/sycamorehill/runtime/ControlLoop.java
+++ b/src/main/java/sycamorehill/runtime/ControlLoop.java
@@ -25,7 +25,7 @@
  */
 public final class ControlLoop implements EventSink, AutoCloseable {
 
-	private static final Duration TICK = Duration.ofMillis(100);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
 
 	private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
@@ -37,11 +37,11 @@
 
 	private final EffectPort effects;
 
-	private final Timer steps;
+	private final Timer stepTimer;
 
-	private final Counter failures;
+	private final Counter effectFailures;
 
-	private final BrokenInvariantHandler brokenInvariant;
+	private final InvariantViolationHandler invariantViolationHandler;
 
 	private final Thread thread;
 
@@ -50,15 +50,15 @@
 	private volatile boolean closed;
 
 	private ControlLoop(NodeState initial, InstantSource clock, InstantSource wallClock, EffectPort effects,
-			MetricRegistry metrics, BrokenInvariantHandler brokenInvariant) {
+			MetricRegistry metrics, InvariantViolationHandler invariantViolationHandler) {
 		this.state = initial;
 		this.clock = clock;
 		this.wallClock = wallClock;
 		this.effects = effects;
-		this.steps = metrics.timer("control.step");
-		this.failures = metrics.counter("control.effect-failures");
+		this.stepTimer = metrics.timer("control.step");
+		this.effectFailures = metrics.counter("control.effect-failures");
 		metrics.register("control.events-waiting", (Gauge<Integer>) this.events::size);
-		this.brokenInvariant = brokenInvariant;
+		this.invariantViolationHandler = invariantViolationHandler;
 		this.thread = new Thread(this::run, "control");
 	}
 
@@ -69,12 +69,13 @@
 	 * @param wallClock wall clock, for records only
 	 * @param effects carries effects out
 	 * @param metrics where the loop counts
-	 * @param brokenInvariant hears of a step that threw: the process can't go on
+	 * @param invariantViolationHandler hears of a step that threw: the process can't go
+	 * on
 	 * @return the loop
 	 */
 	public static ControlLoop create(NodeState initial, InstantSource clock, InstantSource wallClock,
-			EffectPort effects, MetricRegistry metrics, BrokenInvariantHandler brokenInvariant) {
-		return new ControlLoop(initial, clock, wallClock, effects, metrics, brokenInvariant);
+			EffectPort effects, MetricRegistry metrics, InvariantViolationHandler invariantViolationHandler) {
+		return new ControlLoop(initial, clock, wallClock, effects, metrics, invariantViolationHandler);
 	}
 
 	/**
@@ -118,7 +119,7 @@
 				}
 				else {
 					step(new NodeEvent.Ticked(this.wallClock.instant()));
-					nextTick = System.nanoTime() + TICK.toNanos();
+					nextTick = System.nanoTime() + TICK_INTERVAL.toNanos();
 				}
 			}
 		}
@@ -128,14 +129,14 @@
 	}
 
 	private void step(Event event) {
-		try (Timer.Context ignored = this.steps.time()) {
+		try (Timer.Context ignored = this.stepTimer.time()) {
 			Step<NodeState> step = this.reducer.reduce(this.state, this.clock.instant(), event);
 			this.state = step.state();
 			step.effects().forEach(this::carryOut);
 		}
 		catch (RuntimeException ex) {
 			this.closed = true;
-			this.brokenInvariant.broken(event, ex);
+			this.invariantViolationHandler.handle(event, ex);
 		}
 	}
 
@@ -146,7 +147,7 @@
 		catch (RuntimeException ex) {
 			// An edge that fails must not stop the decisions: its answer stays out, which
 			// every part takes for "not known" after its timeout.
-			this.failures.inc();
+			this.effectFailures.inc();
 			EventLog.failure(LogEvent.EFFECT_FAILED, effect.getClass().getSimpleName(), ex);
 		}
 	}
@@ -161,14 +162,14 @@
 	 * Hears of a step that threw.
 	 */
 	@FunctionalInterface
-	public interface BrokenInvariantHandler {
+	public interface InvariantViolationHandler {
 
 		/**
 		 * Ends the process.
 		 * @param event the event whose step threw
 		 * @param cause what was thrown
 		 */
-		void broken(Event event, RuntimeException cause);
+		void handle(Event event, RuntimeException cause);
 
 	}
 
--- a/src/main/java/sycamorehill/runtime/EffectRunner.java
+++ b/src/main/java/sycamorehill/runtime/EffectDispatcher.java
@@ -27,7 +27,7 @@
 /**
  * Hands each effect to the edge that carries it out, and its answer back as an event.
  */
-final class EffectRunner implements EffectPort {
+final class EffectDispatcher implements EffectPort {
 
 	private final EventSink events;
 
@@ -39,27 +39,27 @@
 
 	private final EngineClient engines;
 
-	private final PeerSender peers;
+	private final PeerSender peerSender;
 
-	private final RequestPort requests;
+	private final RequestPort requestPort;
 
-	private final OperatorPort operators;
+	private final OperatorPort operatorPort;
 
 	private final Runnable exit;
 
 	private final MetricRegistry metrics;
 
-	EffectRunner(EventSink events, InstantSource clock, PlatformClient platform, VmListClient vmList,
-			EngineClient engines, PeerSender peers, RequestPort requests, OperatorPort operators, Runnable exit,
-			MetricRegistry metrics) {
+	EffectDispatcher(EventSink events, InstantSource clock, PlatformClient platform, VmListClient vmList,
+			EngineClient engines, PeerSender peerSender, RequestPort requestPort, OperatorPort operatorPort,
+			Runnable exit, MetricRegistry metrics) {
 		this.events = events;
 		this.clock = clock;
 		this.platform = platform;
 		this.vmList = vmList;
 		this.engines = engines;
-		this.peers = peers;
-		this.requests = requests;
-		this.operators = operators;
+		this.peerSender = peerSender;
+		this.requestPort = requestPort;
+		this.operatorPort = operatorPort;
 		this.exit = exit;
 		this.metrics = metrics;
 	}
@@ -68,19 +68,19 @@
 	public void carryOut(Effect effect) {
 		if (effect instanceof RequestEffect request) {
 			countRequest(request);
-			this.requests.carryOut(request);
+			this.requestPort.carryOut(request);
 		}
 		else if (effect instanceof PlatformEffect.Call call) {
-			call(call);
+			callPlatform(call);
 		}
 		else if (effect instanceof PeerEffect.Send send) {
-			send(send);
+			sendMessage(send);
 		}
 		else if (effect instanceof TargetEffect target) {
-			target(target);
+			carryOutTargetEffect(target);
 		}
 		else if (effect instanceof OperatorEffect operator) {
-			this.operators.carryOut(operator);
+			this.operatorPort.carryOut(operator);
 		}
 		else if (effect instanceof NodeEffect.WriteLog log) {
 			EventLog.write(log.line());
@@ -90,33 +90,33 @@
 		}
 	}
 
-	private void call(PlatformEffect.Call call) {
-		count("platform.calls." + name(call.call().owner()));
+	private void callPlatform(PlatformEffect.Call call) {
+		count("platform.calls." + metricName(call.call().owner()));
 		Instant sentAt = this.clock.instant();
 		this.platform.call(call.request(), call.timeout())
 			.thenAccept((answer) -> this.events.post(new PlatformEvent.Answered(call.call(), answer, sentAt)));
 	}
 
-	private void send(PeerEffect.Send send) {
-		this.peers.send(send.to(), send.message()).exceptionally((failure) -> {
+	private void sendMessage(PeerEffect.Send send) {
+		this.peerSender.send(send.to(), send.message()).exceptionally((failure) -> {
 			this.events.post(new PeerEvent.SendFailed(send.to().incarnation().node(), send.message()));
 			return null;
 		});
 	}
 
-	private void target(TargetEffect effect) {
+	private void carryOutTargetEffect(TargetEffect effect) {
 		if (effect instanceof TargetEffect.AskReport ask) {
-			askReport(ask);
+			requestReport(ask);
 		}
 		else if (effect instanceof TargetEffect.SendOrder order) {
-			sendOrder(order);
+			sendCommand(order);
 		}
 		else if (effect instanceof TargetEffect.ReadVmList list) {
 			readVmList(list);
 		}
 	}
 
-	private void askReport(TargetEffect.AskReport ask) {
+	private void requestReport(TargetEffect.AskReport ask) {
 		count("engine.reports-asked");
 		Instant askedAt = this.clock.instant();
 		this.engines.report(ask.address()).whenComplete((report, failure) -> {
@@ -124,12 +124,12 @@
 				this.events.post(new TargetEvent.ReportReceived(report, askedAt));
 			}
 			else {
-				this.events.post(new TargetEvent.ReportFailed(ask.vm(), cause(failure) instanceof NotSentException));
+				this.events.post(new TargetEvent.ReportFailed(ask.vm(), unwrap(failure) instanceof NotSentException));
 			}
 		});
 	}
 
-	private void sendOrder(TargetEffect.SendOrder order) {
+	private void sendCommand(TargetEffect.SendOrder order) {
 		count("engine.orders-sent");
 		// A process paused between the decision and this line must not send any more: an
 		// engine that ignores fencing would obey an order that was overtaken meanwhile.
@@ -166,11 +166,11 @@
 		this.metrics.counter(name).inc();
 	}
 
-	private static String name(CallOwner owner) {
+	private static String metricName(CallOwner owner) {
 		return owner.name().toLowerCase(Locale.ROOT);
 	}
 
-	private static Throwable cause(Throwable failure) {
+	private static Throwable unwrap(Throwable failure) {
 		return (failure instanceof CompletionException) ? failure.getCause() : failure;
 	}
 
--- a/src/main/java/sycamorehill/runtime/MetricsSnapshot.java
+++ b/src/main/java/sycamorehill/runtime/MetricsSnapshot.java
@@ -18,7 +18,7 @@
 record MetricsSnapshot(SortedMap<String, Object> gauges, SortedMap<String, Long> counters,
 		SortedMap<String, TimerValues> timers) {
 
-	private static final double NANOS_PER_MILLI = 1_000_000.0;
+	private static final double NANOSECONDS_PER_MILLISECOND = 1_000_000.0;
 
 	static MetricsSnapshot of(MetricRegistry registry) {
 		SortedMap<String, Object> gauges = new TreeMap<>();
@@ -43,8 +43,10 @@
 
 		static TimerValues of(Timer timer) {
 			Snapshot snapshot = timer.getSnapshot();
-			return new TimerValues(timer.getCount(), timer.getOneMinuteRate(), snapshot.getMedian() / NANOS_PER_MILLI,
-					snapshot.get95thPercentile() / NANOS_PER_MILLI, snapshot.get99thPercentile() / NANOS_PER_MILLI);
+			return new TimerValues(timer.getCount(), timer.getOneMinuteRate(),
+					snapshot.getMedian() / NANOSECONDS_PER_MILLISECOND,
+					snapshot.get95thPercentile() / NANOSECONDS_PER_MILLISECOND,
+					snapshot.get99thPercentile() / NANOSECONDS_PER_MILLISECOND);
 		}
 
 	}
--- a/src/main/java/sycamorehill/runtime/Node.java
+++ b/src/main/java/sycamorehill/runtime/Node.java
@@ -27,8 +27,8 @@
 import sycamorehill.model.log.LogLine;
 import sycamorehill.objectapi.HttpPlatform;
 import sycamorehill.objectapi.HttpVmList;
-import sycamorehill.operator.OperatorCalls;
 import sycamorehill.operator.OperatorServer;
+import sycamorehill.operator.PendingOperatorCalls;
 import sycamorehill.peer.NettyPeerTransport;
 import sycamorehill.settings.NodeSettings;
 
@@ -43,17 +43,17 @@
 
 	private final MetricRegistry metrics = new MetricRegistry();
 
-	private final CompletableFuture<NodeEnd> end = new CompletableFuture<>();
+	private final CompletableFuture<NodeTermination> termination = new CompletableFuture<>();
 
-	private final HttpClientPool clients = HttpClientPool.create(CONNECT_TIMEOUT);
+	private final HttpClientPool httpClients = HttpClientPool.create(CONNECT_TIMEOUT);
 
 	private final ControlLoop loop;
 
-	private final NettyPeerTransport peers;
+	private final NettyPeerTransport peerTransport;
 
 	private final CallerGateway gateway;
 
-	private final OperatorServer operators;
+	private final OperatorServer operatorServer;
 
 	private Node(NodeSettings settings, InstantSource wallClock) {
 		this.settings = settings;
@@ -62,27 +62,28 @@
 				settings.dataCentre(), settings.peerAddress());
 		MonotonicClock clock = MonotonicClock.start(wallClock);
 		ObjectMapper json = ModelJson.json();
-		HttpCaller caller = HttpCaller.create(this.clients);
-		HttpEngine engines = HttpEngine.create(this.clients, json);
-		OperatorCalls operatorCalls = OperatorCalls.create();
-		LateEvents events = LateEvents.create();
-		this.peers = NettyPeerTransport.start(self, settings.peerAddress(),
+		HttpCaller httpClient = HttpCaller.create(this.httpClients);
+		HttpEngine engineClient = HttpEngine.create(this.httpClients, json);
+		PendingOperatorCalls pendingCalls = PendingOperatorCalls.create();
+		BufferingEventSink events = BufferingEventSink.create();
+		this.peerTransport = NettyPeerTransport.start(self, settings.peerAddress(),
 				settings.sharedSecret().getBytes(StandardCharsets.UTF_8), events::post);
-		this.gateway = CallerGateway.create(self.incarnation(), clock, wallClock, json, engines,
-				HttpPlainService.create(caller), events, this::ready, this.metrics);
-		EffectRunner effects = new EffectRunner(events, clock,
-				HttpPlatform.create(caller, settings.platformAddress(), json),
-				HttpVmList.create(caller, settings.platformAddress(), json), engines, this.peers::send,
-				this.gateway.requests(), operatorCalls, () -> this.end.complete(NodeEnd.STOPPED), this.metrics);
-		this.loop = ControlLoop.create(NodeState.initial(self, settings.policy()), clock, wallClock, effects,
-				this.metrics, this::broken);
+		this.gateway = CallerGateway.create(self.incarnation(), clock, wallClock, json, engineClient,
+				HttpPlainService.create(httpClient), events, this::isReady, this.metrics);
+		EffectDispatcher effectDispatcher = new EffectDispatcher(events, clock,
+				HttpPlatform.create(httpClient, settings.platformAddress(), json),
+				HttpVmList.create(httpClient, settings.platformAddress(), json), engineClient, this.peerTransport::send,
+				this.gateway.requests(), pendingCalls, () -> this.termination.complete(NodeTermination.STOPPED),
+				this.metrics);
+		this.loop = ControlLoop.create(NodeState.initial(self, settings.policy()), clock, wallClock, effectDispatcher,
+				this.metrics, this::handleInvariantViolation);
 		events.connect(this.loop);
-		NodeMetrics values = NodeMetrics.of(this.metrics);
-		values.process(this.loop.threadIdentifier());
-		values.peers(this.peers.counters());
-		values.state(this.loop::state, clock);
-		this.operators = OperatorServer.create(operatorCalls, new StateReader(this.loop::state, this.metrics), events,
-				json);
+		NodeMetrics nodeMetrics = NodeMetrics.of(this.metrics);
+		nodeMetrics.registerProcess(this.loop.threadIdentifier());
+		nodeMetrics.registerPeers(this.peerTransport.counters());
+		nodeMetrics.registerState(this.loop::state, clock);
+		this.operatorServer = OperatorServer.create(pendingCalls, new StateReader(this.loop::state, this.metrics),
+				events, json);
 		EventLog.write(LogLine.of(LogEvent.NODE_STARTED, self.incarnation() + " in " + settings.dataCentre()));
 		this.loop.start(random.nextLong());
 	}
@@ -97,8 +98,8 @@
 	public static Node start(NodeSettings settings, InstantSource wallClock) throws Exception {
 		Node node = new Node(settings, wallClock);
 		try {
-			node.gateway.listen(socket(settings.callerAddress()));
-			node.operators.listen(socket(settings.operatorAddress()));
+			node.gateway.listen(socketAddress(settings.callerAddress()));
+			node.operatorServer.listen(socketAddress(settings.operatorAddress()));
 			return node;
 		}
 		catch (Exception ex) {
@@ -111,18 +112,18 @@
 	 * Begins a planned stop.
 	 * @return done when everything in flight is over, or when the bound has passed
 	 */
-	public CompletableFuture<NodeEnd> stop() {
+	public CompletableFuture<NodeTermination> stop() {
 		EventLog.write(LogLine.of(LogEvent.NODE_STOPPING, this.settings.name().value()));
 		this.loop.post(new NodeEvent.StopRequested());
-		return this.end;
+		return this.termination;
 	}
 
 	/**
 	 * The end of the node.
 	 * @return done when it has stopped or can't go on
 	 */
-	public CompletableFuture<NodeEnd> end() {
-		return this.end;
+	public CompletableFuture<NodeTermination> whenStopped() {
+		return this.termination;
 	}
 
 	/**
@@ -149,16 +150,16 @@
 		return this.metrics.getNames();
 	}
 
-	private boolean ready() {
+	private boolean isReady() {
 		return this.loop.state().ready();
 	}
 
-	private void broken(Event event, RuntimeException cause) {
+	private void handleInvariantViolation(Event event, RuntimeException cause) {
 		EventLog.failure(LogEvent.INVARIANT_BROKEN, event.getClass().getSimpleName(), cause);
-		this.end.complete(NodeEnd.BROKEN);
+		this.termination.complete(NodeTermination.FAILED);
 	}
 
-	private static InetSocketAddress socket(Address address) {
+	private static InetSocketAddress socketAddress(Address address) {
 		return new InetSocketAddress(address.host(), address.port());
 	}
 
@@ -166,9 +167,9 @@
 	public void close() throws Exception {
 		this.loop.close();
 		this.gateway.close();
-		this.operators.close();
-		this.peers.close();
-		this.clients.close();
+		this.operatorServer.close();
+		this.peerTransport.close();
+		this.httpClients.close();
 	}
 
 }
--- a/src/main/java/sycamorehill/runtime/NodeDump.java
+++ b/src/main/java/sycamorehill/runtime/NodeDump.java
@@ -16,7 +16,7 @@
 
 	static NodeDump of(NodeState state) {
 		return new NodeDump(state.self(), state.ready(),
-				state.desiredState().map((truth) -> truth.number()).orElse(-1L), state);
+				state.desiredState().map((desiredState) -> desiredState.number()).orElse(-1L), state);
 	}
 
 }
--- a/src/main/java/sycamorehill/runtime/NodeMetrics.java
+++ b/src/main/java/sycamorehill/runtime/NodeMetrics.java
@@ -22,11 +22,11 @@
  */
 final class NodeMetrics {
 
-	private static final double NANOS_PER_SECOND = 1e9;
+	private static final double NANOSECONDS_PER_SECOND = 1e9;
 
-	private static final long NO_TRUTH = -1;
+	private static final long NO_TICKET = -1;
 
-	private static final long NEVER_SEEN = -1;
+	private static final long NEVER_CONFIRMED = -1;
 
 	private final MetricRegistry registry;
 
@@ -43,27 +43,28 @@
 	 * takes, apart from traffic.
 	 * @param controlThread identifies the control thread
 	 */
-	void process(long controlThread) {
+	void registerProcess(long controlThread) {
 		ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-		number("process.control-cpu-seconds", () -> threads.getThreadCpuTime(controlThread) / NANOS_PER_SECOND);
-		whole("process.threads", threads::getThreadCount);
-		whole("process.heap-used-bytes", () -> heap().getUsed());
-		whole("process.heap-bound-bytes", () -> heap().getMax());
-		whole("process.direct-used-bytes", NodeMetrics::directBytes);
+		registerDouble("process.control-cpu-seconds",
+				() -> threads.getThreadCpuTime(controlThread) / NANOSECONDS_PER_SECOND);
+		registerLong("process.threads", threads::getThreadCount);
+		registerLong("process.heap-used-bytes", () -> heap().getUsed());
+		registerLong("process.heap-bound-bytes", () -> heap().getMax());
+		registerLong("process.direct-used-bytes", NodeMetrics::directBytes);
 	}
 
 	/**
 	 * What goes between nodes.
 	 * @param counters counts of the transport
 	 */
-	void peers(PeerCounters counters) {
-		whole("peer.sent-bytes", counters::sentBytes);
-		whole("peer.received-bytes", counters::receivedBytes);
-		whole("peer.sent-frames", counters::sentFrames);
-		whole("peer.received-frames", counters::receivedFrames);
-		whole("peer.refused-connections", counters::refusedConnections);
-		whole("peer.unknown-messages", counters::unknownTypes);
-		whole("peer.failed-sends", counters::failedSends);
+	void registerPeers(PeerCounters counters) {
+		registerLong("peer.sent-bytes", counters::sentBytes);
+		registerLong("peer.received-bytes", counters::receivedBytes);
+		registerLong("peer.sent-frames", counters::sentFrames);
+		registerLong("peer.received-frames", counters::receivedFrames);
+		registerLong("peer.refused-connections", counters::refusedConnections);
+		registerLong("peer.unknown-messages", counters::unknownTypes);
+		registerLong("peer.failed-sends", counters::failedSends);
 	}
 
 	/**
@@ -71,27 +72,27 @@
 	 * @param state the last published state
 	 * @param clock monotonic time
 	 */
-	void state(Supplier<NodeState> state, InstantSource clock) {
-		whole("state.ticket", () -> state.get().desiredState().map(DesiredState::number).orElse(NO_TRUTH));
-		whole("state.live-nodes", () -> state.get().membership().liveNodes().nodes().size());
-		whole("state.requests-in-flight", () -> state.get().request().inFlight());
-		whole("state.ready", () -> state.get().ready() ? 1 : 0);
-		whole("state.groups",
+	void registerState(Supplier<NodeState> state, InstantSource clock) {
+		registerLong("state.ticket", () -> state.get().desiredState().map(DesiredState::number).orElse(NO_TICKET));
+		registerLong("state.live-nodes", () -> state.get().membership().liveNodes().nodes().size());
+		registerLong("state.requests-in-flight", () -> state.get().request().inFlight());
+		registerLong("state.ready", () -> state.get().ready() ? 1 : 0);
+		registerLong("state.groups",
 				() -> state.get().group().allocation().known().map((known) -> known.groups().size()).orElse(0));
-		whole("state.allocation-age-milliseconds", () -> age(state.get(), clock));
+		registerLong("state.allocation-age-milliseconds", () -> allocationAge(state.get(), clock));
 	}
 
-	private static long age(NodeState state, InstantSource clock) {
+	private static long allocationAge(NodeState state, InstantSource clock) {
 		AllocationState allocation = state.group().allocation();
 		return allocation.known().isPresent() ? Duration.between(allocation.confirmedAt(), clock.instant()).toMillis()
-				: NEVER_SEEN;
+				: NEVER_CONFIRMED;
 	}
 
-	private void whole(String name, LongSupplier value) {
+	private void registerLong(String name, LongSupplier value) {
 		this.registry.register(name, (Gauge<Long>) value::getAsLong);
 	}
 
-	private void number(String name, Supplier<Double> value) {
+	private void registerDouble(String name, Supplier<Double> value) {
 		this.registry.register(name, (Gauge<Double>) value::get);
 	}
 
--- a/src/main/java/sycamorehill/runtime/NodeEnd.java
+++ b/src/main/java/sycamorehill/runtime/NodeTermination.java
@@ -3,12 +3,12 @@
 /**
  * How a node ended.
  */
-public enum NodeEnd {
+public enum NodeTermination {
 
 	/** A planned stop went through. */
 	STOPPED,
 
 	/** An invariant broke; the process can't go on. */
-	BROKEN
+	FAILED
 
 }
--- a/src/main/java/sycamorehill/runtime/StateReader.java
+++ b/src/main/java/sycamorehill/runtime/StateReader.java
@@ -17,12 +17,12 @@
 record StateReader(Supplier<NodeState> state, MetricRegistry registry) implements NodeReader {
 
 	@Override
-	public Optional<DesiredState> truth() {
+	public Optional<DesiredState> desiredState() {
 		return this.state.get().desiredState();
 	}
 
 	@Override
-	public Optional<DesiredState> truthAfter(long number) {
+	public Optional<DesiredState> desiredStateAfter(long number) {
 		return this.state.get().ticket().log().stateAfter(number);
 	}
 
--- a/src/test/java/sycamorehill/runtime/ClockJumpTests.java
+++ b/src/test/java/sycamorehill/runtime/ClockJumpTests.java
@@ -27,27 +27,28 @@
 
 	// A lease would expire at once, and every request's time would be over.
 	@Test
-	void theClockOfAProcessGoesOnWhenTheTimeOfDayJumps() {
-		List<Instant> asked = new ArrayList<>();
-		Instant day = Instant.ofEpochSecond(1_000_000);
+	void monotonicClockIgnoresWallClockJumps() {
+		List<Instant> wallClockReadings = new ArrayList<>();
+		Instant wallClockStart = Instant.ofEpochSecond(1_000_000);
 		MonotonicClock clock = MonotonicClock.start(() -> {
-			asked.add(day);
-			return (asked.size() == 1) ? day : day.minus(JUMP);
+			wallClockReadings.add(wallClockStart);
+			return (wallClockReadings.size() == 1) ? wallClockStart : wallClockStart.minus(JUMP);
 		});
 		Instant first = clock.instant();
 		Instant second = clock.instant();
-		assertThat(first).isBetween(day, day.plusSeconds(60));
+		assertThat(first).isBetween(wallClockStart, wallClockStart.plusSeconds(60));
 		assertThat(second).isBetween(first, first.plusSeconds(60));
-		assertThat(asked).hasSize(1);
+		assertThat(wallClockReadings).hasSize(1);
 	}
 
 	// Two nodes whose clocks are 40 minutes apart would each take the other's news for
 	// old or for not yet true.
 	@Test
-	void nothingThatNodesTellEachOtherOrTheStoreIsATimeOfDay() {
-		Stream<Class<?>> told = Stream.concat(Stream.of(NodeMessage.class.getPermittedSubclasses()),
+	void messagesAndStoreRecordsContainNoTimestamps() {
+		Stream<Class<?>> transmittedTypes = Stream.concat(Stream.of(NodeMessage.class.getPermittedSubclasses()),
 				Stream.of(Lease.class, NodeRecord.class));
-		assertThat(told.flatMap((type) -> Stream.of(type.getRecordComponents())).map(RecordComponent::getType))
+		assertThat(
+				transmittedTypes.flatMap((type) -> Stream.of(type.getRecordComponents())).map(RecordComponent::getType))
 			.isNotEmpty()
 			.noneMatch(Temporal.class::isAssignableFrom);
 	}
--- a/src/test/java/sycamorehill/runtime/MetricsDocsTests.java
+++ b/src/test/java/sycamorehill/runtime/MetricsDocsTests.java
@@ -27,19 +27,19 @@
 	private static final Pattern NAME = Pattern.compile("`([a-z]+\\.[a-z.*-]+)`");
 
 	@Test
-	void docsListEveryMetricOfAStartedNode() throws Exception {
+	void documentationListsEveryMetricOfStartedNode() throws Exception {
 		List<Address> addresses = FreePorts.find(4);
 		DataCentreName dataCentre = DataCentreName.of("fukuoka");
 		NodeSettings settings = new NodeSettings(NodeName.of("n"), dataCentre, List.of(dataCentre), addresses.get(0),
 				addresses.get(1), addresses.get(2), addresses.get(3), "metrics-test-secret", Policy.standard());
 		try (Node node = Node.start(settings, Clock.systemUTC())) {
-			Set<String> documented = documented();
+			Set<String> documented = readDocumentedNames();
 			Assertions.assertThat(node.metricNames())
 				.allMatch((name) -> documented.contains(name) || documented.contains(name.replaceAll("[^.]+$", "*")));
 		}
 	}
 
-	private static Set<String> documented() throws Exception {
+	private static Set<String> readDocumentedNames() throws Exception {
 		Set<String> names = new TreeSet<>();
 		Matcher matcher = NAME.matcher(Files.readString(Path.of("docs/METRICS.md")));
 		while (matcher.find()) {
