--- a/src/main/java/sycamorehill/operator/NodeReader.java
+++ b/src/main/java/sycamorehill/operator/NodeReader.java
@@ -7,37 +7,38 @@
 import sycamorehill.model.ticket.Ticket;
 
 /**
- * What operators read of a node without asking the decisions.
+ * Reads a node's state and metrics for operators without involving the decision logic.
  */
 public interface NodeReader {
 
 	/**
-	 * The state in force on the node.
-	 * @return the truth, once the node has one
+	 * Returns the desired state that the node has applied.
+	 * @return the desired state, or empty if the node doesn't have one yet
 	 */
 	Optional<DesiredState> desiredState();
 
 	/**
-	 * The state after a ticket.
-	 * @param number the ticket
-	 * @return the truth, while the node keeps the history that far
+	 * Returns the desired state after a ticket.
+	 * @param number the number of the ticket
+	 * @return the desired state, or empty if the node's history doesn't include that
+	 * ticket
 	 */
 	Optional<DesiredState> desiredStateAfter(long number);
 
 	/**
-	 * The tickets that the node still keeps.
+	 * Returns the tickets that the node still keeps.
 	 * @return the tickets, newest first
 	 */
 	List<Ticket> tickets();
 
 	/**
-	 * All that the node knows, for a person to read.
+	 * Returns the complete state of the node in a form for people to read.
 	 * @return a value that can be written as JSON, without keys or bodies
 	 */
 	Object dump();
 
 	/**
-	 * The node's metrics.
+	 * Returns the node's metrics.
 	 * @return a value that can be written as JSON
 	 */
 	Object metrics();
--- a/src/main/java/sycamorehill/operator/OperatorAnswer.java
+++ b/src/main/java/sycamorehill/operator/OperatorAnswer.java
@@ -1,10 +1,10 @@
 package sycamorehill.operator;
 
 /**
- * An answer to an operator.
+ * Holds the answer to an operator's call.
  *
  * @param status the HTTP status
- * @param body what is written as JSON
+ * @param body the value that is written as JSON
  */
 record OperatorAnswer(int status, Object body) {
 
--- a/src/main/java/sycamorehill/operator/OperatorError.java
+++ b/src/main/java/sycamorehill/operator/OperatorError.java
@@ -1,7 +1,7 @@
 package sycamorehill.operator;
 
 /**
- * Why an operator's call was not carried out.
+ * Describes why an operator's call failed.
  *
  * @param detail one sentence for people
  */
--- a/src/main/java/sycamorehill/operator/OperatorServer.java
+++ b/src/main/java/sycamorehill/operator/OperatorServer.java
@@ -33,7 +33,7 @@
 import sycamorehill.runtime.EventSink;
 
 /**
- * The operators' HTTP server of a node.
+ * Serves the operators' HTTP interface of a node.
  */
 public final class OperatorServer implements AutoCloseable {
 
@@ -63,11 +63,11 @@
 	}
 
 	/**
-	 * Creates the server; {@link #listen} opens it.
-	 * @param calls operators that wait
-	 * @param nodeReader what operators read
-	 * @param events where tickets go for decision
-	 * @param json reads and writes bodies
+	 * Creates the server; {@link #listen} starts it.
+	 * @param calls tracks the calls that wait for an answer
+	 * @param nodeReader reads the node's state and metrics
+	 * @param events receives the filed tickets and the queries for their rollout
+	 * @param json reads and writes the bodies
 	 * @return the server
 	 */
 	public static OperatorServer create(PendingOperatorCalls calls, NodeReader nodeReader, EventSink events,
@@ -76,10 +76,10 @@
 	}
 
 	/**
-	 * Opens the server.
-	 * @param address where to listen
-	 * @return the address it listens on
-	 * @throws Exception if the address can't be had
+	 * Starts the server.
+	 * @param address the address to listen on
+	 * @return the address on which the server listens, with the actual port
+	 * @throws Exception if the server can't listen on the address
 	 */
 	public Address listen(InetSocketAddress address) throws Exception {
 		this.server = HttpServers.forAddress(address)
@@ -202,7 +202,7 @@
 			text = this.json.writeValueAsString(answer.body());
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("an answer of ours can't be written", ex);
+			throw new IllegalStateException("the answer to an operator can't be written as JSON", ex);
 		}
 		return factory.newResponse(HttpResponseStatus.of(answer.status(), ""))
 			.setHeader("Content-Type", "application/json")
--- a/src/main/java/sycamorehill/operator/PendingOperatorCalls.java
+++ b/src/main/java/sycamorehill/operator/PendingOperatorCalls.java
@@ -12,7 +12,7 @@
 import sycamorehill.runtime.OperatorPort;
 
 /**
- * Operators that wait for an answer of the decisions.
+ * Tracks the operator calls that wait for an answer of the decision logic.
  */
 public final class PendingOperatorCalls implements OperatorPort {
 
@@ -26,8 +26,8 @@
 	}
 
 	/**
-	 * Creates an empty table.
-	 * @return the table
+	 * Creates an instance without pending calls.
+	 * @return the new instance
 	 */
 	public static PendingOperatorCalls create() {
 		return new PendingOperatorCalls();
--- a/src/main/java/sycamorehill/operator/StateBody.java
+++ b/src/main/java/sycamorehill/operator/StateBody.java
@@ -6,17 +6,17 @@
 import sycamorehill.model.ticket.DesiredState;
 
 /**
- * The current truth as operators read it.
+ * Holds a desired state in the form in which operators read it.
  *
- * @param number the last ticket that is in force
- * @param items every item with the ticket that set it, by key
+ * @param number the number of the last ticket in the state
+ * @param items all items, each with the ticket that set it, ordered by key
  */
 public record StateBody(long number, List<AppliedItem> items) {
 
 	/**
-	 * Orders the items of a truth.
-	 * @param desiredState the truth
-	 * @return its items by key
+	 * Creates a body with the items of a desired state ordered by key.
+	 * @param desiredState the desired state
+	 * @return the body
 	 */
 	public static StateBody of(DesiredState desiredState) {
 		return new StateBody(desiredState.number(),
--- a/src/main/java/sycamorehill/operator/package-info.java
+++ b/src/main/java/sycamorehill/operator/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The operators' interface over HTTP: tickets, state and dump.
+ * Contains the operators' HTTP interface: tickets, state, dump and metrics.
  */
 package sycamorehill.operator;
--- a/src/main/java/sycamorehill/runtime/BufferingEventSink.java
+++ b/src/main/java/sycamorehill/runtime/BufferingEventSink.java
@@ -6,8 +6,8 @@
 import sycamorehill.model.event.Event;
 
 /**
- * Takes events from edges that are made before the control loop, and keeps them until the
- * loop is there.
+ * Buffers the events of adapters that are created before the control loop, and forwards
+ * them once the loop is connected.
  */
 final class BufferingEventSink implements EventSink {
 
--- a/src/main/java/sycamorehill/runtime/ControlLoop.java
+++ b/src/main/java/sycamorehill/runtime/ControlLoop.java
@@ -20,8 +20,9 @@
 import sycamorehill.model.log.LogEvent;
 
 /**
- * The one thread that holds control state: it takes events in order, steps the reducer
- * and hands the effects out. Others read the last published state, which is immutable.
+ * Owns the control state. A single thread takes the events in order, applies them with
+ * the reducer and carries out the resulting effects. Other threads read the last
+ * published state, which is immutable.
  */
 public final class ControlLoop implements EventSink, AutoCloseable {
 
@@ -63,15 +64,15 @@
 	}
 
 	/**
-	 * Creates the loop; {@link #start} starts its thread.
+	 * Creates a control loop; {@link #start} starts its thread.
 	 * @param initial the state before the first event
-	 * @param clock monotonic time
-	 * @param wallClock wall clock, for records only
-	 * @param effects carries effects out
-	 * @param metrics where the loop counts
-	 * @param invariantViolationHandler hears of a step that threw: the process can't go
-	 * on
-	 * @return the loop
+	 * @param clock the monotonic clock
+	 * @param wallClock the wall clock, for records only
+	 * @param effects carries out the effects of each step
+	 * @param metrics the registry of the loop's metrics
+	 * @param invariantViolationHandler called when a step throws; the process can't go on
+	 * then
+	 * @return the control loop
 	 */
 	public static ControlLoop create(NodeState initial, InstantSource clock, InstantSource wallClock,
 			EffectPort effects, MetricRegistry metrics, InvariantViolationHandler invariantViolationHandler) {
@@ -79,8 +80,8 @@
 	}
 
 	/**
-	 * Starts the thread.
-	 * @param seed feeds every random choice of the decisions
+	 * Starts the control thread.
+	 * @param seed the seed of all random choices of the decision logic
 	 */
 	public void start(long seed) {
 		post(new NodeEvent.Started(seed));
@@ -93,7 +94,8 @@
 	}
 
 	/**
-	 * Identifies the control thread, to read what it costs.
+	 * Returns the identifier of the control thread, by which its processor time is
+	 * measured.
 	 * @return the thread's identifier
 	 */
 	public long threadIdentifier() {
@@ -101,7 +103,7 @@
 	}
 
 	/**
-	 * The state after the last step.
+	 * Returns the state after the last step.
 	 * @return the state
 	 */
 	public NodeState state() {
@@ -145,8 +147,9 @@
 			this.effects.carryOut(effect);
 		}
 		catch (RuntimeException ex) {
-			// An edge that fails must not stop the decisions: its answer stays out, which
-			// every part takes for "not known" after its timeout.
+			// A failing adapter must not stop the control loop. Its answer never arrives,
+			// and all decision logic treats a missing answer as an unknown outcome after
+			// its timeout.
 			this.effectFailures.inc();
 			EventLog.failure(LogEvent.EFFECT_FAILED, effect.getClass().getSimpleName(), ex);
 		}
@@ -159,7 +162,7 @@
 	}
 
 	/**
-	 * Hears of a step that threw.
+	 * Handles a step that threw an exception.
 	 */
 	@FunctionalInterface
 	public interface InvariantViolationHandler {
@@ -167,7 +170,7 @@
 		/**
 		 * Ends the process.
 		 * @param event the event whose step threw
-		 * @param cause what was thrown
+		 * @param cause the exception
 		 */
 		void handle(Event event, RuntimeException cause);
 
--- a/src/main/java/sycamorehill/runtime/EffectDispatcher.java
+++ b/src/main/java/sycamorehill/runtime/EffectDispatcher.java
@@ -25,7 +25,8 @@
 import sycamorehill.objectapi.VmListClient;
 
 /**
- * Hands each effect to the edge that carries it out, and its answer back as an event.
+ * Passes each effect to the adapter that carries it out, and posts the answer as an
+ * event.
  */
 final class EffectDispatcher implements EffectPort {
 
@@ -131,8 +132,9 @@
 
 	private void sendCommand(TargetEffect.SendOrder order) {
 		count("engine.orders-sent");
-		// A process paused between the decision and this line must not send any more: an
-		// engine that ignores fencing would obey an order that was overtaken meanwhile.
+		// If the process was paused after the decision, the command may be too old to
+		// send: an engine that ignores fencing would execute a command that has been
+		// superseded in the meantime.
 		if (this.clock.instant().isAfter(order.notAfter())) {
 			this.events.post(new TargetEvent.OrderAnswered(order.call(), EngineCommandResult.NOT_KNOWN));
 			return;
--- a/src/main/java/sycamorehill/runtime/EffectPort.java
+++ b/src/main/java/sycamorehill/runtime/EffectPort.java
@@ -3,14 +3,15 @@
 import sycamorehill.model.effect.Effect;
 
 /**
- * Carries effects out. It must not block: it runs on the control thread.
+ * Carries out effects. Implementations must not block because they run on the control
+ * thread.
  */
 @FunctionalInterface
 public interface EffectPort {
 
 	/**
-	 * Begins to carry an effect out.
-	 * @param effect what is to be done
+	 * Starts to carry out an effect.
+	 * @param effect the effect
 	 */
 	void carryOut(Effect effect);
 
--- a/src/main/java/sycamorehill/runtime/EventLog.java
+++ b/src/main/java/sycamorehill/runtime/EventLog.java
@@ -6,7 +6,7 @@
 import sycamorehill.model.log.LogLine;
 
 /**
- * Writes numbered log lines.
+ * Writes log lines that begin with the code and the name of a numbered event.
  */
 public final class EventLog {
 
@@ -14,8 +14,8 @@
 	}
 
 	/**
-	 * Writes a line.
-	 * @param line the line
+	 * Writes a log line at the level of its event.
+	 * @param line the log line
 	 */
 	public static void write(LogLine line) {
 		String text = line.event().code() + " " + line.event() + " " + line.detail();
@@ -27,10 +27,10 @@
 	}
 
 	/**
-	 * Writes a line about something that threw, with where it was thrown.
+	 * Writes a log line about an exception, with its stack trace.
 	 * @param event the numbered event
-	 * @param detail what was being done
-	 * @param cause what was thrown
+	 * @param detail the operation that failed
+	 * @param cause the exception
 	 */
 	public static void failure(LogEvent event, String detail, Throwable cause) {
 		Logger.error(cause, event.code() + " " + event + " " + detail);
--- a/src/main/java/sycamorehill/runtime/EventSink.java
+++ b/src/main/java/sycamorehill/runtime/EventSink.java
@@ -3,14 +3,14 @@
 import sycamorehill.model.event.Event;
 
 /**
- * Takes events for the control thread.
+ * Accepts events for the control thread.
  */
 @FunctionalInterface
 public interface EventSink {
 
 	/**
-	 * Hands an event over, from any thread.
-	 * @param event what happened
+	 * Posts an event. Any thread may call this method.
+	 * @param event the event
 	 */
 	void post(Event event);
 
--- a/src/main/java/sycamorehill/runtime/MetricsSnapshot.java
+++ b/src/main/java/sycamorehill/runtime/MetricsSnapshot.java
@@ -9,11 +9,11 @@
 import com.codahale.metrics.Timer;
 
 /**
- * All metrics of a process at one moment.
+ * Holds the values of all metrics of a process at one time.
  *
- * @param gauges present values
- * @param counters counts since the start
- * @param timers counts, rates a second and percentiles in milliseconds
+ * @param gauges the current values
+ * @param counters the counts since the start of the process
+ * @param timers the counts, rates per second and percentiles in milliseconds
  */
 record MetricsSnapshot(SortedMap<String, Object> gauges, SortedMap<String, Long> counters,
 		SortedMap<String, TimerValues> timers) {
@@ -31,13 +31,13 @@
 	}
 
 	/**
-	 * One timer.
+	 * Holds the values of one timer.
 	 *
-	 * @param count how often it was measured
-	 * @param perSecond rate over the last minute
-	 * @param median half of the values are below, in milliseconds
-	 * @param percentile95 95 in 100 are below, in milliseconds
-	 * @param percentile99 99 in 100 are below, in milliseconds
+	 * @param count the number of measurements
+	 * @param perSecond the rate of measurements per second over the last minute
+	 * @param median the median in milliseconds
+	 * @param percentile95 the 95th percentile in milliseconds
+	 * @param percentile99 the 99th percentile in milliseconds
 	 */
 	record TimerValues(long count, double perSecond, double median, double percentile95, double percentile99) {
 
--- a/src/main/java/sycamorehill/runtime/MonotonicClock.java
+++ b/src/main/java/sycamorehill/runtime/MonotonicClock.java
@@ -4,8 +4,9 @@
 import java.time.InstantSource;
 
 /**
- * Time that never goes back, for leases and timeouts. It begins at the wall clock of its
- * creation and means nothing on another VM.
+ * Provides time that never goes back, for leases and timeouts. The clock starts at the
+ * wall-clock time of its creation. Its instants can't be compared with those of another
+ * process.
  */
 public final class MonotonicClock implements InstantSource {
 
@@ -20,7 +21,7 @@
 
 	/**
 	 * Creates a clock.
-	 * @param wallClock gives the time it begins at
+	 * @param wallClock provides the instant at which the clock starts
 	 * @return the clock
 	 */
 	public static MonotonicClock start(InstantSource wallClock) {
--- a/src/main/java/sycamorehill/runtime/Node.java
+++ b/src/main/java/sycamorehill/runtime/Node.java
@@ -33,7 +33,7 @@
 import sycamorehill.settings.NodeSettings;
 
 /**
- * One node: every role in one process.
+ * Runs a node, with all its roles, in one process.
  */
 public final class Node implements AutoCloseable {
 
@@ -89,11 +89,11 @@
 	}
 
 	/**
-	 * Starts a node and opens its servers.
-	 * @param settings its settings
+	 * Starts a node and its servers.
+	 * @param settings the node's settings
 	 * @param wallClock the wall clock
 	 * @return the running node
-	 * @throws Exception if an address can't be had
+	 * @throws Exception if a server can't listen on its address
 	 */
 	public static Node start(NodeSettings settings, InstantSource wallClock) throws Exception {
 		Node node = new Node(settings, wallClock);
@@ -109,8 +109,9 @@
 	}
 
 	/**
-	 * Begins a planned stop.
-	 * @return done when everything in flight is over, or when the bound has passed
+	 * Starts a planned shutdown.
+	 * @return a future that completes when nothing is in flight any more or the time
+	 * limit of the shutdown has passed
 	 */
 	public CompletableFuture<NodeTermination> stop() {
 		EventLog.write(LogLine.of(LogEvent.NODE_STOPPING, this.settings.name().value()));
@@ -119,15 +120,15 @@
 	}
 
 	/**
-	 * The end of the node.
-	 * @return done when it has stopped or can't go on
+	 * Returns how the node ends, once it does.
+	 * @return a future that completes when the node has stopped or can't go on
 	 */
 	public CompletableFuture<NodeTermination> whenStopped() {
 		return this.termination;
 	}
 
 	/**
-	 * The node's settings.
+	 * Returns the node's settings.
 	 * @return the settings
 	 */
 	public NodeSettings settings() {
@@ -135,7 +136,7 @@
 	}
 
 	/**
-	 * The state after the last step.
+	 * Returns the state after the last step.
 	 * @return the state
 	 */
 	public NodeState state() {
@@ -143,7 +144,7 @@
 	}
 
 	/**
-	 * The names of all metrics that the node has so far.
+	 * Returns the names of all metrics that are registered so far.
 	 * @return the names
 	 */
 	Set<String> metricNames() {
--- a/src/main/java/sycamorehill/runtime/NodeDump.java
+++ b/src/main/java/sycamorehill/runtime/NodeDump.java
@@ -4,13 +4,13 @@
 import sycamorehill.model.identity.NodeIdentity;
 
 /**
- * One node's state for a person to read. Keys of workspaces stand in it only as hashes,
- * and bodies not at all, because the decisions never see them.
+ * Holds the state of a node in a form for people to read. Keys of workspaces appear only
+ * as hashes. Bodies don't appear at all, because the decision logic never receives them.
  *
- * @param self who the node is
- * @param ready whether it takes new callers
- * @param ticket the last ticket in force on it
- * @param state everything that its decisions rest on
+ * @param self the node's identity
+ * @param ready whether the node accepts new callers
+ * @param ticket the number of the last ticket that the node has applied, or -1
+ * @param state the complete state on which the node's decisions are based
  */
 record NodeDump(NodeIdentity self, boolean ready, long ticket, NodeState state) {
 
--- a/src/main/java/sycamorehill/runtime/NodeMetrics.java
+++ b/src/main/java/sycamorehill/runtime/NodeMetrics.java
@@ -18,7 +18,8 @@
 import sycamorehill.peer.PeerCounters;
 
 /**
- * Registers what operators watch of a node. docs/METRICS.md explains each name.
+ * Registers the metrics that operators monitor on a node. docs/METRICS.md explains each
+ * name.
  */
 final class NodeMetrics {
 
@@ -39,9 +40,9 @@
 	}
 
 	/**
-	 * What the process costs. The control thread's own processor time shows what control
-	 * takes, apart from traffic.
-	 * @param controlThread identifies the control thread
+	 * Registers the resource usage of the process. The processor time of the control
+	 * thread shows the cost of control apart from that of traffic.
+	 * @param controlThread the identifier of the control thread
 	 */
 	void registerProcess(long controlThread) {
 		ThreadMXBean threads = ManagementFactory.getThreadMXBean();
@@ -54,8 +55,8 @@
 	}
 
 	/**
-	 * What goes between nodes.
-	 * @param counters counts of the transport
+	 * Registers the counters of the traffic between nodes.
+	 * @param counters the counters of the transport
 	 */
 	void registerPeers(PeerCounters counters) {
 		registerLong("peer.sent-bytes", counters::sentBytes);
@@ -68,9 +69,9 @@
 	}
 
 	/**
-	 * What the node knows, and how old it is.
-	 * @param state the last published state
-	 * @param clock monotonic time
+	 * Registers metrics of the node's state and the age of its group allocation.
+	 * @param state supplies the last published state
+	 * @param clock the monotonic clock
 	 */
 	void registerState(Supplier<NodeState> state, InstantSource clock) {
 		registerLong("state.ticket", () -> state.get().desiredState().map(DesiredState::number).orElse(NO_TICKET));
--- a/src/main/java/sycamorehill/runtime/NodeTermination.java
+++ b/src/main/java/sycamorehill/runtime/NodeTermination.java
@@ -1,14 +1,14 @@
 package sycamorehill.runtime;
 
 /**
- * How a node ended.
+ * Tells how a node ended.
  */
 public enum NodeTermination {
 
-	/** A planned stop went through. */
+	/** The node completed a planned shutdown. */
 	STOPPED,
 
-	/** An invariant broke; the process can't go on. */
+	/** An invariant was violated; the process can't go on. */
 	FAILED
 
 }
--- a/src/main/java/sycamorehill/runtime/OperatorPort.java
+++ b/src/main/java/sycamorehill/runtime/OperatorPort.java
@@ -3,7 +3,7 @@
 import sycamorehill.model.effect.OperatorEffect;
 
 /**
- * Answers waiting operators.
+ * Carries out effects that answer waiting operators.
  */
 @FunctionalInterface
 public interface OperatorPort {
--- a/src/main/java/sycamorehill/runtime/PeerSender.java
+++ b/src/main/java/sycamorehill/runtime/PeerSender.java
@@ -13,9 +13,10 @@
 
 	/**
 	 * Sends a message.
-	 * @param to the node
+	 * @param to the receiving node
 	 * @param message the message
-	 * @return done when it is handed to the network; fails if it could not be
+	 * @return a future that completes when the message has been passed to the network,
+	 * and fails if that was not possible
 	 */
 	CompletableFuture<Void> send(NodeIdentity to, PeerMessage message);
 
--- a/src/main/java/sycamorehill/runtime/RequestPort.java
+++ b/src/main/java/sycamorehill/runtime/RequestPort.java
@@ -3,14 +3,14 @@
 import sycamorehill.model.effect.RequestEffect;
 
 /**
- * Carries out effects on callers' requests, on traffic threads.
+ * Carries out effects on callers' requests on the traffic threads.
  */
 @FunctionalInterface
 public interface RequestPort {
 
 	/**
-	 * Begins to carry an effect out.
-	 * @param effect what is to be done
+	 * Starts to carry out an effect.
+	 * @param effect the effect
 	 */
 	void carryOut(RequestEffect effect);
 
--- a/src/main/java/sycamorehill/runtime/StateReader.java
+++ b/src/main/java/sycamorehill/runtime/StateReader.java
@@ -12,7 +12,8 @@
 import sycamorehill.operator.NodeReader;
 
 /**
- * Answers operators from the last published state, without asking the control thread.
+ * Answers operators' queries from the last published state, without involving the control
+ * thread.
  */
 record StateReader(Supplier<NodeState> state, MetricRegistry registry) implements NodeReader {
 
--- a/src/main/java/sycamorehill/runtime/package-info.java
+++ b/src/main/java/sycamorehill/runtime/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The one control thread, the effects it carries out, and the assembly of a node.
+ * Contains the control thread, the dispatch of its effects, and the assembly of a node.
  */
 package sycamorehill.runtime;
--- a/src/test/java/sycamorehill/runtime/ClockJumpTests.java
+++ b/src/test/java/sycamorehill/runtime/ClockJumpTests.java
@@ -17,15 +17,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The time of day jumps on some VMs by 40 minutes, either way, also while a process
- * starts. Leases, timeouts and ages go on, because they rest on time since the start of
- * the process, and because nodes tell each other no times of day.
+ * Guards against leases, timeouts and ages that follow the wall clock. On some VMs it
+ * jumps by 40 minutes in either direction, also while a process starts. Time is therefore
+ * measured from the start of the process, and nodes exchange no wall-clock times.
  */
 class ClockJumpTests {
 
 	private static final Duration JUMP = Duration.ofMinutes(40);
 
-	// A lease would expire at once, and every request's time would be over.
+	// If the clock followed the jump, a lease would expire at once and every request
+	// would time out.
 	@Test
 	void monotonicClockIgnoresWallClockJumps() {
 		List<Instant> wallClockReadings = new ArrayList<>();
@@ -41,8 +42,8 @@
 		assertThat(wallClockReadings).hasSize(1);
 	}
 
-	// Two nodes whose clocks are 40 minutes apart would each take the other's news for
-	// old or for not yet true.
+	// Two nodes whose clocks differ by 40 minutes would each treat the other's updates as
+	// outdated or as not yet valid.
 	@Test
 	void messagesAndStoreRecordsContainNoTimestamps() {
 		Stream<Class<?>> transmittedTypes = Stream.concat(Stream.of(NodeMessage.class.getPermittedSubclasses()),
--- a/src/test/java/sycamorehill/runtime/MetricsDocsTests.java
+++ b/src/test/java/sycamorehill/runtime/MetricsDocsTests.java
@@ -20,7 +20,7 @@
 import sycamorehill.settings.NodeSettings;
 
 /**
- * The table of metrics in docs.
+ * Guards against metrics of a node that are missing from the table in docs/METRICS.md.
  */
 class MetricsDocsTests {
 
