--- a/src/main/java/sycamorehill/entry/ConnectTimeout.java
+++ b/src/main/java/sycamorehill/entry/ConnectTimeout.java
@@ -3,30 +3,33 @@
 import java.time.Duration;
 
 /**
- * How long a connection attempt may take, learned from those that succeeded.
+ * Timeout of connection attempts, derived from the recent successful ones.
  *
- * A target that has lost power answers nothing, and a request that was sent there waits
- * until the attempt is given up. Connections within a region take some milliseconds: an
- * attempt that takes many times longer will not succeed before its first packet is sent
- * again, a second later.
+ * A target that has lost power does not answer, and a request to it waits until the
+ * connection attempt times out. Connections within a region take a few milliseconds. An
+ * attempt that takes many times longer will not succeed before its first packet is
+ * retransmitted, one second later.
  */
 final class ConnectTimeout {
 
-	/** Timeout while little is known. */
-	static final Duration MOST = Duration.ofMillis(300);
+	/** Upper limit of the timeout; used until enough connections are recorded. */
+	static final Duration MAXIMUM_TIMEOUT = Duration.ofMillis(300);
 
-	/** A busy process at either end may answer this late. */
-	static final Duration LEAST = Duration.ofMillis(100);
+	/**
+	 * Lower limit of the timeout: a busy process at either end may take this long to
+	 * answer.
+	 */
+	static final Duration MINIMUM_TIMEOUT = Duration.ofMillis(100);
 
-	/** The timeout against the slowest connection of late. */
-	private static final int TIMES = 5;
+	/** Ratio of the timeout to the slowest recent connection. */
+	private static final int SLOWEST_MULTIPLIER = 5;
 
-	/** Connections that are looked at: the latest. */
-	private static final int LATEST = 32;
+	/** Number of recent connections that determine the timeout. */
+	private static final int WINDOW_SIZE = 32;
 
-	private final long[] nanos = new long[LATEST];
+	private final long[] connectNanos = new long[WINDOW_SIZE];
 
-	private int seen;
+	private int connectionCount;
 
 	private ConnectTimeout() {
 	}
@@ -36,28 +39,28 @@
 	}
 
 	/**
-	 * Notes a connection.
-	 * @param took time that it took, in nanoseconds
+	 * Records a successful connection.
+	 * @param elapsedNanos the time that it took to connect, in nanoseconds
 	 */
-	void connected(long took) {
-		this.nanos[this.seen % LATEST] = took;
-		this.seen++;
+	void recordConnection(long elapsedNanos) {
+		this.connectNanos[this.connectionCount % WINDOW_SIZE] = elapsedNanos;
+		this.connectionCount++;
 	}
 
 	/**
-	 * The timeout for the next attempt.
+	 * Returns the timeout for the next attempt.
 	 * @return the timeout
 	 */
-	Duration present() {
-		if (this.seen < LATEST) {
-			return MOST;
+	Duration current() {
+		if (this.connectionCount < WINDOW_SIZE) {
+			return MAXIMUM_TIMEOUT;
 		}
 		long slowest = 0;
-		for (long each : this.nanos) {
+		for (long each : this.connectNanos) {
 			slowest = Math.max(slowest, each);
 		}
-		long wanted = Math.max(LEAST.toNanos(), slowest * TIMES);
-		return Duration.ofNanos(Math.min(MOST.toNanos(), wanted));
+		long multiple = Math.max(MINIMUM_TIMEOUT.toNanos(), slowest * SLOWEST_MULTIPLIER);
+		return Duration.ofNanos(Math.min(MAXIMUM_TIMEOUT.toNanos(), multiple));
 	}
 
 }
--- a/src/main/java/sycamorehill/entry/TargetCodec.java
+++ b/src/main/java/sycamorehill/entry/TargetCodec.java
@@ -20,7 +20,7 @@
 import sycamorehill.model.serving.TargetEntry;
 
 /**
- * Changes of targets in messages between nodes.
+ * Encodes changes of targets in messages between nodes.
  */
 final class TargetCodec {
 
@@ -74,16 +74,16 @@
 		ArrayNode staged = node.putArray(STAGED);
 		entry.staged().forEach(staged::add);
 		entry.membership()
-			.ifPresent((seat) -> node.put(GROUP, seat.group())
-				.put(EPOCH, seat.epoch())
-				.put(RANK, seat.rank())
-				.put(STATE, seat.state().name()));
+			.ifPresent((membership) -> node.put(GROUP, membership.group())
+				.put(EPOCH, membership.epoch())
+				.put(RANK, membership.rank())
+				.put(STATE, membership.state().name()));
 	}
 
 	/**
-	 * Reads changes.
-	 * @param changes the changes as they stand in a message
-	 * @return the changes; an {@link IllegalArgumentException} if one can't be read
+	 * Decodes changes.
+	 * @param changes the encoded changes
+	 * @return the changes; throws an {@link IllegalArgumentException} if one is invalid
 	 */
 	static List<TargetChange> read(JsonNode changes) {
 		List<TargetChange> read = new ArrayList<>();
--- /dev/null
+++ b/src/main/java/sycamorehill/entry/TargetConnectionPool.java
@@ -0,0 +1,153 @@
+package sycamorehill.entry;
+
+import java.net.InetSocketAddress;
+import java.time.Duration;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.Map;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import io.netty.handler.codec.http.HttpRequestEncoder;
+
+import sycamorehill.model.serving.TargetAddress;
+
+/**
+ * Pools connections to targets. A connection serves one request at a time. It is reused
+ * only if its last answer ended cleanly and no byte followed.
+ */
+final class TargetConnectionPool {
+
+	/**
+	 * Fraction of the idle timeout of the target after which a connection is not reused:
+	 * the target may be closing it, and the outcome of a request that is in transit at
+	 * that moment is unknown.
+	 */
+	private static final double IDLE_TIMEOUT_FRACTION = 0.5;
+
+	/** Idle timeout of targets that don't report one. */
+	private static final Duration DEFAULT_IDLE_TIMEOUT = Duration.ofSeconds(2);
+
+	/** Number of idle connections kept for one target; only bursts need more. */
+	private static final int MAXIMUM_IDLE_CONNECTIONS = 12;
+
+	private final EventLoop loop;
+
+	private final Bootstrap bootstrap;
+
+	private final ConnectTimeout connectTimeout = ConnectTimeout.create();
+
+	private final Map<TargetAddress, Deque<IdleConnection>> idleConnections = new HashMap<>();
+
+	private TargetConnectionPool(EventLoop loop) {
+		this.loop = loop;
+		this.bootstrap = new Bootstrap().group(loop)
+			.channel(NioSocketChannel.class)
+			.option(ChannelOption.TCP_NODELAY, true)
+			.handler(new ChannelInitializer<Channel>() {
+				@Override
+				protected void initChannel(Channel channel) {
+					channel.pipeline()
+						.addLast(StrictResponseDecoder.create(), new HttpRequestEncoder(), new TargetConnection());
+				}
+			});
+	}
+
+	static TargetConnectionPool of(EventLoop loop) {
+		return new TargetConnectionPool(loop);
+	}
+
+	/**
+	 * Returns an idle connection and removes it from the pool.
+	 * @param target the target
+	 * @param maximumIdle the longest time that it may have been idle
+	 * @return the connection, or null if there is none
+	 */
+	TargetConnection acquireIdle(TargetAddress target, Duration maximumIdle) {
+		Deque<IdleConnection> connections = this.idleConnections.get(target);
+		if (connections == null) {
+			return null;
+		}
+		long now = System.nanoTime();
+		while (!connections.isEmpty()) {
+			IdleConnection last = connections.removeLast();
+			boolean usable = now - last.sinceNanos < Math.min(last.usableNanos, maximumIdle.toNanos());
+			if (usable && last.connection.isOpen()) {
+				return last.connection;
+			}
+			last.connection.close();
+		}
+		return null;
+	}
+
+	ChannelFuture connect(TargetAddress target) {
+		long startNanos = System.nanoTime();
+		this.bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) this.connectTimeout.current().toMillis());
+		ChannelFuture connecting = this.bootstrap
+			.connect(new InetSocketAddress(target.address().host(), target.address().port()));
+		connecting.addListener((future) -> {
+			if (future.isSuccess()) {
+				this.connectTimeout.recordConnection(System.nanoTime() - startNanos);
+			}
+		});
+		return connecting;
+	}
+
+	void release(TargetAddress target, TargetConnection connection, Duration idleTimeout) {
+		Duration timeout = (idleTimeout != null) ? idleTimeout : DEFAULT_IDLE_TIMEOUT;
+		Deque<IdleConnection> connections = this.idleConnections.computeIfAbsent(target, (key) -> new ArrayDeque<>());
+		connections.addLast(
+				new IdleConnection(connection, System.nanoTime(), (long) (timeout.toNanos() * IDLE_TIMEOUT_FRACTION)));
+		if (connections.size() > MAXIMUM_IDLE_CONNECTIONS) {
+			connections.removeFirst().connection.close();
+		}
+	}
+
+	/** Closes connections that have been idle for too long. */
+	void closeExpired() {
+		long now = System.nanoTime();
+		Iterator<Deque<IdleConnection>> targets = this.idleConnections.values().iterator();
+		while (targets.hasNext()) {
+			Deque<IdleConnection> connections = targets.next();
+			connections.removeIf((each) -> {
+				boolean expired = now - each.sinceNanos >= each.usableNanos || !each.connection.isOpen();
+				if (expired) {
+					each.connection.close();
+				}
+				return expired;
+			});
+			if (connections.isEmpty()) {
+				targets.remove();
+			}
+		}
+	}
+
+	void closeIdle(TargetAddress target) {
+		Deque<IdleConnection> connections = this.idleConnections.remove(target);
+		if (connections != null) {
+			connections.forEach((each) -> each.connection.close());
+		}
+	}
+
+	EventLoop loop() {
+		return this.loop;
+	}
+
+	/**
+	 * Idle connection.
+	 *
+	 * @param connection the connection
+	 * @param sinceNanos the time when its last answer ended
+	 * @param usableNanos the time for which it may be reused
+	 */
+	private record IdleConnection(TargetConnection connection, long sinceNanos, long usableNanos) {
+	}
+
+}
--- a/src/main/java/sycamorehill/runtime/Node.java
+++ b/src/main/java/sycamorehill/runtime/Node.java
@@ -14,7 +14,7 @@
 import sycamorehill.engine.HttpEngine;
 import sycamorehill.engine.HttpPlainService;
 import sycamorehill.gateway.CallerGateway;
-import sycamorehill.http.HttpCaller;
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpClientPool;
 import sycamorehill.json.ModelJson;
 import sycamorehill.logic.node.NodeState;
@@ -25,8 +25,8 @@
 import sycamorehill.model.identity.NodeIncarnation;
 import sycamorehill.model.log.LogEvent;
 import sycamorehill.model.log.LogLine;
-import sycamorehill.objectapi.HttpPlatform;
-import sycamorehill.objectapi.HttpVmList;
+import sycamorehill.objectapi.HttpPlatformClient;
+import sycamorehill.objectapi.HttpVmListClient;
 import sycamorehill.operator.OperatorServer;
 import sycamorehill.operator.PendingOperatorCalls;
 import sycamorehill.peer.NettyPeerTransport;
@@ -62,7 +62,7 @@
 				settings.dataCentre(), settings.peerAddress());
 		MonotonicClock clock = MonotonicClock.start(wallClock);
 		ObjectMapper json = ModelJson.json();
-		HttpCaller httpClient = HttpCaller.create(this.httpClients);
+		BufferedHttpClient httpClient = BufferedHttpClient.create(this.httpClients);
 		HttpEngine engineClient = HttpEngine.create(this.httpClients, json);
 		PendingOperatorCalls pendingCalls = PendingOperatorCalls.create();
 		BufferingEventSink events = BufferingEventSink.create();
@@ -71,8 +71,8 @@
 		this.gateway = CallerGateway.create(self.incarnation(), clock, wallClock, json, engineClient,
 				HttpPlainService.create(httpClient), events, this::isReady, this.metrics);
 		EffectDispatcher effectDispatcher = new EffectDispatcher(events, clock,
-				HttpPlatform.create(httpClient, settings.platformAddress(), json),
-				HttpVmList.create(httpClient, settings.platformAddress(), json), engineClient, this.peerTransport::send,
+				HttpPlatformClient.create(httpClient, settings.platformAddress(), json),
+				HttpVmListClient.create(httpClient, settings.platformAddress(), json), engineClient, this.peerTransport::send,
 				this.gateway.requests(), pendingCalls, () -> this.termination.complete(NodeTermination.STOPPED),
 				this.metrics);
 		this.loop = ControlLoop.create(NodeState.initial(self, settings.policy()), clock, wallClock, effectDispatcher,
--- a/src/test/java/sycamorehill/platform/PlatformLimitTests.java
+++ b/src/test/java/sycamorehill/platform/RateLimitHeaderTests.java
@@ -15,27 +15,28 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The limit that a target in need names.
+ * Tests how the rate limit in a target's answer is read.
  */
-class PlatformLimitTests {
+class RateLimitHeaderTests {
 
 	private static Optional<RequestRate> read(String limit) {
 		HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
 		response.headers().set("Server-Limit", limit);
-		return PlatformExchangeCodec.create().readTarget(response).limit();
+		return PlatformExchangeCodec.create().readTargetResponse(response).rateLimit();
 	}
 
 	@Test
-	void readsADecimalNumber() {
+	void readsDecimalNumber() {
 		assertThat(read("1.4")).contains(new RequestRate(1.4));
 		assertThat(read("12")).contains(new RequestRate(12));
 		assertThat(read("0")).contains(new RequestRate(0));
 	}
 
-	// A faulty number ends the node's thread, or keeps a sound target from all work.
+	// Guards against a malformed number that ends the node's thread or keeps a healthy
+	// target from receiving requests.
 	@ParameterizedTest
 	@ValueSource(strings = { "", "none", "-1", "NaN", "1e999", "1,5", "Infinity" })
-	void aFaultyLimitIsNone(String limit) {
+	void ignoresInvalidRateLimit(String limit) {
 		assertThat(read(limit)).isEmpty();
 	}
 
