--- a/src/main/java/sycamorehill/runtime/Node.java
+++ b/src/main/java/sycamorehill/runtime/Node.java
@@ -72,9 +72,9 @@
 				HttpPlainService.create(httpClient), events, this::isReady, this.metrics);
 		EffectDispatcher effectDispatcher = new EffectDispatcher(events, clock,
 				HttpPlatformClient.create(httpClient, settings.platformAddress(), json),
-				HttpVmListClient.create(httpClient, settings.platformAddress(), json), engineClient, this.peerTransport::send,
-				this.gateway.requests(), pendingCalls, () -> this.termination.complete(NodeTermination.STOPPED),
-				this.metrics);
+				HttpVmListClient.create(httpClient, settings.platformAddress(), json), engineClient,
+				this.peerTransport::send, this.gateway.requests(), pendingCalls,
+				() -> this.termination.complete(NodeTermination.STOPPED), this.metrics);
 		this.loop = ControlLoop.create(NodeState.initial(self, settings.policy()), clock, wallClock, effectDispatcher,
 				this.metrics, this::handleInvariantViolation);
 		events.connect(this.loop);
