--- a/src/main/java/sycamorehill/operator/StateBody.java
+++ b/src/main/java/sycamorehill/operator/StateBody.java
@@ -6,24 +6,24 @@
 import sycamorehill.model.ticket.DesiredState;
 
 /**
- * The current truth as operators read it.
+ * Holds a desired state in the form in which operators read it.
  *
- * @param number the last ticket that is in force
- * @param items every item with the ticket that set it, by key
+ * @param number the number of the last ticket in the state
+ * @param items all items, each with the ticket that set it, ordered by key
  */
 public record StateBody(long number, List<AppliedItem> items) {
 
 	/**
-	 * Orders the items of a truth.
-	 * @param truth the truth
-	 * @return its items by key
+	 * Creates a body with the items of a desired state ordered by key.
+	 * @param desiredState the desired state
+	 * @return the body
 	 */
-	public static StateBody of(DesiredState truth) {
-		return new StateBody(truth.number(),
-				truth.items()
+	public static StateBody of(DesiredState desiredState) {
+		return new StateBody(desiredState.number(),
+				desiredState.items()
 					.values()
 					.stream()
-					.sorted((one, other) -> one.item().key().compareTo(other.item().key()))
+					.sorted((first, second) -> first.item().key().compareTo(second.item().key()))
 					.toList());
 	}
 
--- a/src/main/java/sycamorehill/runtime/ControlLoop.java
+++ b/src/main/java/sycamorehill/runtime/ControlLoop.java
@@ -20,12 +20,13 @@
 import sycamorehill.model.log.LogEvent;
 
 /**
- * The one thread that holds control state: it takes events in order, steps the reducer
- * and hands the effects out. Others read the last published state, which is immutable.
+ * Owns the control state. A single thread takes the events in order, applies them with
+ * the reducer and carries out the resulting effects. Other threads read the last
+ * published state, which is immutable.
  */
 public final class ControlLoop implements EventSink, AutoCloseable {
 
-	private static final Duration TICK = Duration.ofMillis(100);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
 
 	private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
@@ -37,11 +38,11 @@
 
 	private final EffectPort effects;
 
-	private final Timer steps;
+	private final Timer stepTimer;
 
-	private final Counter failures;
+	private final Counter effectFailures;
 
-	private final BrokenInvariantHandler brokenInvariant;
+	private final InvariantViolationHandler invariantViolationHandler;
 
 	private final Thread thread;
 
@@ -50,36 +51,37 @@
 	private volatile boolean closed;
 
 	private ControlLoop(NodeState initial, InstantSource clock, InstantSource wallClock, EffectPort effects,
-			MetricRegistry metrics, BrokenInvariantHandler brokenInvariant) {
+			MetricRegistry metrics, InvariantViolationHandler invariantViolationHandler) {
 		this.state = initial;
 		this.clock = clock;
 		this.wallClock = wallClock;
 		this.effects = effects;
-		this.steps = metrics.timer("control.step");
-		this.failures = metrics.counter("control.effect-failures");
+		this.stepTimer = metrics.timer("control.step");
+		this.effectFailures = metrics.counter("control.effect-failures");
 		metrics.register("control.events-waiting", (Gauge<Integer>) this.events::size);
-		this.brokenInvariant = brokenInvariant;
+		this.invariantViolationHandler = invariantViolationHandler;
 		this.thread = new Thread(this::run, "control");
 	}
 
 	/**
-	 * Creates the loop; {@link #start} starts its thread.
+	 * Creates a control loop; {@link #start} starts its thread.
 	 * @param initial the state before the first event
-	 * @param clock monotonic time
-	 * @param wallClock wall clock, for records only
-	 * @param effects carries effects out
-	 * @param metrics where the loop counts
-	 * @param brokenInvariant hears of a step that threw: the process can't go on
-	 * @return the loop
+	 * @param clock the monotonic clock
+	 * @param wallClock the wall clock, for records only
+	 * @param effects carries out the effects of each step
+	 * @param metrics the registry of the loop's metrics
+	 * @param invariantViolationHandler called when a step throws; the process can't go on
+	 * then
+	 * @return the control loop
 	 */
 	public static ControlLoop create(NodeState initial, InstantSource clock, InstantSource wallClock,
-			EffectPort effects, MetricRegistry metrics, BrokenInvariantHandler brokenInvariant) {
-		return new ControlLoop(initial, clock, wallClock, effects, metrics, brokenInvariant);
+			EffectPort effects, MetricRegistry metrics, InvariantViolationHandler invariantViolationHandler) {
+		return new ControlLoop(initial, clock, wallClock, effects, metrics, invariantViolationHandler);
 	}
 
 	/**
-	 * Starts the thread.
-	 * @param seed feeds every random choice of the decisions
+	 * Starts the control thread.
+	 * @param seed the seed of all random choices of the decision logic
 	 */
 	public void start(long seed) {
 		post(new NodeEvent.Started(seed));
@@ -92,7 +94,8 @@
 	}
 
 	/**
-	 * Identifies the control thread, to read what it costs.
+	 * Returns the identifier of the control thread, by which its processor time is
+	 * measured.
 	 * @return the thread's identifier
 	 */
 	public long threadIdentifier() {
@@ -100,7 +103,7 @@
 	}
 
 	/**
-	 * The state after the last step.
+	 * Returns the state after the last step.
 	 * @return the state
 	 */
 	public NodeState state() {
@@ -118,7 +121,7 @@
 				}
 				else {
 					step(new NodeEvent.Ticked(this.wallClock.instant()));
-					nextTick = System.nanoTime() + TICK.toNanos();
+					nextTick = System.nanoTime() + TICK_INTERVAL.toNanos();
 				}
 			}
 		}
@@ -128,14 +131,14 @@
 	}
 
 	private void step(Event event) {
-		try (Timer.Context ignored = this.steps.time()) {
+		try (Timer.Context ignored = this.stepTimer.time()) {
 			Step<NodeState> step = this.reducer.reduce(this.state, this.clock.instant(), event);
 			this.state = step.state();
 			step.effects().forEach(this::carryOut);
 		}
 		catch (RuntimeException ex) {
 			this.closed = true;
-			this.brokenInvariant.broken(event, ex);
+			this.invariantViolationHandler.handle(event, ex);
 		}
 	}
 
@@ -144,9 +147,10 @@
 			this.effects.carryOut(effect);
 		}
 		catch (RuntimeException ex) {
-			// An edge that fails must not stop the decisions: its answer stays out, which
-			// every part takes for "not known" after its timeout.
-			this.failures.inc();
+			// A failing adapter must not stop the control loop. Its answer never arrives,
+			// and all decision logic treats a missing answer as an unknown outcome after
+			// its timeout.
+			this.effectFailures.inc();
 			EventLog.failure(LogEvent.EFFECT_FAILED, effect.getClass().getSimpleName(), ex);
 		}
 	}
@@ -158,17 +162,17 @@
 	}
 
 	/**
-	 * Hears of a step that threw.
+	 * Handles a step that threw an exception.
 	 */
 	@FunctionalInterface
-	public interface BrokenInvariantHandler {
+	public interface InvariantViolationHandler {
 
 		/**
 		 * Ends the process.
 		 * @param event the event whose step threw
-		 * @param cause what was thrown
+		 * @param cause the exception
 		 */
-		void broken(Event event, RuntimeException cause);
+		void handle(Event event, RuntimeException cause);
 
 	}
 
--- a/src/main/java/sycamorehill/runtime/Node.java
+++ b/src/main/java/sycamorehill/runtime/Node.java
@@ -27,13 +27,13 @@
 import sycamorehill.model.log.LogLine;
 import sycamorehill.objectapi.HttpPlatformClient;
 import sycamorehill.objectapi.HttpVmListClient;
-import sycamorehill.operator.OperatorCalls;
 import sycamorehill.operator.OperatorServer;
+import sycamorehill.operator.PendingOperatorCalls;
 import sycamorehill.peer.NettyPeerTransport;
 import sycamorehill.settings.NodeSettings;
 
 /**
- * One node: every role in one process.
+ * Runs a node, with all its roles, in one process.
  */
 public final class Node implements AutoCloseable {
 
@@ -43,17 +43,17 @@
 
 	private final MetricRegistry metrics = new MetricRegistry();
 
-	private final CompletableFuture<NodeEnd> end = new CompletableFuture<>();
+	private final CompletableFuture<NodeTermination> termination = new CompletableFuture<>();
 
-	private final HttpClientPool clients = HttpClientPool.create(CONNECT_TIMEOUT);
+	private final HttpClientPool httpClients = HttpClientPool.create(CONNECT_TIMEOUT);
 
 	private final ControlLoop loop;
 
-	private final NettyPeerTransport peers;
+	private final NettyPeerTransport peerTransport;
 
 	private final CallerGateway gateway;
 
-	private final OperatorServer operators;
+	private final OperatorServer operatorServer;
 
 	private Node(NodeSettings settings, InstantSource wallClock) {
 		this.settings = settings;
@@ -62,43 +62,44 @@
 				settings.dataCentre(), settings.peerAddress());
 		MonotonicClock clock = MonotonicClock.start(wallClock);
 		ObjectMapper json = ModelJson.json();
-		BufferedHttpClient caller = BufferedHttpClient.create(this.clients);
-		HttpEngine engines = HttpEngine.create(this.clients, json);
-		OperatorCalls operatorCalls = OperatorCalls.create();
-		LateEvents events = LateEvents.create();
-		this.peers = NettyPeerTransport.start(self, settings.peerAddress(),
+		BufferedHttpClient httpClient = BufferedHttpClient.create(this.httpClients);
+		HttpEngine engineClient = HttpEngine.create(this.httpClients, json);
+		PendingOperatorCalls pendingCalls = PendingOperatorCalls.create();
+		BufferingEventSink events = BufferingEventSink.create();
+		this.peerTransport = NettyPeerTransport.start(self, settings.peerAddress(),
 				settings.sharedSecret().getBytes(StandardCharsets.UTF_8), events::post);
-		this.gateway = CallerGateway.create(self.incarnation(), clock, wallClock, json, engines,
-				HttpPlainService.create(caller), events, this::ready, this.metrics);
-		EffectRunner effects = new EffectRunner(events, clock,
-				HttpPlatformClient.create(caller, settings.platformAddress(), json),
-				HttpVmListClient.create(caller, settings.platformAddress(), json), engines, this.peers::send,
-				this.gateway.requests(), operatorCalls, () -> this.end.complete(NodeEnd.STOPPED), this.metrics);
-		this.loop = ControlLoop.create(NodeState.initial(self, settings.policy()), clock, wallClock, effects,
-				this.metrics, this::broken);
+		this.gateway = CallerGateway.create(self.incarnation(), clock, wallClock, json, engineClient,
+				HttpPlainService.create(httpClient), events, this::isReady, this.metrics);
+		EffectDispatcher effectDispatcher = new EffectDispatcher(events, clock,
+				HttpPlatformClient.create(httpClient, settings.platformAddress(), json),
+				HttpVmListClient.create(httpClient, settings.platformAddress(), json), engineClient,
+				this.peerTransport::send, this.gateway.requests(), pendingCalls,
+				() -> this.termination.complete(NodeTermination.STOPPED), this.metrics);
+		this.loop = ControlLoop.create(NodeState.initial(self, settings.policy()), clock, wallClock, effectDispatcher,
+				this.metrics, this::handleInvariantViolation);
 		events.connect(this.loop);
-		NodeMetrics values = NodeMetrics.of(this.metrics);
-		values.process(this.loop.threadIdentifier());
-		values.peers(this.peers.counters());
-		values.state(this.loop::state, clock);
-		this.operators = OperatorServer.create(operatorCalls, new StateReader(this.loop::state, this.metrics), events,
-				json);
+		NodeMetrics nodeMetrics = NodeMetrics.of(this.metrics);
+		nodeMetrics.registerProcess(this.loop.threadIdentifier());
+		nodeMetrics.registerPeers(this.peerTransport.counters());
+		nodeMetrics.registerState(this.loop::state, clock);
+		this.operatorServer = OperatorServer.create(pendingCalls, new StateReader(this.loop::state, this.metrics),
+				events, json);
 		EventLog.write(LogLine.of(LogEvent.NODE_STARTED, self.incarnation() + " in " + settings.dataCentre()));
 		this.loop.start(random.nextLong());
 	}
 
 	/**
-	 * Starts a node and opens its servers.
-	 * @param settings its settings
+	 * Starts a node and its servers.
+	 * @param settings the node's settings
 	 * @param wallClock the wall clock
 	 * @return the running node
-	 * @throws Exception if an address can't be had
+	 * @throws Exception if a server can't listen on its address
 	 */
 	public static Node start(NodeSettings settings, InstantSource wallClock) throws Exception {
 		Node node = new Node(settings, wallClock);
 		try {
-			node.gateway.listen(socket(settings.callerAddress()));
-			node.operators.listen(socket(settings.operatorAddress()));
+			node.gateway.listen(socketAddress(settings.callerAddress()));
+			node.operatorServer.listen(socketAddress(settings.operatorAddress()));
 			return node;
 		}
 		catch (Exception ex) {
@@ -108,25 +109,26 @@
 	}
 
 	/**
-	 * Begins a planned stop.
-	 * @return done when everything in flight is over, or when the bound has passed
+	 * Starts a planned shutdown.
+	 * @return a future that completes when nothing is in flight any more or the time
+	 * limit of the shutdown has passed
 	 */
-	public CompletableFuture<NodeEnd> stop() {
+	public CompletableFuture<NodeTermination> stop() {
 		EventLog.write(LogLine.of(LogEvent.NODE_STOPPING, this.settings.name().value()));
 		this.loop.post(new NodeEvent.StopRequested());
-		return this.end;
+		return this.termination;
 	}
 
 	/**
-	 * The end of the node.
-	 * @return done when it has stopped or can't go on
+	 * Returns how the node ends, once it does.
+	 * @return a future that completes when the node has stopped or can't go on
 	 */
-	public CompletableFuture<NodeEnd> end() {
-		return this.end;
+	public CompletableFuture<NodeTermination> whenStopped() {
+		return this.termination;
 	}
 
 	/**
-	 * The node's settings.
+	 * Returns the node's settings.
 	 * @return the settings
 	 */
 	public NodeSettings settings() {
@@ -134,7 +136,7 @@
 	}
 
 	/**
-	 * The state after the last step.
+	 * Returns the state after the last step.
 	 * @return the state
 	 */
 	public NodeState state() {
@@ -142,23 +144,23 @@
 	}
 
 	/**
-	 * The names of all metrics that the node has so far.
+	 * Returns the names of all metrics that are registered so far.
 	 * @return the names
 	 */
 	Set<String> metricNames() {
 		return this.metrics.getNames();
 	}
 
-	private boolean ready() {
+	private boolean isReady() {
 		return this.loop.state().ready();
 	}
 
-	private void broken(Event event, RuntimeException cause) {
+	private void handleInvariantViolation(Event event, RuntimeException cause) {
 		EventLog.failure(LogEvent.INVARIANT_BROKEN, event.getClass().getSimpleName(), cause);
-		this.end.complete(NodeEnd.BROKEN);
+		this.termination.complete(NodeTermination.FAILED);
 	}
 
-	private static InetSocketAddress socket(Address address) {
+	private static InetSocketAddress socketAddress(Address address) {
 		return new InetSocketAddress(address.host(), address.port());
 	}
 
@@ -166,9 +168,9 @@
 	public void close() throws Exception {
 		this.loop.close();
 		this.gateway.close();
-		this.operators.close();
-		this.peers.close();
-		this.clients.close();
+		this.operatorServer.close();
+		this.peerTransport.close();
+		this.httpClients.close();
 	}
 
 }
--- /dev/null
+++ b/src/main/java/sycamorehill/runtime/NodeTermination.java
@@ -0,0 +1,14 @@
+package sycamorehill.runtime;
+
+/**
+ * Tells how a node ended.
+ */
+public enum NodeTermination {
+
+	/** The node completed a planned shutdown. */
+	STOPPED,
+
+	/** An invariant was violated; the process can't go on. */
+	FAILED
+
+}
--- a/src/main/java/sycamorehill/runtime/StateReader.java
+++ b/src/main/java/sycamorehill/runtime/StateReader.java
@@ -12,17 +12,18 @@
 import sycamorehill.operator.NodeReader;
 
 /**
- * Answers operators from the last published state, without asking the control thread.
+ * Answers operators' queries from the last published state, without involving the control
+ * thread.
  */
 record StateReader(Supplier<NodeState> state, MetricRegistry registry) implements NodeReader {
 
 	@Override
-	public Optional<DesiredState> truth() {
+	public Optional<DesiredState> desiredState() {
 		return this.state.get().desiredState();
 	}
 
 	@Override
-	public Optional<DesiredState> truthAfter(long number) {
+	public Optional<DesiredState> desiredStateAfter(long number) {
 		return this.state.get().ticket().log().stateAfter(number);
 	}
 
