--- a/src/main/java/sycamorehill/cli/ExplainCommand.java
+++ b/src/main/java/sycamorehill/cli/ExplainCommand.java
@@ -14,7 +14,7 @@
 import com.github.rvesse.airline.annotations.Command;
 import com.github.rvesse.airline.annotations.restrictions.Required;
 
-import sycamorehill.explain.RequestStory;
+import sycamorehill.explain.RequestExplanation;
 
 /**
  * Tells what became of a request, from the logs of all nodes.
@@ -31,21 +31,22 @@
 	@Override
 	public int run() {
 		String request = this.words.get(0);
-		Optional<RequestStory> story = RequestStory.find(lines(this.words.subList(1, this.words.size())), request);
+		Optional<RequestExplanation> story = RequestExplanation.find(lines(this.words.subList(1, this.words.size())),
+				request);
 		if (story.isEmpty()) {
 			throw CommandException.of(ExitCode.NOT_KNOWN, "no line of these logs names request " + request);
 		}
-		story.get().tell().forEach(System.out::println);
+		story.get().format().forEach(System.out::println);
 		return ExitCode.DONE;
 	}
 
-	private static List<RequestStory.SourceLine> lines(List<String> files) {
-		List<RequestStory.SourceLine> lines = new ArrayList<>();
+	private static List<RequestExplanation.SourceLine> lines(List<String> files) {
+		List<RequestExplanation.SourceLine> lines = new ArrayList<>();
 		try {
 			for (String file : files) {
 				String node = Path.of(file).getFileName().toString().replaceFirst("\\.[^.]*$", "");
 				try (BufferedReader reader = reader(file)) {
-					reader.lines().forEach((text) -> lines.add(new RequestStory.SourceLine(node, text)));
+					reader.lines().forEach((text) -> lines.add(new RequestExplanation.SourceLine(node, text)));
 				}
 			}
 		}
@@ -54,7 +55,7 @@
 		}
 		if (files.isEmpty()) {
 			new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8)).lines()
-				.forEach((text) -> lines.add(new RequestStory.SourceLine("standard-input", text)));
+				.forEach((text) -> lines.add(new RequestExplanation.SourceLine("standard-input", text)));
 		}
 		return lines;
 	}
--- a/src/main/java/sycamorehill/cli/SettingsListCommand.java
+++ b/src/main/java/sycamorehill/cli/SettingsListCommand.java
@@ -14,7 +14,7 @@
 	@Override
 	public int run() {
 		for (SettingDefinition definition : NodeSettingsReader.definitions()) {
-			System.out.printf("[%s] %s = %s (%s)%n", definition.section(), definition.key(), definition.standard(),
+			System.out.printf("[%s] %s = %s (%s)%n", definition.section(), definition.key(), definition.defaultValue(),
 					definition.expected());
 		}
 		return ExitCode.DONE;
--- a/src/main/java/sycamorehill/cli/SoundSettings.java
+++ b/src/main/java/sycamorehill/cli/SoundSettings.java
@@ -14,10 +14,10 @@
 	}
 
 	static <T> T of(SettingsOutcome<T> outcome) {
-		if (outcome instanceof SettingsOutcome.Sound<T> sound) {
+		if (outcome instanceof SettingsOutcome.Valid<T> sound) {
 			return sound.settings();
 		}
-		String faults = ((SettingsOutcome.Faulty<T>) outcome).faults()
+		String faults = ((SettingsOutcome.Invalid<T>) outcome).faults()
 			.stream()
 			.map(SettingFault::toString)
 			.collect(Collectors.joining("\n  "));
--- a/src/main/java/sycamorehill/explain/LoggedLine.java
+++ b/src/main/java/sycamorehill/explain/ParsedLogLine.java
@@ -9,18 +9,18 @@
 /**
  * One line of a node's log.
  *
- * @param at when it was written, by the node's wall clock
+ * @param timestamp when it was written, by the node's wall clock
  * @param node the node that wrote it
  * @param event name of the numbered event
  * @param detail what it is about
  */
-record LoggedLine(Instant at, String node, String event, String detail) {
+record ParsedLogLine(Instant timestamp, String node, String event, String detail) {
 
 	/**
 	 * Collectors of logs put what they like in front of a line, the node's name at the
 	 * end of it.
 	 */
-	private static final Pattern FORM = Pattern
+	private static final Pattern LINE_PATTERN = Pattern
 		.compile("^(?<before>.*?)(?<at>\\d{4}-\\d\\d-\\d\\dT\\S+Z) \\w+ SYC-\\d+ (?<event>\\w+) ?(?<detail>.*)$");
 
 	/**
@@ -30,16 +30,16 @@
 	 * does not
 	 * @return the line; empty for text that is no line of a log, such as a stack trace
 	 */
-	static Optional<LoggedLine> read(String text, String file) {
-		Matcher form = FORM.matcher(text);
-		if (!form.matches()) {
+	static Optional<ParsedLogLine> parse(String text, String file) {
+		Matcher matcher = LINE_PATTERN.matcher(text);
+		if (!matcher.matches()) {
 			return Optional.empty();
 		}
 		try {
-			String before = form.group("before").trim();
-			String node = before.isEmpty() ? file : before.substring(before.lastIndexOf(' ') + 1);
-			return Optional
-				.of(new LoggedLine(Instant.parse(form.group("at")), node, form.group("event"), form.group("detail")));
+			String prefix = matcher.group("before").trim();
+			String node = prefix.isEmpty() ? file : prefix.substring(prefix.lastIndexOf(' ') + 1);
+			return Optional.of(new ParsedLogLine(Instant.parse(matcher.group("at")), node, matcher.group("event"),
+					matcher.group("detail")));
 		}
 		catch (DateTimeParseException ex) {
 			return Optional.empty();
@@ -60,8 +60,8 @@
 		return Optional.ofNullable((matcher.group(1) != null) ? matcher.group(1) : matcher.group(2));
 	}
 
-	boolean names(String word) {
-		return this.detail.contains(word);
+	boolean mentions(String text) {
+		return this.detail.contains(text);
 	}
 
 }
--- a/src/main/java/sycamorehill/settings/NodeSettingsReader.java
+++ b/src/main/java/sycamorehill/settings/NodeSettingsReader.java
@@ -30,7 +30,7 @@
 
 	private static final int CONTACT_PARTS = 3;
 
-	private static final int SHORTEST_SECRET = 16;
+	private static final int MINIMUM_SECRET_LENGTH = 16;
 
 	private NodeSettingsReader() {
 	}
@@ -68,52 +68,53 @@
 				DataCentreName.of(source.requiredText(NODE, "data-centre")), dataCentres(source),
 				source.requiredAddress(NODE, "caller-address"), source.requiredAddress(NODE, "operator-address"),
 				source.requiredAddress(NODE, "peer-address"), source.requiredAddress(PLATFORM, "address"),
-				secret(source), policy(source));
-		checkTogether(source, settings);
-		List<SettingFault> faults = source.faults();
-		return faults.isEmpty() ? new SettingsOutcome.Sound<>(settings) : new SettingsOutcome.Faulty<>(faults);
+				sharedSecret(source), policy(source));
+		checkConsistency(source, settings);
+		List<SettingFault> faults = source.collectFaults();
+		return faults.isEmpty() ? new SettingsOutcome.Valid<>(settings) : new SettingsOutcome.Invalid<>(faults);
 	}
 
 	private static List<DataCentreName> dataCentres(SettingsSource source) {
 		List<String> names = source.list(NODE, "data-centres", List.of());
 		if (names.isEmpty()) {
-			source.fault(NODE, "data-centres", "missing: expected all data centres with commas between them");
+			source.addFault(NODE, "data-centres", "missing: expected all data centres with commas between them");
 		}
 		return names.stream().filter((name) -> !name.isEmpty()).map(DataCentreName::of).toList();
 	}
 
-	private static String secret(SettingsSource source) {
+	private static String sharedSecret(SettingsSource source) {
 		String secret = source.requiredText(NODE, "shared-secret");
-		if (secret.length() < SHORTEST_SECRET && !secret.equals("missing")) {
-			source.fault(NODE, "shared-secret", "expected at least " + SHORTEST_SECRET + " characters");
+		if (secret.length() < MINIMUM_SECRET_LENGTH && !secret.equals("missing")) {
+			source.addFault(NODE, "shared-secret", "expected at least " + MINIMUM_SECRET_LENGTH + " characters");
 		}
 		return secret;
 	}
 
 	private static Policy policy(SettingsSource source) {
-		Policy standard = Policy.standard();
-		return new Policy(PolicySection.read(source, "admission", standard.admission()),
-				PolicySection.read(source, "routing", standard.routing()),
-				PolicySection.read(source, "request", standard.request()),
-				PolicySection.read(source, "health", standard.health()),
-				PolicySection.read(source, "quarantine", standard.quarantine()),
-				PolicySection.read(source, "order", standard.order()),
-				PolicySection.read(source, "ticket", standard.ticket()), membership(source, standard.membership()),
-				group(source, standard.group()), PolicySection.read(source, "observation", standard.observation()));
+		Policy defaults = Policy.standard();
+		return new Policy(PolicySectionReader.read(source, "admission", defaults.admission()),
+				PolicySectionReader.read(source, "routing", defaults.routing()),
+				PolicySectionReader.read(source, "request", defaults.request()),
+				PolicySectionReader.read(source, "health", defaults.health()),
+				PolicySectionReader.read(source, "quarantine", defaults.quarantine()),
+				PolicySectionReader.read(source, "order", defaults.order()),
+				PolicySectionReader.read(source, "ticket", defaults.ticket()),
+				membership(source, defaults.membership()), group(source, defaults.group()),
+				PolicySectionReader.read(source, "observation", defaults.observation()));
 	}
 
-	private static MembershipPolicy membership(SettingsSource source, MembershipPolicy standard) {
+	private static MembershipPolicy membership(SettingsSource source, MembershipPolicy defaults) {
 		List<NodeContact> contacts = source.value(MEMBERSHIP, "contacts",
-				"NAME@DATA-CENTRE@HOST:PORT with commas between", NodeSettingsReader::contacts, (found) -> true,
+				"NAME@DATA-CENTRE@HOST:PORT with commas between", NodeSettingsReader::parseContacts, (parsed) -> true,
 				List.of());
-		return PolicySection.read(source, MEMBERSHIP, standard).withContacts(contacts);
+		return PolicySectionReader.read(source, MEMBERSHIP, defaults).withContacts(contacts);
 	}
 
-	private static List<NodeContact> contacts(String text) {
-		return Arrays.stream(text.split(",")).map(String::strip).map(NodeSettingsReader::contact).toList();
+	private static List<NodeContact> parseContacts(String text) {
+		return Arrays.stream(text.split(",")).map(String::strip).map(NodeSettingsReader::parseContact).toList();
 	}
 
-	private static NodeContact contact(String text) {
+	private static NodeContact parseContact(String text) {
 		String[] parts = text.split("@");
 		if (parts.length != CONTACT_PARTS) {
 			throw new IllegalArgumentException("not NAME@DATA-CENTRE@HOST:PORT: " + text);
@@ -121,24 +122,25 @@
 		return new NodeContact(NodeName.of(parts[0]), DataCentreName.of(parts[1]), Address.parse(parts[2]));
 	}
 
-	private static GroupPolicy group(SettingsSource source, GroupPolicy standard) {
+	private static GroupPolicy group(SettingsSource source, GroupPolicy defaults) {
 		double downtimeShare = source.number(GROUP, "downtime-share", 0, 1, GroupWeights.standard().downtimeShare());
-		return PolicySection.read(source, GROUP, standard).withWeights(new GroupWeights(downtimeShare));
+		return PolicySectionReader.read(source, GROUP, defaults).withWeights(new GroupWeights(downtimeShare));
 	}
 
-	private static void checkTogether(SettingsSource source, NodeSettings settings) {
+	private static void checkConsistency(SettingsSource source, NodeSettings settings) {
 		if (!settings.dataCentres().isEmpty() && !settings.dataCentres().contains(settings.dataCentre())) {
-			source.fault(NODE, "data-centre", "expected one of data-centres " + settings.dataCentres());
+			source.addFault(NODE, "data-centre", "expected one of data-centres " + settings.dataCentres());
 		}
 		Set<Address> addresses = new HashSet<>();
-		checkFree(source, addresses, "caller-address", settings.callerAddress());
-		checkFree(source, addresses, "operator-address", settings.operatorAddress());
-		checkFree(source, addresses, "peer-address", settings.peerAddress());
+		checkAddressUnused(source, addresses, "caller-address", settings.callerAddress());
+		checkAddressUnused(source, addresses, "operator-address", settings.operatorAddress());
+		checkAddressUnused(source, addresses, "peer-address", settings.peerAddress());
 	}
 
-	private static void checkFree(SettingsSource source, Set<Address> taken, String key, Address address) {
-		if (address.port() > 1 && !taken.add(address)) {
-			source.fault(NODE, key, "expected an address that no other server of the node has");
+	private static void checkAddressUnused(SettingsSource source, Set<Address> usedAddresses, String key,
+			Address address) {
+		if (address.port() > 1 && !usedAddresses.add(address)) {
+			source.addFault(NODE, key, "expected an address that no other server of the node has");
 		}
 	}
 
--- a/src/main/java/sycamorehill/settings/PolicySection.java
+++ b/src/main/java/sycamorehill/settings/PolicySectionReader.java
@@ -15,65 +15,65 @@
  * components, and what the section leaves out keeps its standard value. So a bound that
  * the decisions use can't be forgotten in the settings.
  */
-final class PolicySection {
+final class PolicySectionReader {
 
-	private static final Duration LONGEST = Duration.ofDays(400);
+	private static final Duration MAXIMUM_DURATION = Duration.ofDays(400);
 
-	private static final long MOST = 1_000_000_000_000L;
+	private static final long MAXIMUM_NUMBER = 1_000_000_000_000L;
 
 	private final SettingsSource source;
 
 	private final String section;
 
-	private PolicySection(SettingsSource source, String section) {
+	private PolicySectionReader(SettingsSource source, String section) {
 		this.source = source;
 		this.section = section;
 	}
 
-	static <T extends Record> T read(SettingsSource source, String section, T standard) {
-		return new PolicySection(source, section).read("", standard);
+	static <T extends Record> T read(SettingsSource source, String section, T defaults) {
+		return new PolicySectionReader(source, section).read("", defaults);
 	}
 
 	static String key(String componentName) {
 		return componentName.replaceAll("([A-Z])", "-$1").toLowerCase(Locale.ROOT);
 	}
 
-	private <T extends Record> T read(String prefix, T standard) {
-		RecordComponent[] components = standard.getClass().getRecordComponents();
+	private <T extends Record> T read(String prefix, T defaults) {
+		RecordComponent[] components = defaults.getClass().getRecordComponents();
 		Object[] values = Arrays.stream(components)
-			.map((component) -> value(prefix + key(component.getName()), component, present(component, standard)))
+			.map((component) -> value(prefix + key(component.getName()), component, defaultOf(component, defaults)))
 			.toArray();
-		return construct(standard, components, values);
+		return construct(defaults, components, values);
 	}
 
-	private Object value(String key, RecordComponent component, Object present) {
-		if (present instanceof Duration duration) {
-			return this.source.duration(this.section, key, LONGEST, duration);
+	private Object value(String key, RecordComponent component, Object defaultValue) {
+		if (defaultValue instanceof Duration duration) {
+			return this.source.duration(this.section, key, MAXIMUM_DURATION, duration);
 		}
-		if (present instanceof Double number) {
-			return this.source.number(this.section, key, 0, MOST, number);
+		if (defaultValue instanceof Double number) {
+			return this.source.number(this.section, key, 0, MAXIMUM_NUMBER, number);
 		}
-		if (present instanceof Long number) {
-			return this.source.wholeNumber(this.section, key, 0, MOST, number);
+		if (defaultValue instanceof Long number) {
+			return this.source.wholeNumber(this.section, key, 0, MAXIMUM_NUMBER, number);
 		}
-		if (present instanceof Integer number) {
+		if (defaultValue instanceof Integer number) {
 			return (int) this.source.wholeNumber(this.section, key, 0, Integer.MAX_VALUE, number);
 		}
-		if (present instanceof Boolean flag) {
+		if (defaultValue instanceof Boolean flag) {
 			return this.source.flag(this.section, key, flag);
 		}
-		if (present instanceof RepairRules || present instanceof List<?>) {
-			return present;
+		if (defaultValue instanceof RepairRules || defaultValue instanceof List<?>) {
+			return defaultValue;
 		}
-		if (present instanceof Record nested) {
+		if (defaultValue instanceof Record nested) {
 			return read(key + "-", nested);
 		}
 		throw new IllegalStateException("no settings type for " + component);
 	}
 
-	private static Object present(RecordComponent component, Record standard) {
+	private static Object defaultOf(RecordComponent component, Record defaults) {
 		try {
-			return component.getAccessor().invoke(standard);
+			return component.getAccessor().invoke(defaults);
 		}
 		catch (IllegalAccessException | InvocationTargetException ex) {
 			throw new IllegalStateException("a policy record must be public: " + component, ex);
@@ -81,18 +81,18 @@
 	}
 
 	@SuppressWarnings("unchecked")
-	private <T extends Record> T construct(T standard, RecordComponent[] components, Object[] values) {
+	private <T extends Record> T construct(T defaults, RecordComponent[] components, Object[] values) {
 		Class<?>[] types = Arrays.stream(components).map(RecordComponent::getType).toArray(Class<?>[]::new);
 		try {
-			Constructor<?> constructor = standard.getClass().getDeclaredConstructor(types);
+			Constructor<?> constructor = defaults.getClass().getDeclaredConstructor(types);
 			return (T) constructor.newInstance(values);
 		}
 		catch (InvocationTargetException ex) {
-			this.source.fault(this.section, "", "the values contradict each other: " + ex.getCause().getMessage());
-			return standard;
+			this.source.addFault(this.section, "", "the values contradict each other: " + ex.getCause().getMessage());
+			return defaults;
 		}
 		catch (ReflectiveOperationException ex) {
-			throw new IllegalStateException("a policy record must be public: " + standard.getClass(), ex);
+			throw new IllegalStateException("a policy record must be public: " + defaults.getClass(), ex);
 		}
 	}
 
--- a/src/main/java/sycamorehill/settings/SettingDefinition.java
+++ b/src/main/java/sycamorehill/settings/SettingDefinition.java
@@ -6,8 +6,9 @@
  * @param section the section
  * @param key the key
  * @param expected what is expected
- * @param standard the value that holds if nothing is given, empty if one must be given
+ * @param defaultValue the value that holds if nothing is given, empty if one must be
+ * given
  */
-public record SettingDefinition(String section, String key, String expected, String standard) {
+public record SettingDefinition(String section, String key, String expected, String defaultValue) {
 
 }
--- a/src/main/java/sycamorehill/settings/SettingsOutcome.java
+++ b/src/main/java/sycamorehill/settings/SettingsOutcome.java
@@ -15,7 +15,7 @@
 	 * @param <T> the type of settings
 	 * @param settings the settings
 	 */
-	record Sound<T>(T settings) implements SettingsOutcome<T> {
+	record Valid<T>(T settings) implements SettingsOutcome<T> {
 	}
 
 	/**
@@ -24,7 +24,7 @@
 	 * @param <T> the type of settings
 	 * @param faults every fault found
 	 */
-	record Faulty<T>(List<SettingFault> faults) implements SettingsOutcome<T> {
+	record Invalid<T>(List<SettingFault> faults) implements SettingsOutcome<T> {
 	}
 
 }
--- a/src/main/java/sycamorehill/settings/SettingsSource.java
+++ b/src/main/java/sycamorehill/settings/SettingsSource.java
@@ -66,94 +66,94 @@
 		return source;
 	}
 
-	List<String> sections(Predicate<String> wanted) {
+	List<String> sections(Predicate<String> filter) {
 		return this.configuration.getSections()
 			.stream()
-			.filter((name) -> name != null && wanted.test(name))
+			.filter((name) -> name != null && filter.test(name))
 			.sorted()
 			.toList();
 	}
 
-	void fault(String section, String key, String expected) {
-		this.faults.add(new SettingFault(section, key, raw(section, key).orElse(""), expected));
+	void addFault(String section, String key, String expected) {
+		this.faults.add(new SettingFault(section, key, rawValue(section, key).orElse(""), expected));
 	}
 
-	String text(String section, String key, String standard) {
-		return value(section, key, "a text", Function.identity(), (text) -> !text.isBlank(), standard);
+	String text(String section, String key, String defaultValue) {
+		return value(section, key, "a text", Function.identity(), (text) -> !text.isBlank(), defaultValue);
 	}
 
 	String requiredText(String section, String key) {
-		return required(section, key, "a text", Function.identity(), (text) -> !text.isBlank(), "missing");
+		return requiredValue(section, key, "a text", Function.identity(), (text) -> !text.isBlank(), "missing");
 	}
 
 	Address requiredAddress(String section, String key) {
-		return required(section, key, "HOST:PORT with a port from 1 to 65535", Address::parse, (address) -> true,
+		return requiredValue(section, key, "HOST:PORT with a port from 1 to 65535", Address::parse, (address) -> true,
 				Address.of("127.0.0.1", 1));
 	}
 
-	<T> T required(String section, String key, String expected, Function<String, T> parse, Predicate<T> sound,
-			T substitute) {
-		if (raw(section, key).isEmpty()) {
-			know(section, key, expected, "");
-			fault(section, key, "missing: expected " + expected);
-			return substitute;
+	<T> T requiredValue(String section, String key, String expected, Function<String, T> parser, Predicate<T> validator,
+			T placeholder) {
+		if (rawValue(section, key).isEmpty()) {
+			addDefinition(section, key, expected, "");
+			addFault(section, key, "missing: expected " + expected);
+			return placeholder;
 		}
-		return value(section, key, expected, parse, sound, substitute);
+		return value(section, key, expected, parser, validator, placeholder);
 	}
 
-	long wholeNumber(String section, String key, long least, long most, long standard) {
-		return value(section, key, "a whole number from " + least + " to " + most, Long::parseLong,
-				(number) -> number >= least && number <= most, standard);
+	long wholeNumber(String section, String key, long minimum, long maximum, long defaultValue) {
+		return value(section, key, "a whole number from " + minimum + " to " + maximum, Long::parseLong,
+				(number) -> number >= minimum && number <= maximum, defaultValue);
 	}
 
-	double number(String section, String key, double least, double most, double standard) {
-		return value(section, key, "a number from " + least + " to " + most, Double::parseDouble,
-				(number) -> number >= least && number <= most, standard);
+	double number(String section, String key, double minimum, double maximum, double defaultValue) {
+		return value(section, key, "a number from " + minimum + " to " + maximum, Double::parseDouble,
+				(number) -> number >= minimum && number <= maximum, defaultValue);
 	}
 
-	Duration duration(String section, String key, Duration longest, Duration standard) {
-		return value(section, key, "an ISO 8601 duration such as PT0.5S, not below zero and at most " + longest,
-				SettingsSource::parseDuration, (duration) -> !duration.isNegative() && duration.compareTo(longest) <= 0,
-				standard);
+	Duration duration(String section, String key, Duration maximum, Duration defaultValue) {
+		return value(section, key, "an ISO 8601 duration such as PT0.5S, not below zero and at most " + maximum,
+				SettingsSource::parseDuration, (duration) -> !duration.isNegative() && duration.compareTo(maximum) <= 0,
+				defaultValue);
 	}
 
-	boolean flag(String section, String key, boolean standard) {
-		return value(section, key, "true or false", SettingsSource::parseFlag, (flag) -> true, standard);
+	boolean flag(String section, String key, boolean defaultValue) {
+		return value(section, key, "true or false", SettingsSource::parseFlag, (flag) -> true, defaultValue);
 	}
 
-	List<String> list(String section, String key, List<String> standard) {
+	List<String> list(String section, String key, List<String> defaultValue) {
 		return value(section, key, "names with commas between them",
 				(text) -> Arrays.stream(text.split(",")).map(String::strip).toList(),
 				(names) -> names.stream().noneMatch(String::isEmpty) && new HashSet<>(names).size() == names.size(),
-				standard);
+				defaultValue);
 	}
 
-	<T> T value(String section, String key, String expected, Function<String, T> parse, Predicate<T> sound,
-			T standard) {
-		know(section, key, expected, String.valueOf(standard));
-		Optional<String> raw = raw(section, key);
+	<T> T value(String section, String key, String expected, Function<String, T> parser, Predicate<T> validator,
+			T defaultValue) {
+		addDefinition(section, key, expected, String.valueOf(defaultValue));
+		Optional<String> raw = rawValue(section, key);
 		if (raw.isEmpty()) {
-			return standard;
+			return defaultValue;
 		}
 		try {
-			T value = parse.apply(raw.get().strip());
-			if (sound.test(value)) {
+			T value = parser.apply(raw.get().strip());
+			if (validator.test(value)) {
 				return value;
 			}
 		}
 		catch (IllegalArgumentException | DateTimeParseException ex) {
-			fault(section, key, "expected " + expected);
-			return standard;
+			addFault(section, key, "expected " + expected);
+			return defaultValue;
 		}
-		fault(section, key, "expected " + expected);
-		return standard;
+		addFault(section, key, "expected " + expected);
+		return defaultValue;
 	}
 
 	/**
 	 * Adds what was given but never asked for, and all given twice.
 	 * @return every fault, by section and key
 	 */
-	List<SettingFault> faults() {
+	List<SettingFault> collectFaults() {
 		for (String section : this.configuration.getSections()) {
 			checkSection((section != null) ? section : "");
 		}
@@ -169,10 +169,10 @@
 		keys.getKeys().forEachRemaining((escaped) -> {
 			String key = escaped.replace("..", ".");
 			if (!this.knownKeys.contains(section + "/" + key)) {
-				fault(section, key, "no such key");
+				addFault(section, key, "no such key");
 			}
 			else if (keys.getList(escaped).size() > 1) {
-				fault(section, key, "given more than once");
+				addFault(section, key, "given more than once");
 			}
 		});
 	}
@@ -185,13 +185,13 @@
 		return List.copyOf(this.definitions);
 	}
 
-	private void know(String section, String key, String expected, String standard) {
-		this.definitions.add(new SettingDefinition(section, key, expected, standard));
+	private void addDefinition(String section, String key, String expected, String defaultValue) {
+		this.definitions.add(new SettingDefinition(section, key, expected, defaultValue));
 		this.knownSections.add(section);
 		this.knownKeys.add(section + "/" + key);
 	}
 
-	private Optional<String> raw(String section, String key) {
+	private Optional<String> rawValue(String section, String key) {
 		if (!this.configuration.getSections().contains(section)) {
 			return Optional.empty();
 		}
--- a/src/main/java/sycamorehill/settings/StandInSettingsReader.java
+++ b/src/main/java/sycamorehill/settings/StandInSettingsReader.java
@@ -17,11 +17,11 @@
 
 	private static final String TIMING = "timing";
 
-	private static final int HIGHEST_PORT = 65535;
+	private static final int MAXIMUM_PORT = 65535;
 
-	private static final int MOST_DOMAINS = 64;
+	private static final int MAXIMUM_DOMAINS_PER_DATA_CENTRE = 64;
 
-	private static final int MOST_VMS = 256;
+	private static final int MAXIMUM_VMS_PER_DOMAIN = 256;
 
 	private StandInSettingsReader() {
 	}
@@ -54,13 +54,13 @@
 			.map(ServiceName::of)
 			.toList();
 		StandInSettings settings = new StandInSettings(source.text(SECTION, "host", "127.0.0.1"),
-				(int) source.wholeNumber(SECTION, "platform-port", 0, HIGHEST_PORT, 0), dataCentres,
-				(int) source.wholeNumber(SECTION, "domains-per-data-centre", 1, MOST_DOMAINS, 2),
-				(int) source.wholeNumber(SECTION, "vms-per-domain", 1, MOST_VMS, 3), services,
-				PolicySection.read(source, TIMING, EngineTiming.standard()),
+				(int) source.wholeNumber(SECTION, "platform-port", 0, MAXIMUM_PORT, 0), dataCentres,
+				(int) source.wholeNumber(SECTION, "domains-per-data-centre", 1, MAXIMUM_DOMAINS_PER_DATA_CENTRE, 2),
+				(int) source.wholeNumber(SECTION, "vms-per-domain", 1, MAXIMUM_VMS_PER_DOMAIN, 3), services,
+				PolicySectionReader.read(source, TIMING, EngineTiming.standard()),
 				source.wholeNumber(SECTION, "seed", 0, Long.MAX_VALUE, 1));
-		List<SettingFault> faults = source.faults();
-		return faults.isEmpty() ? new SettingsOutcome.Sound<>(settings) : new SettingsOutcome.Faulty<>(faults);
+		List<SettingFault> faults = source.collectFaults();
+		return faults.isEmpty() ? new SettingsOutcome.Valid<>(settings) : new SettingsOutcome.Invalid<>(faults);
 	}
 
 }
--- a/src/test/java/sycamorehill/explain/RequestStoryTests.java
+++ b/src/test/java/sycamorehill/explain/RequestExplanationTests.java
@@ -10,9 +10,9 @@
 /**
  * From a request's identifier to its cause, by the logs of several nodes.
  */
-class RequestStoryTests {
+class RequestExplanationTests {
 
-	private static final List<RequestStory.SourceLine> LOGS = List.of(
+	private static final List<RequestExplanation.SourceLine> LOGS = List.of(
 			line("one", "2026-12-03T03:00:01.500Z INFO SYC-1801 CONFIGURATION_IN_FORCE version=7 routes=4"),
 			line("one",
 					"2026-12-03T03:00:02.000Z INFO SYC-1904 REQUEST_SENT_AGAIN request=a1 route=r service=s attempts=1"
@@ -32,49 +32,50 @@
 			line("two", "2026-12-03T03:00:05.000Z WARN SYC-1903 REQUEST_FAILED request=c3 route=r service=d attempts=1"
 					+ " millis=392 cause='time is over' outcome=unknown"));
 
-	private static RequestStory.SourceLine line(String file, String text) {
-		return new RequestStory.SourceLine(file, text);
+	private static RequestExplanation.SourceLine line(String file, String text) {
+		return new RequestExplanation.SourceLine(file, text);
 	}
 
-	private static List<String> story(String request) {
-		return RequestStory.find(LOGS, request).orElseThrow().tell();
+	private static List<String> explanation(String request) {
+		return RequestExplanation.find(LOGS, request).orElseThrow().format();
 	}
 
 	// A stream paused and went on elsewhere. The caller has only the identifier; that the
 	// first target was lost stands in the controller's log, on another node.
 	@Test
 	void findsTheLostTargetInTheLogOfAnotherNode() {
-		List<String> told = story("a1");
-		assertThat(told.get(0)).isEqualTo("request a1 came to one at 2026-12-03T03:00:01.100Z");
-		assertThat(told).anyMatch((text) -> text.contains("two TARGET_CHANGED engine=i-1 lost"));
-		assertThat(told).noneMatch((text) -> text.contains("TARGET_SILENT"));
-		assertThat(told).anyMatch((text) -> text.contains("one CONFIGURATION_IN_FORCE version=7"));
-		assertThat(told.get(told.size() - 1)).isEqualTo("cause: served with status 200 by i-2, after silent at i-1");
+		List<String> output = explanation("a1");
+		assertThat(output.get(0)).isEqualTo("request a1 came to one at 2026-12-03T03:00:01.100Z");
+		assertThat(output).anyMatch((text) -> text.contains("two TARGET_CHANGED engine=i-1 lost"));
+		assertThat(output).noneMatch((text) -> text.contains("TARGET_SILENT"));
+		assertThat(output).anyMatch((text) -> text.contains("one CONFIGURATION_IN_FORCE version=7"));
+		assertThat(output.get(output.size() - 1))
+			.isEqualTo("cause: served with status 200 by i-2, after silent at i-1");
 	}
 
 	@Test
-	void tellsWhyARequestWasRefusedAndHowManyGroupsServed() {
-		List<String> told = story("b2");
-		assertThat(told).anyMatch((text) -> text.contains("GROUP_SUMMARY service=s serving-m=1 forming=2"));
-		assertThat(told).last().isEqualTo("cause: refused, not run: all targets are full");
+	void reportsWhyARequestWasRefusedAndHowManyGroupsServed() {
+		List<String> output = explanation("b2");
+		assertThat(output).anyMatch((text) -> text.contains("GROUP_SUMMARY service=s serving-m=1 forming=2"));
+		assertThat(output).last().isEqualTo("cause: refused, not run: all targets are full");
 	}
 
 	@Test
-	void tellsThatAnOutcomeIsNotKnown() {
-		assertThat(story("c3")).last().isEqualTo("cause: failed (unknown): time is over");
+	void reportsAnUnknownOutcome() {
+		assertThat(explanation("c3")).last().isEqualTo("cause: failed (unknown): time is over");
 	}
 
 	@Test
-	void knowsNothingOfOtherRequests() {
-		assertThat(RequestStory.find(LOGS, "zz")).isEmpty();
-		assertThat(RequestStory.find(LOGS, "a")).isEmpty();
+	void findsNothingForOtherRequests() {
+		assertThat(RequestExplanation.find(LOGS, "zz")).isEmpty();
+		assertThat(RequestExplanation.find(LOGS, "a")).isEmpty();
 	}
 
 	@Test
-	void takesTheNodeFromWhatACollectorPutInFront() {
-		Optional<LoggedLine> read = LoggedLine
-			.read("  2.8797 front-2 2026-12-03T03:00:02.000Z INFO SYC-1905 TARGET_SILENT target=i-1", "all");
-		assertThat(read.orElseThrow().node()).isEqualTo("front-2");
+	void readsTheNodeFromThePrefixOfALogCollector() {
+		Optional<ParsedLogLine> parsed = ParsedLogLine
+			.parse("  2.8797 front-2 2026-12-03T03:00:02.000Z INFO SYC-1905 TARGET_SILENT target=i-1", "all");
+		assertThat(parsed.orElseThrow().node()).isEqualTo("front-2");
 	}
 
 }
--- a/src/test/java/sycamorehill/settings/ExamplesTests.java
+++ b/src/test/java/sycamorehill/settings/ExamplesTests.java
@@ -21,24 +21,24 @@
 
 	@ParameterizedTest
 	@ValueSource(strings = { "examples/kurokawa-node.ini", "examples/agnishikha-node.ini" })
-	void exampleNodesAreSound(String file) {
-		Assertions.assertThat(NodeSettingsReader.read(Path.of(file))).isInstanceOf(SettingsOutcome.Sound.class);
+	void exampleNodesAreValid(String file) {
+		Assertions.assertThat(NodeSettingsReader.read(Path.of(file))).isInstanceOf(SettingsOutcome.Valid.class);
 	}
 
 	@Test
-	void exampleStandInsAreSound() {
+	void exampleStandInsAreValid() {
 		Assertions.assertThat(StandInSettingsReader.read(Path.of("examples/stand-in.ini")))
-			.isInstanceOf(SettingsOutcome.Sound.class);
+			.isInstanceOf(SettingsOutcome.Valid.class);
 	}
 
 	@Test
-	void exampleLoadIsSound() {
+	void exampleLoadIsValid() {
 		Assertions.assertThat(LoadSettingsReader.read(Path.of("examples/load.ini")))
-			.isInstanceOf(SettingsOutcome.Sound.class);
+			.isInstanceOf(SettingsOutcome.Valid.class);
 	}
 
 	@Test
-	void exampleTicketIsSoundForAnEmptyTruth() throws IOException {
+	void exampleTicketIsValidForEmptyDesiredState() throws IOException {
 		TicketDraft draft = ModelJson.json()
 			.readValue(Files.readString(Path.of("examples/first-ticket.json")), TicketDraft.class);
 		Assertions.assertThat(TicketValidator.validate(draft, DesiredState.empty()).faults()).isEmpty();
--- a/src/test/java/sycamorehill/settings/NodeSettingsReaderTests.java
+++ b/src/test/java/sycamorehill/settings/NodeSettingsReaderTests.java
@@ -12,7 +12,7 @@
  */
 class NodeSettingsReaderTests {
 
-	private static final String SOUND = """
+	private static final String VALID = """
 			[node]
 			name = fukuoka-1
 			data-centre = fukuoka
@@ -30,8 +30,8 @@
 			""";
 
 	@Test
-	void soundSettingsAreRead() {
-		Assertions.assertThat(NodeSettingsReader.parse(SOUND)).isInstanceOf(SettingsOutcome.Sound.class);
+	void validSettingsAreRead() {
+		Assertions.assertThat(NodeSettingsReader.parse(VALID)).isInstanceOf(SettingsOutcome.Valid.class);
 	}
 
 	@ParameterizedTest
@@ -50,27 +50,27 @@
 					[platform]                       | [plattform]                       | [plattform]: no such section
 					name = fukuoka-1                 | name = a%nname = b                | [node] name = 'a': given more than once
 					""")
-	void eachFaultIsToldWithItsPlace(String line, String faulty, String expected) {
-		String replacement = (faulty != null) ? faulty.replace("%n", "\n") : "";
-		List<String> faults = faults(SOUND.replace(line, replacement));
+	void eachFaultIsReportedWithSectionAndKey(String line, String replacementLine, String expected) {
+		String replacement = (replacementLine != null) ? replacementLine.replace("%n", "\n") : "";
+		List<String> faults = faults(VALID.replace(line, replacement));
 		Assertions.assertThat(faults).anyMatch((fault) -> fault.startsWith(expected));
 	}
 
 	@Test
-	void allFaultsAreToldAtOnce() {
+	void allFaultsAreReportedTogether() {
 		Assertions.assertThat(faults("[node]\nname = n\n").size()).isGreaterThan(5);
 	}
 
 	@Test
 	void theSharedSecretIsNotPrinted() {
-		SettingsOutcome<NodeSettings> outcome = NodeSettingsReader.parse(SOUND);
+		SettingsOutcome<NodeSettings> outcome = NodeSettingsReader.parse(VALID);
 		Assertions.assertThat(outcome.toString()).doesNotContain("sixteen-characters");
 	}
 
 	private static List<String> faults(String text) {
 		SettingsOutcome<NodeSettings> outcome = NodeSettingsReader.parse(text);
-		Assertions.assertThat(outcome).isInstanceOf(SettingsOutcome.Faulty.class);
-		return ((SettingsOutcome.Faulty<NodeSettings>) outcome).faults().stream().map(SettingFault::toString).toList();
+		Assertions.assertThat(outcome).isInstanceOf(SettingsOutcome.Invalid.class);
+		return ((SettingsOutcome.Invalid<NodeSettings>) outcome).faults().stream().map(SettingFault::toString).toList();
 	}
 
 }
--- a/src/test/java/sycamorehill/settings/SettingsReferenceTests.java
+++ b/src/test/java/sycamorehill/settings/SettingsReferenceTests.java
@@ -15,13 +15,13 @@
 class SettingsReferenceTests {
 
 	@Test
-	void docsListExactlyTheSettingsAndStandardValuesOfTheCode() throws IOException {
-		List<String> coded = NodeSettingsReader.definitions()
+	void docsListExactlyTheSettingsAndDefaultsOfTheCode() throws IOException {
+		List<String> defined = NodeSettingsReader.definitions()
 			.stream()
 			.map(SettingsReferenceTests::line)
 			.sorted()
 			.toList();
-		Assertions.assertThat(documented()).isEqualTo(coded);
+		Assertions.assertThat(documented()).isEqualTo(defined);
 	}
 
 	private static List<String> documented() throws IOException {
@@ -40,9 +40,10 @@
 	}
 
 	private static String line(SettingDefinition definition) {
-		String standard = definition.standard();
-		String shown = (standard.isEmpty() || standard.equals("[]")) ? "none" : "`" + standard + "`";
-		return definition.section() + " `" + definition.key() + "` " + shown;
+		String defaultValue = definition.defaultValue();
+		String displayedDefault = (defaultValue.isEmpty() || defaultValue.equals("[]")) ? "none"
+				: "`" + defaultValue + "`";
+		return definition.section() + " `" + definition.key() + "` " + displayedDefault;
 	}
 
 }
