--- a/src/main/java/sycamorehill/explain/ParsedLogLine.java
+++ b/src/main/java/sycamorehill/explain/ParsedLogLine.java
@@ -7,28 +7,28 @@
 import java.util.regex.Pattern;
 
 /**
- * One line of a node's log.
+ * A line of a node's log, split into its parts.
  *
- * @param timestamp when it was written, by the node's wall clock
- * @param node the node that wrote it
- * @param event name of the numbered event
- * @param detail what it is about
+ * @param timestamp when the node wrote the line, by its wall clock
+ * @param node name of the node that wrote the line
+ * @param event name of the log event, such as {@code REQUEST_SERVED}
+ * @param detail the rest of the line: fields and free text
  */
 record ParsedLogLine(Instant timestamp, String node, String event, String detail) {
 
 	/**
-	 * Collectors of logs put what they like in front of a line, the node's name at the
-	 * end of it.
+	 * Matches a log line with an optional prefix. Log collectors may add a prefix of any
+	 * form; its last word is taken as the node's name.
 	 */
 	private static final Pattern LINE_PATTERN = Pattern
 		.compile("^(?<before>.*?)(?<at>\\d{4}-\\d\\d-\\d\\dT\\S+Z) \\w+ SYC-\\d+ (?<event>\\w+) ?(?<detail>.*)$");
 
 	/**
-	 * Reads a line.
+	 * Parses a line of a log.
 	 * @param text the line
-	 * @param file the name of the file that holds it, which names the node if the line
-	 * does not
-	 * @return the line; empty for text that is no line of a log, such as a stack trace
+	 * @param file name of the log file, used as the node's name if the line has no prefix
+	 * @return the parsed line; empty if the text is not a log line, such as a line of a
+	 * stack trace
 	 */
 	static Optional<ParsedLogLine> parse(String text, String file) {
 		Matcher matcher = LINE_PATTERN.matcher(text);
@@ -47,9 +47,9 @@
 	}
 
 	/**
-	 * A field of the line.
-	 * @param name the field's name
-	 * @return its value without quotes; empty if the line has no such field
+	 * Returns the value of a {@code key=value} field.
+	 * @param name the field's key
+	 * @return the value without quotes; empty if the line has no such field
 	 */
 	Optional<String> field(String name) {
 		Matcher matcher = Pattern.compile("(?:^| )" + Pattern.quote(name) + "=(?:'([^']*)'|(\\S+))")
--- a/src/main/java/sycamorehill/explain/RequestExplanation.java
+++ b/src/main/java/sycamorehill/explain/RequestExplanation.java
@@ -11,8 +11,9 @@
 import java.util.function.Predicate;
 
 /**
- * What the logs tell of one request: its own lines, what happened to the targets that it
- * was given to, and what its node knew of the store, the configuration and the groups.
+ * Explains the outcome of one request from the logs of several nodes. It combines the log
+ * lines of the request, events of the targets that the request was sent to, and the last
+ * known state of the store, the configuration and the serving groups.
  */
 public final class RequestExplanation {
 
@@ -22,8 +23,9 @@
 			"ENGINE_ORDER");
 
 	/**
-	 * Events of targets are looked for this long around a request: an entry of a target
-	 * that died lapses after 3.6 s.
+	 * Time before the start and after the last log line of a request in which target
+	 * events are included. It exceeds the 3.6 s after which the entry of a crashed target
+	 * expires.
 	 */
 	private static final Duration TARGET_EVENT_MARGIN = Duration.ofSeconds(5);
 
@@ -37,10 +39,10 @@
 	}
 
 	/**
-	 * Finds a request.
-	 * @param sourceLines lines of all logs, each behind the name of its file
+	 * Finds the log lines of a request.
+	 * @param sourceLines lines of all logs
 	 * @param request the caller's identifier of the attempt
-	 * @return the explanation; empty if no line names the request
+	 * @return the explanation; empty if no line has a request field with this identifier
 	 */
 	public static Optional<RequestExplanation> find(List<SourceLine> sourceLines, String request) {
 		List<ParsedLogLine> lines = sourceLines.stream()
@@ -58,8 +60,8 @@
 	}
 
 	/**
-	 * Tells the explanation.
-	 * @return its lines
+	 * Formats the explanation for operators.
+	 * @return the lines to print
 	 */
 	public List<String> format() {
 		List<ParsedLogLine> requestLines = requestLines();
@@ -143,10 +145,11 @@
 	}
 
 	/**
-	 * A line of a log as it stands in a file.
+	 * A line of a log file, not yet parsed.
 	 *
-	 * @param file the file's name without folder and ending, taken for the node's name
-	 * @param text the line
+	 * @param file name of the file without directory and extension, used as the node's
+	 * name if the line has no prefix
+	 * @param text text of the line
 	 */
 	public record SourceLine(String file, String text) {
 	}
--- a/src/main/java/sycamorehill/explain/package-info.java
+++ b/src/main/java/sycamorehill/explain/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Reads the logs of several nodes and tells what became of one request, and why.
+ * Reconstructs the history and the outcome of one request from the logs of several nodes.
  */
 package sycamorehill.explain;
--- a/src/test/java/sycamorehill/explain/RequestExplanationTests.java
+++ b/src/test/java/sycamorehill/explain/RequestExplanationTests.java
@@ -8,7 +8,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * From a request's identifier to its cause, by the logs of several nodes.
+ * Tests that the cause of a request's outcome is found in the logs of several nodes.
  */
 class RequestExplanationTests {
 
@@ -40,8 +40,8 @@
 		return RequestExplanation.find(LOGS, request).orElseThrow().format();
 	}
 
-	// A stream paused and went on elsewhere. The caller has only the identifier; that the
-	// first target was lost stands in the controller's log, on another node.
+	// A stream pauses and resumes on another target. The loss of the first target is
+	// recorded only in the controller's log, on another node.
 	@Test
 	void findsTheLostTargetInTheLogOfAnotherNode() {
 		List<String> output = explanation("a1");
