--- a/src/main/java/sycamorehill/settings/LoadSettings.java
+++ b/src/main/java/sycamorehill/settings/LoadSettings.java
@@ -6,11 +6,11 @@
 import sycamorehill.model.identity.Address;
 
 /**
- * Settings of a load.
+ * Settings of a load generator run.
  *
- * @param plan what load on which nodes
- * @param plainTargets addresses of the stand-ins of plain services, whose records of runs
- * are compared with the answers; empty if they can't be asked
+ * @param plan the load to generate and the nodes that receive it
+ * @param plainTargets addresses of the stand-ins of plain services, whose records of
+ * executed requests are compared with the answers; empty if they can't be queried
  */
 public record LoadSettings(LoadPlan plan, List<Address> plainTargets) {
 
--- a/src/main/java/sycamorehill/settings/LoadSettingsReader.java
+++ b/src/main/java/sycamorehill/settings/LoadSettingsReader.java
@@ -9,7 +9,7 @@
 import sycamorehill.model.identity.Address;
 
 /**
- * Reads settings of a load.
+ * Reads the settings of a load generator run.
  */
 public final class LoadSettingsReader {
 
@@ -29,18 +29,18 @@
 	}
 
 	/**
-	 * Reads a file.
-	 * @param file the file
-	 * @return the settings or every fault
+	 * Reads settings from a file.
+	 * @param file path of the INI file
+	 * @return the settings, or all faults found
 	 */
 	public static SettingsOutcome<LoadSettings> read(Path file) {
 		return read(SettingsSource.read(file));
 	}
 
 	/**
-	 * Reads a text.
-	 * @param text the settings in INI
-	 * @return the settings or every fault
+	 * Reads settings from a text.
+	 * @param text the settings in INI format
+	 * @return the settings, or all faults found
 	 */
 	public static SettingsOutcome<LoadSettings> parse(String text) {
 		return read(SettingsSource.parse(text));
--- a/src/main/java/sycamorehill/settings/NodeSettings.java
+++ b/src/main/java/sycamorehill/settings/NodeSettings.java
@@ -11,14 +11,15 @@
  * Settings of one node.
  *
  * @param name the node's name, unique among all nodes
- * @param dataCentre where it runs
+ * @param dataCentre data centre where the node runs
  * @param dataCentres all data centres
- * @param callerAddress where callers reach it
- * @param operatorAddress where operators reach it
- * @param peerAddress where other nodes reach it
- * @param platformAddress where the platform listens
- * @param sharedSecret by which nodes know each other
- * @param policy the tunable bounds
+ * @param callerAddress address where callers reach the node
+ * @param operatorAddress address where operators reach the node
+ * @param peerAddress address where other nodes reach the node
+ * @param platformAddress address of the platform
+ * @param sharedSecret secret that authenticates nodes to each other; {@link #toString()}
+ * omits it
+ * @param policy the tunable parameters
  */
 public record NodeSettings(NodeName name, DataCentreName dataCentre, List<DataCentreName> dataCentres,
 		Address callerAddress, Address operatorAddress, Address peerAddress, Address platformAddress,
--- a/src/main/java/sycamorehill/settings/NodeSettingsReader.java
+++ b/src/main/java/sycamorehill/settings/NodeSettingsReader.java
@@ -16,7 +16,7 @@
 import sycamorehill.model.policy.Policy;
 
 /**
- * Reads a node's settings.
+ * Reads the settings of a node.
  */
 public final class NodeSettingsReader {
 
@@ -36,26 +36,26 @@
 	}
 
 	/**
-	 * Reads a file.
-	 * @param file the file
-	 * @return the settings or every fault
+	 * Reads settings from a file.
+	 * @param file path of the INI file
+	 * @return the settings, or all faults found
 	 */
 	public static SettingsOutcome<NodeSettings> read(Path file) {
 		return read(SettingsSource.read(file));
 	}
 
 	/**
-	 * Reads a text.
-	 * @param text the settings in INI
-	 * @return the settings or every fault
+	 * Reads settings from a text.
+	 * @param text the settings in INI format
+	 * @return the settings, or all faults found
 	 */
 	public static SettingsOutcome<NodeSettings> parse(String text) {
 		return read(SettingsSource.parse(text));
 	}
 
 	/**
-	 * Every setting of a node.
-	 * @return the definitions, section by section
+	 * Returns the definitions of all settings of a node.
+	 * @return the definitions in the order in which the settings are read
 	 */
 	public static List<SettingDefinition> definitions() {
 		SettingsSource source = SettingsSource.parse("");
@@ -139,6 +139,7 @@
 
 	private static void checkAddressUnused(SettingsSource source, Set<Address> usedAddresses, String key,
 			Address address) {
+		// Port 1 belongs to the placeholder for a missing or malformed address.
 		if (address.port() > 1 && !usedAddresses.add(address)) {
 			source.addFault(NODE, key, "expected an address that no other server of the node has");
 		}
--- a/src/main/java/sycamorehill/settings/PolicySectionReader.java
+++ b/src/main/java/sycamorehill/settings/PolicySectionReader.java
@@ -11,9 +11,10 @@
 import sycamorehill.model.policy.RepairRules;
 
 /**
- * Reads one policy record: its section is named for the record, its keys for the record's
- * components, and what the section leaves out keeps its standard value. So a bound that
- * the decisions use can't be forgotten in the settings.
+ * Reads a section of the settings into a record. The keys are derived from the names of
+ * the record's components, so that no parameter of a record can be left out of the
+ * settings by mistake; only lists and repair rules are skipped. A key that the section
+ * omits keeps its default value.
  */
 final class PolicySectionReader {
 
@@ -68,7 +69,7 @@
 		if (defaultValue instanceof Record nested) {
 			return read(key + "-", nested);
 		}
-		throw new IllegalStateException("no settings type for " + component);
+		throw new IllegalStateException("unsupported type of a settings component: " + component);
 	}
 
 	private static Object defaultOf(RecordComponent component, Record defaults) {
--- a/src/main/java/sycamorehill/settings/SettingDefinition.java
+++ b/src/main/java/sycamorehill/settings/SettingDefinition.java
@@ -1,13 +1,13 @@
 package sycamorehill.settings;
 
 /**
- * One setting that a reader asks for.
+ * Describes one setting of a file.
  *
- * @param section the section
- * @param key the key
- * @param expected what is expected
- * @param defaultValue the value that holds if nothing is given, empty if one must be
- * given
+ * @param section name of the section
+ * @param key key within the section
+ * @param expected description of the expected value
+ * @param defaultValue value that applies if the setting is omitted; empty if the setting
+ * is required
  */
 public record SettingDefinition(String section, String key, String expected, String defaultValue) {
 
--- a/src/main/java/sycamorehill/settings/SettingFault.java
+++ b/src/main/java/sycamorehill/settings/SettingFault.java
@@ -1,12 +1,15 @@
 package sycamorehill.settings;
 
 /**
- * One fault in a settings file.
+ * A fault in a settings file.
  *
- * @param section the section
- * @param key the key, empty where the section itself is at fault
- * @param value what stands there, empty if nothing does
- * @param expected what was expected
+ * @param section name of the section, empty if the fault concerns the whole file or a key
+ * outside any section
+ * @param key key within the section, empty if the fault concerns the whole section or
+ * file
+ * @param value the value found, empty if there is none; the file's path if the file can't
+ * be read
+ * @param expected description of the fault or of the expected value
  */
 public record SettingFault(String section, String key, String value, String expected) {
 
--- a/src/main/java/sycamorehill/settings/SettingsOutcome.java
+++ b/src/main/java/sycamorehill/settings/SettingsOutcome.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What came of reading settings.
+ * The result of reading settings: either valid settings or a list of faults.
  *
  * @param <T> the type of settings
  */
 public sealed interface SettingsOutcome<T> {
 
 	/**
-	 * The settings are sound.
+	 * The settings are valid.
 	 *
 	 * @param <T> the type of settings
 	 * @param settings the settings
@@ -19,7 +19,7 @@
 	}
 
 	/**
-	 * The settings can't be used.
+	 * The settings have faults and can't be used.
 	 *
 	 * @param <T> the type of settings
 	 * @param faults every fault found
--- a/src/main/java/sycamorehill/settings/SettingsSource.java
+++ b/src/main/java/sycamorehill/settings/SettingsSource.java
@@ -24,8 +24,10 @@
 import sycamorehill.model.identity.Address;
 
 /**
- * Reads values out of an INI text and gathers every fault: what is missing, of the wrong
- * type, out of range, given twice or not known at all.
+ * Reads values from a text in INI format and collects all faults: missing values, values
+ * of the wrong type or out of range, duplicate keys, and unknown keys and sections. A
+ * value that is missing or invalid is replaced by its default or a placeholder, so that
+ * reading continues and all faults are reported together.
  */
 final class SettingsSource {
 
@@ -150,8 +152,10 @@
 	}
 
 	/**
-	 * Adds what was given but never asked for, and all given twice.
-	 * @return every fault, by section and key
+	 * Checks for unknown sections, unknown keys and duplicate keys, and returns all
+	 * faults. Call this after all settings have been read, because a key counts as known
+	 * only once it has been read.
+	 * @return all faults in the order in which they were found
 	 */
 	List<SettingFault> collectFaults() {
 		for (String section : this.configuration.getSections()) {
@@ -167,6 +171,7 @@
 			return;
 		}
 		keys.getKeys().forEachRemaining((escaped) -> {
+			// INIConfiguration escapes a dot within a key by doubling it.
 			String key = escaped.replace("..", ".");
 			if (!this.knownKeys.contains(section + "/" + key)) {
 				addFault(section, key, "no such key");
@@ -178,8 +183,8 @@
 	}
 
 	/**
-	 * What was asked for so far.
-	 * @return the definitions in the order of asking
+	 * Returns the definitions of the settings read so far.
+	 * @return the definitions in the order in which the settings were read
 	 */
 	List<SettingDefinition> definitions() {
 		return List.copyOf(this.definitions);
--- a/src/main/java/sycamorehill/settings/StandInSettingsReader.java
+++ b/src/main/java/sycamorehill/settings/StandInSettingsReader.java
@@ -9,7 +9,7 @@
 import sycamorehill.standin.StandInSettings;
 
 /**
- * Reads settings of the stand-ins.
+ * Reads the settings of the stand-in processes.
  */
 public final class StandInSettingsReader {
 
@@ -27,18 +27,18 @@
 	}
 
 	/**
-	 * Reads a file.
-	 * @param file the file
-	 * @return the settings or every fault
+	 * Reads settings from a file.
+	 * @param file path of the INI file
+	 * @return the settings, or all faults found
 	 */
 	public static SettingsOutcome<StandInSettings> read(Path file) {
 		return read(SettingsSource.read(file));
 	}
 
 	/**
-	 * Reads a text.
-	 * @param text the settings in INI
-	 * @return the settings or every fault
+	 * Reads settings from a text.
+	 * @param text the settings in INI format
+	 * @return the settings, or all faults found
 	 */
 	public static SettingsOutcome<StandInSettings> parse(String text) {
 		return read(SettingsSource.parse(text));
--- a/src/main/java/sycamorehill/settings/package-info.java
+++ b/src/main/java/sycamorehill/settings/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Settings of processes in INI, checked whole.
+ * Reads the settings of processes from INI files and reports all faults together.
  */
 package sycamorehill.settings;
--- a/src/test/java/sycamorehill/settings/ExamplesTests.java
+++ b/src/test/java/sycamorehill/settings/ExamplesTests.java
@@ -15,7 +15,7 @@
 import sycamorehill.model.ticket.TicketDraft;
 
 /**
- * The examples that users start from.
+ * Tests that the example files for users are valid.
  */
 class ExamplesTests {
 
--- a/src/test/java/sycamorehill/settings/NodeSettingsReaderTests.java
+++ b/src/test/java/sycamorehill/settings/NodeSettingsReaderTests.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Faults in a node's settings; docs/FAULTS.md lists the same ones.
+ * Tests the faults reported for a node's settings; docs/FAULTS.md lists the same faults.
  */
 class NodeSettingsReaderTests {
 
--- a/src/test/java/sycamorehill/settings/SettingsReferenceTests.java
+++ b/src/test/java/sycamorehill/settings/SettingsReferenceTests.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The reference of settings in docs.
+ * Tests that the settings reference in docs/SETTINGS.md matches the code.
  */
 class SettingsReferenceTests {
 
