--- a/src/main/java/sycamorehill/entry/EnginePort.java
+++ b/src/main/java/sycamorehill/entry/EnginePort.java
@@ -8,50 +8,52 @@
 import sycamorehill.model.serving.TargetAddress;
 
 /**
- * Calls to engines that are no requests of callers.
+ * Sends calls to engines other than the requests of callers.
  */
 public interface EnginePort {
 
 	/**
-	 * Sends an order.
+	 * Sends a command to an engine.
 	 * @param engine the engine
-	 * @param order the order
-	 * @param ordersAccepted the count of orders under which it is good
-	 * @return what became of it; never fails
+	 * @param command the command
+	 * @param acceptedCommands the number of accepted commands for which it is valid
+	 * @return the outcome of the command; never fails
 	 */
-	CompletableFuture<EngineCommandAnswer> order(TargetAddress engine, EngineCommandRequest order, long ordersAccepted);
+	CompletableFuture<EngineCommandAnswer> sendCommand(TargetAddress engine, EngineCommandRequest command,
+			long acceptedCommands);
 
 	/**
-	 * Asks for an engine's state.
+	 * Reads the state of an engine.
 	 * @param engine the engine
-	 * @return its state, or a {@link NoReportException}
+	 * @return the state; completes with a {@link ReportUnavailableException} if it can't
+	 * be read
 	 */
-	CompletableFuture<EngineReport> report(TargetAddress engine);
+	CompletableFuture<EngineReport> readReport(TargetAddress engine);
 
 	/**
-	 * An engine's state could not be read.
+	 * Thrown when the state of an engine can't be read.
 	 */
-	final class NoReportException extends Exception {
+	final class ReportUnavailableException extends Exception {
 
 		private static final long serialVersionUID = 1L;
 
-		private final EngineCommandAnswer seen;
+		private final EngineCommandAnswer answer;
 
 		/**
 		 * Creates the exception.
-		 * @param seen what was seen instead
+		 * @param answer the answer that was received instead of a report
 		 */
-		public NoReportException(EngineCommandAnswer seen) {
-			super(seen.toString());
-			this.seen = seen;
+		public ReportUnavailableException(EngineCommandAnswer answer) {
+			super(answer.toString());
+			this.answer = answer;
 		}
 
 		/**
-		 * What was seen instead of a report.
-		 * @return what was seen
+		 * Returns the answer that was received instead of a report.
+		 * @return the answer
 		 */
-		public EngineCommandAnswer seen() {
-			return this.seen;
+		public EngineCommandAnswer answer() {
+			return this.answer;
 		}
 
 	}
--- a/src/main/java/sycamorehill/entry/TargetConnection.java
+++ b/src/main/java/sycamorehill/entry/TargetConnection.java
@@ -12,28 +12,28 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * One connection to a target or another HTTP server. Whatever arrives while no answer is
- * awaited belongs to no request: the connection is closed, so that it can't be taken for
- * the answer to the next one.
+ * Connection to a target or another HTTP server. Data that arrives while no answer is
+ * expected belongs to no request. The connection is then closed, so that the data can't
+ * be mistaken for the answer to the next request.
  */
 final class TargetConnection extends ChannelInboundHandlerAdapter {
 
 	private ChannelHandlerContext context;
 
-	private AnswerReader reader;
+	private AnswerHandler answerHandler;
 
-	private boolean interim;
+	private boolean interimResponse;
 
-	private boolean answering;
+	private boolean answerStarted;
 
 	@Override
-	public void handlerAdded(ChannelHandlerContext added) {
-		this.context = added;
+	public void handlerAdded(ChannelHandlerContext addedContext) {
+		this.context = addedContext;
 	}
 
-	void await(AnswerReader next) {
-		this.reader = next;
-		this.answering = false;
+	void expectAnswer(AnswerHandler handler) {
+		this.answerHandler = handler;
+		this.answerStarted = false;
 	}
 
 	boolean isOpen() {
@@ -44,15 +44,16 @@
 		return this.context;
 	}
 
-	/** Closes the connection; its reader hears nothing more. */
+	/** Closes the connection without notifying its handler. */
 	void close() {
-		this.reader = null;
+		this.answerHandler = null;
 		this.context.close();
 	}
 
 	/**
-	 * Closes the connection so that bytes on their way are lost. Behind a partition, an
-	 * order that was given up would else arrive when it heals, seconds after newer ones.
+	 * Closes the connection with a TCP reset, which discards bytes in transit. Otherwise
+	 * a command that timed out during a network partition would arrive when the partition
+	 * ends, seconds after newer commands.
 	 */
 	void reset() {
 		this.context.channel().config().setOption(ChannelOption.SO_LINGER, 0);
@@ -66,14 +67,14 @@
 	@Override
 	public void channelRead(ChannelHandlerContext ctx, Object message) {
 		try {
-			if (this.reader == null) {
+			if (this.answerHandler == null) {
 				ctx.close();
 			}
 			else if (message instanceof HttpObject object && object.decoderResult().isFailure()) {
 				fail("not an answer: " + object.decoderResult().cause().getMessage());
 			}
 			else {
-				read(message);
+				dispatch(message);
 			}
 		}
 		finally {
@@ -81,23 +82,24 @@
 		}
 	}
 
-	private void read(Object message) {
+	private void dispatch(Object message) {
 		if (message instanceof HttpResponse response) {
-			this.interim = response.status().codeClass() == HttpStatusClass.INFORMATIONAL
+			this.interimResponse = response.status().codeClass() == HttpStatusClass.INFORMATIONAL
 					&& response.status().code() != HttpResponseStatus.SWITCHING_PROTOCOLS.code();
-			if (!this.interim) {
-				this.answering = true;
-				this.reader.head(response);
+			if (!this.interimResponse) {
+				this.answerStarted = true;
+				this.answerHandler.handleHead(response);
 			}
 		}
-		if (message instanceof HttpContent content && !this.interim && this.reader != null && this.answering) {
+		if (message instanceof HttpContent content && !this.interimResponse && this.answerHandler != null
+				&& this.answerStarted) {
 			if (content.content().isReadable()) {
-				this.reader.body(content.content());
+				this.answerHandler.handleBody(content.content());
 			}
-			if (message instanceof LastHttpContent && this.reader != null) {
-				AnswerReader done = this.reader;
-				this.reader = null;
-				done.end();
+			if (message instanceof LastHttpContent && this.answerHandler != null) {
+				AnswerHandler handler = this.answerHandler;
+				this.answerHandler = null;
+				handler.handleEnd();
 			}
 		}
 	}
@@ -114,11 +116,11 @@
 	}
 
 	private void fail(String cause) {
-		AnswerReader awaiting = this.reader;
-		this.reader = null;
+		AnswerHandler handler = this.answerHandler;
+		this.answerHandler = null;
 		this.context.close();
-		if (awaiting != null) {
-			awaiting.broken(cause);
+		if (handler != null) {
+			handler.handleFailure(cause);
 		}
 	}
 
--- a/src/main/java/sycamorehill/objectapi/HttpVmList.java
+++ b/src/main/java/sycamorehill/objectapi/HttpVmListClient.java
@@ -10,9 +10,9 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpAnswer;
 import sycamorehill.http.HttpCall;
-import sycamorehill.http.HttpCaller;
 import sycamorehill.model.group.VmEntry;
 import sycamorehill.model.group.VmStatus;
 import sycamorehill.model.identity.Address;
@@ -21,50 +21,50 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * The VM list over HTTP, as docs/WIRE.md gives it.
+ * Reads the VM list over HTTP, as specified in docs/WIRE.md.
  */
-public final class HttpVmList implements VmListClient {
+public final class HttpVmListClient implements VmListClient {
 
 	private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
 	private static final int OK = 200;
 
-	private final HttpCaller caller;
+	private final BufferedHttpClient httpClient;
 
 	private final Address address;
 
 	private final ObjectMapper json;
 
-	private HttpVmList(HttpCaller caller, Address address, ObjectMapper json) {
-		this.caller = caller;
+	private HttpVmListClient(BufferedHttpClient httpClient, Address address, ObjectMapper json) {
+		this.httpClient = httpClient;
 		this.address = address;
 		this.json = json;
 	}
 
 	/**
-	 * Creates the adapter.
-	 * @param caller makes the calls
-	 * @param address where the platform listens
-	 * @param json reads bodies
-	 * @return the adapter
+	 * Creates a client.
+	 * @param httpClient sends the HTTP calls
+	 * @param address the platform's address
+	 * @param json decodes the answers
+	 * @return the client
 	 */
-	public static HttpVmList create(HttpCaller caller, Address address, ObjectMapper json) {
-		return new HttpVmList(caller, address, json);
+	public static HttpVmListClient create(BufferedHttpClient httpClient, Address address, ObjectMapper json) {
+		return new HttpVmListClient(httpClient, address, json);
 	}
 
 	@Override
 	public CompletableFuture<List<VmEntry>> read(DataCentreName dataCentre) {
 		String name = URLEncoder.encode(dataCentre.value(), StandardCharsets.UTF_8);
-		return this.caller.call(HttpCall.of(this.address, "GET", "/v1/vms?dataCentre=" + name, TIMEOUT))
-			.thenApply(this::entries);
+		return this.httpClient.call(HttpCall.of(this.address, "GET", "/v1/vms?dataCentre=" + name, TIMEOUT))
+			.thenApply(this::decodeEntries);
 	}
 
-	private List<VmEntry> entries(HttpAnswer answer) {
+	private List<VmEntry> decodeEntries(HttpAnswer answer) {
 		if (answer.status() != OK) {
 			throw new IllegalStateException("the VM list answered " + answer.status());
 		}
 		try {
-			return this.json.readValue(answer.body(), VmListBody.class).vms().stream().map(VmBody::entry).toList();
+			return this.json.readValue(answer.body(), VmListBody.class).vms().stream().map(VmBody::toEntry).toList();
 		}
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
@@ -78,7 +78,7 @@
 	private record VmBody(String name, String dataCentre, String domain, String host, int port, VmStatus status,
 			String instance) {
 
-		VmEntry entry() {
+		VmEntry toEntry() {
 			return new VmEntry(VmName.of(this.name), DataCentreName.of(this.dataCentre), FabricDomain.of(this.domain),
 					Address.of(this.host, this.port), this.status, this.instance);
 		}
--- a/src/main/java/sycamorehill/platform/PlatformExchangeCodec.java
+++ b/src/main/java/sycamorehill/platform/PlatformExchangeCodec.java
@@ -14,24 +14,25 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 
-import sycamorehill.entry.CallerHead;
+import sycamorehill.entry.CallerRequestHead;
 import sycamorehill.entry.ExchangeCodec;
-import sycamorehill.entry.Forwarding;
-import sycamorehill.entry.TargetHead;
+import sycamorehill.entry.ForwardingMetadata;
+import sycamorehill.entry.TargetResponseHead;
 import sycamorehill.model.serving.EngineLoad;
 import sycamorehill.model.serving.RequestRate;
 import sycamorehill.model.serving.TokenCounts;
 
 /**
- * Heads of requests and answers as the platform's callers and targets speak them.
+ * Reads and writes the heads of requests and answers that are exchanged with the
+ * platform's callers and targets.
  */
 final class PlatformExchangeCodec implements ExchangeCodec {
 
 	private static final String READINESS_PATH = "/-/ready";
 
-	private static final String IDLE_PARAMETER = "timeout=";
+	private static final String IDLE_TIMEOUT_PARAMETER = "timeout=";
 
-	private static final int MISDIRECTED = 421;
+	private static final int MISDIRECTED_REQUEST = 421;
 
 	private PlatformExchangeCodec() {
 	}
@@ -41,34 +42,35 @@
 	}
 
 	@Override
-	public CallerHead readCaller(HttpRequest request) {
+	public CallerRequestHead readCallerRequest(HttpRequest request) {
 		HttpHeaders headers = request.headers();
-		return new CallerHead(headers.get(PlatformHeaders.ATTEMPT, ""), key(headers),
-				Optional.ofNullable(headers.get(PlatformHeaders.MODEL)), size(headers),
-				millis(headers.get(PlatformHeaders.TIME_LEFT)),
+		return new CallerRequestHead(headers.get(PlatformHeaders.ATTEMPT_IDENTIFIER, ""), apiKey(headers),
+				Optional.ofNullable(headers.get(PlatformHeaders.MODEL)), tokenCounts(headers),
+				parseMilliseconds(headers.get(PlatformHeaders.TIME_LEFT)),
 				Optional.ofNullable(headers.get(PlatformHeaders.RESUME_AFTER)));
 	}
 
-	private static Optional<String> key(HttpHeaders headers) {
-		String value = headers.get(PlatformHeaders.KEY);
-		boolean scheme = value != null
-				&& value.regionMatches(true, 0, PlatformHeaders.KEY_SCHEME, 0, PlatformHeaders.KEY_SCHEME.length());
-		return scheme ? Optional.of(value.substring(PlatformHeaders.KEY_SCHEME.length()).trim()) : Optional.empty();
+	private static Optional<String> apiKey(HttpHeaders headers) {
+		String value = headers.get(PlatformHeaders.AUTHORIZATION);
+		boolean hasScheme = value != null && value.regionMatches(true, 0, PlatformHeaders.AUTHORIZATION_SCHEME, 0,
+				PlatformHeaders.AUTHORIZATION_SCHEME.length());
+		return hasScheme ? Optional.of(value.substring(PlatformHeaders.AUTHORIZATION_SCHEME.length()).trim())
+				: Optional.empty();
 	}
 
-	private static Optional<TokenCounts> size(HttpHeaders headers) {
-		int[] numbers = numbers(headers.get(PlatformHeaders.PROMPT_SIZE), 2);
+	private static Optional<TokenCounts> tokenCounts(HttpHeaders headers) {
+		int[] numbers = parseNumbers(headers.get(PlatformHeaders.TOKEN_COUNTS), 2);
 		return (numbers != null) ? Optional.of(new TokenCounts(numbers[0], numbers[1])) : Optional.empty();
 	}
 
-	private static int[] numbers(String text, int count) {
-		String[] parts = (text != null) ? text.split(",") : new String[0];
-		if (parts.length < count) {
+	private static int[] parseNumbers(String text, int count) {
+		String[] elements = (text != null) ? text.split(",") : new String[0];
+		if (elements.length < count) {
 			return null;
 		}
 		int[] numbers = new int[count];
 		for (int index = 0; index < count; index++) {
-			Optional<BigDecimal> number = number(parts[index]);
+			Optional<BigDecimal> number = parseNumber(elements[index]);
 			if (number.isEmpty()) {
 				return null;
 			}
@@ -77,8 +79,9 @@
 		return numbers;
 	}
 
-	// A header that is no number is passed on as it is, and tells us nothing.
-	private static Optional<BigDecimal> number(String text) {
+	// A malformed number is treated as missing. It doesn't affect whether its header is
+	// forwarded.
+	private static Optional<BigDecimal> parseNumber(String text) {
 		if (text == null) {
 			return Optional.empty();
 		}
@@ -90,35 +93,39 @@
 		}
 	}
 
-	private static Optional<Duration> millis(String text) {
-		return number(text).map((value) -> Duration.ofMillis(value.setScale(0, RoundingMode.DOWN).longValue()));
+	private static Optional<Duration> parseMilliseconds(String text) {
+		return parseNumber(text).map((value) -> Duration.ofMillis(value.setScale(0, RoundingMode.DOWN).longValue()));
 	}
 
-	private static Optional<Duration> seconds(String text) {
-		return number(text).map((value) -> Duration.ofMillis(value.movePointRight(3).longValue()));
+	private static Optional<Duration> parseSeconds(String text) {
+		return parseNumber(text).map((value) -> Duration.ofMillis(value.movePointRight(3).longValue()));
 	}
 
 	@Override
-	public HttpHeaders targetHeaders(HttpRequest request, Forwarding forwarding) {
-		HttpHeaders headers = passedOn(request.headers(), true);
-		headers.set(PlatformHeaders.EXPECT_INSTANCE, forwarding.target().value());
-		forwarding.timeLeft().ifPresent((left) -> headers.set(PlatformHeaders.TIME_LEFT, Math.max(1, left.toMillis())));
+	public HttpHeaders targetHeaders(HttpRequest request, ForwardingMetadata forwarding) {
+		HttpHeaders headers = forwardedHeaders(request.headers(), true);
+		headers.set(PlatformHeaders.EXPECTED_INSTANCE, forwarding.target().value());
+		forwarding.timeLeft()
+			.ifPresent((timeLeft) -> headers.set(PlatformHeaders.TIME_LEFT, Math.max(1, timeLeft.toMillis())));
 		forwarding.workspace().ifPresent((workspace) -> headers.set(PlatformHeaders.WORKSPACE, workspace.value()));
 		headers.set(PlatformHeaders.PRIORITY, forwarding.priority());
-		forwarding.resumeAfter().ifPresent((event) -> headers.set(PlatformHeaders.RESUME_AFTER, event));
-		forwarding.weightsVersion().ifPresent((version) -> headers.set(PlatformHeaders.EXPECT_WEIGHTS, version));
+		forwarding.resumeAfter()
+			.ifPresent((eventIdentifier) -> headers.set(PlatformHeaders.RESUME_AFTER, eventIdentifier));
+		forwarding.weightsVersion()
+			.ifPresent((version) -> headers.set(PlatformHeaders.EXPECTED_WEIGHTS_VERSION, version));
 		return headers;
 	}
 
-	private static HttpHeaders passedOn(HttpHeaders original, boolean toTarget) {
-		Set<String> named = new HashSet<>();
-		original.getAll(HttpHeaderNames.CONNECTION)
-			.forEach((value) -> Set.of(PlatformHeaders.lower(value).split("\\s*,\\s*")).forEach(named::add));
+	private static HttpHeaders forwardedHeaders(HttpHeaders received, boolean toTarget) {
+		Set<String> connectionHeaders = new HashSet<>();
+		received.getAll(HttpHeaderNames.CONNECTION)
+			.forEach((value) -> Set.of(PlatformHeaders.lowerCase(value).split("\\s*,\\s*"))
+				.forEach(connectionHeaders::add));
 		HttpHeaders headers = new DefaultHttpHeaders(false);
-		for (Map.Entry<String, String> header : original) {
-			boolean dropped = PlatformHeaders.ofConnection(header.getKey())
-					|| (toTarget && PlatformHeaders.ofSystem(header.getKey()))
-					|| named.contains(PlatformHeaders.lower(header.getKey()));
+		for (Map.Entry<String, String> header : received) {
+			boolean dropped = PlatformHeaders.isHopByHop(header.getKey())
+					|| (toTarget && PlatformHeaders.isSystemHeader(header.getKey()))
+					|| connectionHeaders.contains(PlatformHeaders.lowerCase(header.getKey()));
 			if (!dropped) {
 				headers.add(header.getKey(), header.getValue());
 			}
@@ -127,22 +134,22 @@
 	}
 
 	@Override
-	public TargetHead readTarget(HttpResponse response) {
+	public TargetResponseHead readTargetResponse(HttpResponse response) {
 		HttpHeaders headers = response.headers();
-		return new TargetHead(Optional.ofNullable(headers.get(PlatformHeaders.ATTEMPT)),
-				headers.contains(PlatformHeaders.NOT_RUN), response.status().code() == MISDIRECTED,
-				headers.contains(PlatformHeaders.SIGNATURE), load(headers), limit(headers),
-				Optional.ofNullable(headers.get(PlatformHeaders.WEIGHTS)),
-				seconds(headers.get(PlatformHeaders.RETRY_AFTER)), idleTimeout(headers));
+		return new TargetResponseHead(Optional.ofNullable(headers.get(PlatformHeaders.ATTEMPT_IDENTIFIER)),
+				headers.contains(PlatformHeaders.NOT_EXECUTED), response.status().code() == MISDIRECTED_REQUEST,
+				headers.contains(PlatformHeaders.SERVER_SIGNATURE), engineLoad(headers), rateLimit(headers),
+				Optional.ofNullable(headers.get(PlatformHeaders.WEIGHTS_VERSION)),
+				parseSeconds(headers.get(PlatformHeaders.RETRY_AFTER)), idleTimeout(headers));
 	}
 
-	private static Optional<EngineLoad> load(HttpHeaders headers) {
-		int[] numbers = numbers(headers.get(PlatformHeaders.LOAD), 3);
+	private static Optional<EngineLoad> engineLoad(HttpHeaders headers) {
+		int[] numbers = parseNumbers(headers.get(PlatformHeaders.ENGINE_LOAD), 3);
 		return (numbers != null) ? Optional.of(new EngineLoad(numbers[0], numbers[1], numbers[2])) : Optional.empty();
 	}
 
-	private static Optional<RequestRate> limit(HttpHeaders headers) {
-		return number(headers.get(PlatformHeaders.LIMIT)).map(BigDecimal::doubleValue)
+	private static Optional<RequestRate> rateLimit(HttpHeaders headers) {
+		return parseNumber(headers.get(PlatformHeaders.RATE_LIMIT)).map(BigDecimal::doubleValue)
 			.filter((perSecond) -> Double.isFinite(perSecond) && perSecond >= 0)
 			.map(RequestRate::new);
 	}
@@ -154,8 +161,8 @@
 		}
 		for (String parameter : value.split(",")) {
 			String trimmed = parameter.trim();
-			if (trimmed.startsWith(IDLE_PARAMETER)) {
-				return seconds(trimmed.substring(IDLE_PARAMETER.length()));
+			if (trimmed.startsWith(IDLE_TIMEOUT_PARAMETER)) {
+				return parseSeconds(trimmed.substring(IDLE_TIMEOUT_PARAMETER.length()));
 			}
 		}
 		return Optional.empty();
@@ -163,18 +170,18 @@
 
 	@Override
 	public HttpHeaders callerHeaders(HttpResponse response) {
-		return passedOn(response.headers(), false);
+		return forwardedHeaders(response.headers(), false);
 	}
 
 	@Override
-	public HttpHeaders ownHeaders(String identifier, Optional<Duration> retryAfter) {
+	public HttpHeaders localAnswerHeaders(String identifier, Optional<Duration> retryAfter) {
 		HttpHeaders headers = new DefaultHttpHeaders();
 		headers.set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
 		if (!identifier.isEmpty()) {
-			headers.set(PlatformHeaders.ATTEMPT, identifier);
+			headers.set(PlatformHeaders.ATTEMPT_IDENTIFIER, identifier);
 		}
-		retryAfter.ifPresent((time) -> headers.set(PlatformHeaders.RETRY_AFTER,
-				BigDecimal.valueOf(time.toMillis(), 3).toPlainString()));
+		retryAfter.ifPresent((delay) -> headers.set(PlatformHeaders.RETRY_AFTER,
+				BigDecimal.valueOf(delay.toMillis(), 3).toPlainString()));
 		return headers;
 	}
 
--- a/src/main/java/sycamorehill/runtime/Node.java
+++ b/src/main/java/sycamorehill/runtime/Node.java
@@ -14,7 +14,7 @@
 import sycamorehill.engine.HttpEngine;
 import sycamorehill.engine.HttpPlainService;
 import sycamorehill.gateway.CallerGateway;
-import sycamorehill.http.HttpCaller;
+import sycamorehill.http.BufferedHttpClient;
 import sycamorehill.http.HttpClientPool;
 import sycamorehill.json.ModelJson;
 import sycamorehill.logic.node.NodeState;
@@ -25,8 +25,8 @@
 import sycamorehill.model.identity.NodeIncarnation;
 import sycamorehill.model.log.LogEvent;
 import sycamorehill.model.log.LogLine;
-import sycamorehill.objectapi.HttpPlatform;
-import sycamorehill.objectapi.HttpVmList;
+import sycamorehill.objectapi.HttpPlatformClient;
+import sycamorehill.objectapi.HttpVmListClient;
 import sycamorehill.operator.OperatorCalls;
 import sycamorehill.operator.OperatorServer;
 import sycamorehill.peer.NettyPeerTransport;
@@ -62,7 +62,7 @@
 				settings.dataCentre(), settings.peerAddress());
 		MonotonicClock clock = MonotonicClock.start(wallClock);
 		ObjectMapper json = ModelJson.json();
-		HttpCaller caller = HttpCaller.create(this.clients);
+		BufferedHttpClient caller = BufferedHttpClient.create(this.clients);
 		HttpEngine engines = HttpEngine.create(this.clients, json);
 		OperatorCalls operatorCalls = OperatorCalls.create();
 		LateEvents events = LateEvents.create();
@@ -71,8 +71,8 @@
 		this.gateway = CallerGateway.create(self.incarnation(), clock, wallClock, json, engines,
 				HttpPlainService.create(caller), events, this::ready, this.metrics);
 		EffectRunner effects = new EffectRunner(events, clock,
-				HttpPlatform.create(caller, settings.platformAddress(), json),
-				HttpVmList.create(caller, settings.platformAddress(), json), engines, this.peers::send,
+				HttpPlatformClient.create(caller, settings.platformAddress(), json),
+				HttpVmListClient.create(caller, settings.platformAddress(), json), engines, this.peers::send,
 				this.gateway.requests(), operatorCalls, () -> this.end.complete(NodeEnd.STOPPED), this.metrics);
 		this.loop = ControlLoop.create(NodeState.initial(self, settings.policy()), clock, wallClock, effects,
 				this.metrics, this::broken);
