--- a/src/main/java/sycamorehill/logic/admission/AdmissionStep.java
+++ b/src/main/java/sycamorehill/logic/admission/AdmissionStep.java
@@ -99,7 +99,7 @@
 			refuse(request.identifier(), refusal.get());
 			return;
 		}
-		enqueue(request, check.handling(), workspace, load, entry);
+		enqueue(request, check.idempotency(), workspace, load, entry);
 		admitWaiting(request.service());
 	}
 
@@ -187,13 +187,13 @@
 		return (load != null) ? load : ServiceLoad.fresh(this.policy, this.now);
 	}
 
-	private void enqueue(RequestDescription request, Idempotency handling, WorkspaceItem workspace, ServiceLoad load,
+	private void enqueue(RequestDescription request, Idempotency idempotency, WorkspaceItem workspace, ServiceLoad load,
 			LimitState.WorkspaceEntry entry) {
 		Instant effectiveArrival = this.now
 			.plus(this.policy.priorityStep().multipliedBy(priorityLevel(request.priority())));
 		Instant lastStart = request.deadline().minus(load.estimate().baseline());
 		Instant queueDeadline = this.now.plus(this.policy.longestWait());
-		WaitingRequest waiting = new WaitingRequest(request, handling, workspace.name(),
+		WaitingRequest waiting = new WaitingRequest(request, idempotency, workspace.name(),
 				new WaitingRequest.QueuePosition(effectiveArrival, this.state.nextPlace()), this.now,
 				lastStart.isBefore(queueDeadline) ? lastStart : queueDeadline);
 		this.state = this.state.withWaiting(waiting);
--- a/src/main/java/sycamorehill/logic/admission/LimitState.java
+++ b/src/main/java/sycamorehill/logic/admission/LimitState.java
@@ -50,14 +50,14 @@
 	 * @return the updated state
 	 */
 	LimitState withCurrentDivisor(NodeView view) {
-		Optional<DesiredState> truth = view.desiredState();
-		if (truth.isEmpty() || truth.get().number() == this.divisorOf) {
+		Optional<DesiredState> desiredState = view.desiredState();
+		if (desiredState.isEmpty() || desiredState.get().number() == this.divisorOf) {
 			return this;
 		}
-		PMap<DataCentreName, Boolean> dataCentres = TicketedDataCentres.of(truth.get());
+		PMap<DataCentreName, Boolean> dataCentres = TicketedDataCentres.of(desiredState.get());
 		int newDivisor = dataCentres.containsKey(view.self().dataCentre())
 				? dataCentres.size() * view.policy().admission().nodesPerDataCentre() : 0;
-		return new LimitState(this.ownsFrom, newDivisor, truth.get().number(), this.workspaces, this.asks,
+		return new LimitState(this.ownsFrom, newDivisor, desiredState.get().number(), this.workspaces, this.asks,
 				this.lastAsk);
 	}
 
@@ -106,7 +106,7 @@
 	 */
 	static ShareAmounts limits(WorkspaceName workspace, NodeView view) {
 		return view.desiredState()
-			.map((truth) -> truth.items().get(ItemKey.of(ItemKind.WORKSPACE, workspace.value())))
+			.map((desiredState) -> desiredState.items().get(ItemKey.of(ItemKind.WORKSPACE, workspace.value())))
 			.map((found) -> (WorkspaceItem) found.item())
 			.map((item) -> new ShareAmounts(item.requestsPerSecond(), item.tokensPerSecond(), item.inFlight()))
 			.orElse(ShareAmounts.NONE);
--- a/src/main/java/sycamorehill/logic/admission/RequestCheck.java
+++ b/src/main/java/sycamorehill/logic/admission/RequestCheck.java
@@ -17,9 +17,9 @@
  *
  * @param refusal why the request is refused, empty if it passes
  * @param workspace the workspace that sent the request, present if it passes
- * @param handling how often the request may be sent to targets
+ * @param idempotency how often the request may be sent to targets
  */
-record RequestCheck(Optional<Refusal> refusal, Optional<WorkspaceItem> workspace, Idempotency handling) {
+record RequestCheck(Optional<Refusal> refusal, Optional<WorkspaceItem> workspace, Idempotency idempotency) {
 
 	private static final Duration NOT_READY_RETRY_AFTER = Duration.ofSeconds(1);
 
@@ -30,30 +30,30 @@
 	 * @return the result
 	 */
 	static RequestCheck of(RequestDescription request, NodeView view) {
-		Optional<DesiredState> truth = view.desiredState();
-		if (truth.isEmpty()) {
+		Optional<DesiredState> desiredState = view.desiredState();
+		if (desiredState.isEmpty()) {
 			return refused(Refusal.of(RefusalReason.NODE_NOT_READY, "the node does not know the state in force yet",
 					NOT_READY_RETRY_AFTER));
 		}
-		Optional<WorkspaceItem> workspace = truth.get().workspaceByKeyHash(request.keyHash());
+		Optional<WorkspaceItem> workspace = desiredState.get().workspaceByKeyHash(request.keyHash());
 		if (workspace.isEmpty()) {
 			return refused(Refusal.of(RefusalReason.UNAUTHENTICATED, "the workspace key is missing or unknown"));
 		}
-		Optional<ServiceItem> service = truth.get().service(request.service());
+		Optional<ServiceItem> service = desiredState.get().service(request.service());
 		if (service.isEmpty()) {
 			return refused(Refusal.of(RefusalReason.UNKNOWN_SERVICE, "no service " + request.service()));
 		}
 		if (view.isQuarantined(request.fingerprint())) {
 			return refused(Refusal.of(RefusalReason.QUARANTINED, "targets that ran this content crashed"));
 		}
-		return new RequestCheck(Optional.empty(), workspace, handling(request, service.get()));
+		return new RequestCheck(Optional.empty(), workspace, idempotency(request, service.get()));
 	}
 
 	private static RequestCheck refused(Refusal refusal) {
 		return new RequestCheck(Optional.of(refusal), Optional.empty(), Idempotency.ONCE_WITHOUT_KEY);
 	}
 
-	private static Idempotency handling(RequestDescription request, ServiceItem service) {
+	private static Idempotency idempotency(RequestDescription request, ServiceItem service) {
 		if (service.isIdempotent(request.method(), request.path())) {
 			return Idempotency.REPEATABLE;
 		}
--- a/src/main/java/sycamorehill/logic/dispatch/ServingTargets.java
+++ b/src/main/java/sycamorehill/logic/dispatch/ServingTargets.java
@@ -57,7 +57,9 @@
 			return all;
 		}
 		return all.stream()
-			.filter((candidate) -> candidate.model().map((figures) -> figures.name().equals(model.get())).orElse(true))
+			.filter((candidate) -> candidate.model()
+				.map((parameters) -> parameters.name().equals(model.get()))
+				.orElse(true))
 			.filter((candidate) -> !this.endedGroups.contains(candidate.entry().membership(), now))
 			.toList();
 	}
@@ -75,18 +77,18 @@
 		entries.forEach((service, targets) -> {
 			Optional<EngineParameters> engines = configuration.service(service).flatMap(ServiceParameters::engines);
 			this.candidatesByService.put(service,
-					engines.map((figures) -> groupCandidates(targets, figures)).orElse(plainCandidates(targets)));
+					engines.map((parameters) -> groupCandidates(targets, parameters)).orElse(plainCandidates(targets)));
 		});
 		this.derivedChanges = this.directory.changeCount();
 		this.derivedConfiguration = configuration;
 	}
 
-	private List<Candidate> groupCandidates(List<TargetEntry> targets, EngineParameters figures) {
-		return GroupViews.of(targets, this.directory.vanished(), figures)
+	private List<Candidate> groupCandidates(List<TargetEntry> targets, EngineParameters parameters) {
+		return GroupViews.of(targets, this.directory.vanished(), parameters)
 			.stream()
 			.filter(GroupView::serving)
-			.map((group) -> new Candidate(group.head(), figures.slots(), Optional.of(group.model()),
-					Optional.of(figures)))
+			.map((group) -> new Candidate(group.head(), parameters.slots(), Optional.of(group.model()),
+					Optional.of(parameters)))
 			.toList();
 	}
 
--- a/src/main/java/sycamorehill/logic/entry/StoreRelay.java
+++ b/src/main/java/sycamorehill/logic/entry/StoreRelay.java
@@ -166,10 +166,10 @@
 		return createUpdate(previousChange, batch.since(), batch.changes(), now);
 	}
 
-	private NodeMessage.StoreNews createUpdate(long changedBefore, long since, List<TargetChange> changes,
+	private NodeMessage.StoreNews createUpdate(long previousChangeRevision, long since, List<TargetChange> changes,
 			Instant now) {
-		return new NodeMessage.StoreNews(this.self, this.dataCentre, this.configurationVersion, changedBefore, since,
-				this.revision, changes, Optional.empty(), age(now));
+		return new NodeMessage.StoreNews(this.self, this.dataCentre, this.configurationVersion, previousChangeRevision,
+				since, this.revision, changes, Optional.empty(), age(now));
 	}
 
 	private Duration age(Instant now) {
--- a/src/main/java/sycamorehill/logic/group/AllocationController.java
+++ b/src/main/java/sycamorehill/logic/group/AllocationController.java
@@ -114,14 +114,14 @@
 	 */
 	static void decide(GroupStep step) {
 		GroupState state = step.state();
-		Optional<DesiredState> truth = step.view().desiredState();
+		Optional<DesiredState> desiredState = step.view().desiredState();
 		boolean ready = state.lease().isHeld(step.now()) && state.allocation().known().isPresent()
 				&& state.allocation().attempt().isEmpty() && step.view().fleet().listedAt().isPresent();
-		if (!ready || truth.isEmpty()) {
+		if (!ready || desiredState.isEmpty()) {
 			return;
 		}
 		Allocation allocation = state.effectiveAllocation().orElseThrow();
-		PlanContext context = context(step, truth.get());
+		PlanContext context = context(step, desiredState.get());
 		String mark = step.view().self().incarnation() + "/" + state.nextCall();
 		Allocation next = GroupPlanner.plan(allocation, context, state.lease().fencingNumber(), mark);
 		if (next != state.allocation().known().get()) {
@@ -131,19 +131,20 @@
 		EngineCommandDispatcher.dispatch(step, EngineReconciler.requiredCommands(allocation, context));
 	}
 
-	private static PlanContext context(GroupStep step, DesiredState truth) {
+	private static PlanContext context(GroupStep step, DesiredState desiredState) {
 		GroupState state = step.state();
-		return new PlanContext(step.now(), step.view().fleet(), specifications(step.view(), truth), state.silences(),
-				state.phaseSince(), state.failedAt(), step.view().policy().observation(), step.policy());
+		return new PlanContext(step.now(), step.view().fleet(), specifications(step.view(), desiredState),
+				state.silences(), state.phaseSince(), state.failedAt(), step.view().policy().observation(),
+				step.policy());
 	}
 
-	private static List<GroupSpecification> specifications(NodeView view, DesiredState truth) {
+	private static List<GroupSpecification> specifications(NodeView view, DesiredState desiredState) {
 		List<GroupSpecification> specifications = new ArrayList<>();
-		for (AppliedItem set : truth.groupSets(view.self().dataCentre())) {
+		for (AppliedItem set : desiredState.groupSets(view.self().dataCentre())) {
 			ModelGroupItem item = (ModelGroupItem) set.item();
-			Optional<ServiceItem> service = truth.service(item.service())
+			Optional<ServiceItem> service = desiredState.service(item.service())
 				.filter((found) -> found.kind() == ServiceKind.MODEL);
-			long setBy = truth.lastSetBy(ItemKey.of(ItemKind.SERVICE, item.service().value()));
+			long setBy = desiredState.lastSetBy(ItemKey.of(ItemKind.SERVICE, item.service().value()));
 			service.ifPresent((found) -> specifications.add(GroupSpecification.of(set, found, setBy)));
 		}
 		return specifications;
--- a/src/main/java/sycamorehill/logic/membership/MembershipMessageHandler.java
+++ b/src/main/java/sycamorehill/logic/membership/MembershipMessageHandler.java
@@ -51,8 +51,8 @@
 		}
 		List<MemberEntry> entries = new ArrayList<>();
 		for (MemberEntry entry : view.members().values()) {
-			boolean heard = Heartbeats.hasRecentHeartbeat(step, entry.identity().incarnation().node());
-			entries.add(new MemberEntry(entry.identity(), entry.stopping(), heard));
+			boolean hasRecentHeartbeat = Heartbeats.hasRecentHeartbeat(step, entry.identity().incarnation().node());
+			entries.add(new MemberEntry(entry.identity(), entry.stopping(), hasRecentHeartbeat));
 		}
 		step.send(from, new MembersSent(request.dataCentre(),
 				Heartbeats.confirmationAgeMillis(step, request.dataCentre(), view), entries));
--- a/src/main/java/sycamorehill/logic/order/ClaimHolder.java
+++ b/src/main/java/sycamorehill/logic/order/ClaimHolder.java
@@ -34,8 +34,8 @@
 
 	static void handleAdmitted(OrderStep step, RequestEvent.Admitted event) {
 		RequestDescription request = event.request();
-		if (event.handling() != Idempotency.ONCE_WITH_KEY) {
-			step.raise(new RequestEvent.Cleared(request, event.handling()));
+		if (event.idempotency() != Idempotency.ONCE_WITH_KEY) {
+			step.raise(new RequestEvent.Cleared(request, event.idempotency()));
 			return;
 		}
 		String mark = step.state().marks().get(request.orderKey().orElseThrow());
--- a/src/main/java/sycamorehill/logic/order/ClaimRules.java
+++ b/src/main/java/sycamorehill/logic/order/ClaimRules.java
@@ -81,10 +81,10 @@
 	// a holder release the claim.
 	private Decision decideHeld(OrderClaim existing, ShardOperation.Claim operation) {
 		Optional<NodeIdentity> holder = liveNode(existing.holder());
-		OrderClaimDecision verdict = holder.isPresent() ? OrderClaimDecision.RUNNING : OrderClaimDecision.UNKNOWN;
+		OrderClaimDecision claimDecision = holder.isPresent() ? OrderClaimDecision.RUNNING : OrderClaimDecision.UNKNOWN;
 		Optional<ShardBatch.Reply> reminder = holder.map((node) -> new ShardBatch.Reply(node,
 				new OrderClaimReply(existing.key(), existing.mark(), OrderClaimDecision.GRANTED, Optional.empty())));
-		return new Decision(Optional.empty(), claimReply(operation, verdict, Optional.empty()), reminder);
+		return new Decision(Optional.empty(), claimReply(operation, claimDecision, Optional.empty()), reminder);
 	}
 
 	private Optional<NodeIdentity> liveNode(NodeIncarnation holder) {
@@ -128,15 +128,15 @@
 				operation.mark(), OrderStatus.RELEASED, Optional.empty(), this.wallClock);
 	}
 
-	private static Decision replyOnly(ShardOperation operation, OrderClaimDecision verdict,
+	private static Decision replyOnly(ShardOperation operation, OrderClaimDecision claimDecision,
 			Optional<RecordedAnswer> answer) {
-		return Decision.of(Optional.empty(), claimReply(operation, verdict, answer));
+		return Decision.of(Optional.empty(), claimReply(operation, claimDecision, answer));
 	}
 
-	static PeerMessage claimReply(ShardOperation operation, OrderClaimDecision verdict,
+	static PeerMessage claimReply(ShardOperation operation, OrderClaimDecision claimDecision,
 			Optional<RecordedAnswer> answer) {
 		OrderKey key = operation.key();
-		return new OrderClaimReply(key, operation.mark(), verdict, answer);
+		return new OrderClaimReply(key, operation.mark(), claimDecision, answer);
 	}
 
 	/**
--- a/src/main/java/sycamorehill/logic/request/RequestReducer.java
+++ b/src/main/java/sycamorehill/logic/request/RequestReducer.java
@@ -108,7 +108,7 @@
 		Instant waitEnd = step.now().plus(step.policy().targetWait());
 		Instant deadline = event.request().deadline();
 		step.startOrAwaitTarget(
-				found.get().withClearance(event.handling(), waitEnd.isBefore(deadline) ? waitEnd : deadline));
+				found.get().withClearance(event.idempotency(), waitEnd.isBefore(deadline) ? waitEnd : deadline));
 	}
 
 	private static void handleClearedAfterFinish(RequestStep step, RequestEvent.Cleared event) {
@@ -117,7 +117,7 @@
 		// claim of the order would never be released.
 		RequestOutcome notRun = new RequestOutcome.NotRun(
 				Refusal.of(RefusalReason.CALLER_GONE, "the caller went away before it was sent"));
-		step.raise(new RequestEvent.Finished(event.request(), event.handling(), notRun, 0, Optional.empty()));
+		step.raise(new RequestEvent.Finished(event.request(), event.idempotency(), notRun, 0, Optional.empty()));
 	}
 
 	private static void handleAttemptEnded(RequestStep step, ActiveRequest request, RequestEvent.AttemptEnded event) {
--- a/src/main/java/sycamorehill/logic/request/RequestStep.java
+++ b/src/main/java/sycamorehill/logic/request/RequestStep.java
@@ -153,8 +153,9 @@
 		Optional<Instant> wakeAt = (request.isIdempotent() && !request.hasDeliveredTokens())
 				? Optional.of(request.description().deadline()) : Optional.empty();
 		putRequest(request.withAttemptStarted(new RunningAttempt(identifier, target)).withWakeAt(wakeAt));
-		Idempotency handling = request.handling().orElseThrow();
-		emit(new RequestEffect.StartAttempt(request.identifier(), identifier, target, handling, policy().patience()));
+		Idempotency idempotency = request.handling().orElseThrow();
+		emit(new RequestEffect.StartAttempt(request.identifier(), identifier, target, idempotency,
+				policy().patience()));
 		raise(new RequestEvent.AttemptStarted(request.description(), identifier, target));
 	}
 
--- a/src/main/java/sycamorehill/model/effect/RequestEffect.java
+++ b/src/main/java/sycamorehill/model/effect/RequestEffect.java
@@ -19,12 +19,12 @@
 	 * @param request the request
 	 * @param attempt identifier of the attempt
 	 * @param target the target
-	 * @param handling how often the request may be sent, and whether its answer is
+	 * @param idempotency how often the request may be sent, and whether its answer is
 	 * recorded
 	 * @param readTimeout maximum wait for the next byte
 	 */
 	record StartAttempt(RequestIdentifier request, AttemptIdentifier attempt, ServingTarget target,
-			Idempotency handling, Duration readTimeout) implements RequestEffect {
+			Idempotency idempotency, Duration readTimeout) implements RequestEffect {
 	}
 
 	/**
--- a/src/main/java/sycamorehill/model/event/RequestEvent.java
+++ b/src/main/java/sycamorehill/model/event/RequestEvent.java
@@ -40,9 +40,9 @@
 	 * Raised by admission: the request may be sent.
 	 *
 	 * @param request the request
-	 * @param handling how often it may be sent
+	 * @param idempotency how often it may be sent
 	 */
-	record Admitted(RequestDescription request, Idempotency handling) implements RequestEvent {
+	record Admitted(RequestDescription request, Idempotency idempotency) implements RequestEvent {
 	}
 
 	/**
@@ -59,9 +59,9 @@
 	 * is claimed.
 	 *
 	 * @param request the request
-	 * @param handling how often it may be sent
+	 * @param idempotency how often it may be sent
 	 */
-	record Cleared(RequestDescription request, Idempotency handling) implements RequestEvent {
+	record Cleared(RequestDescription request, Idempotency idempotency) implements RequestEvent {
 	}
 
 	/**
@@ -110,12 +110,12 @@
 	 * Raised by the request part: the request has its final outcome.
 	 *
 	 * @param request the request
-	 * @param handling how often the request could be sent
+	 * @param idempotency how often the request could be sent
 	 * @param outcome the outcome
 	 * @param tokens number of delivered tokens
 	 * @param answer answer to record for an order
 	 */
-	record Finished(RequestDescription request, Idempotency handling, RequestOutcome outcome, int tokens,
+	record Finished(RequestDescription request, Idempotency idempotency, RequestOutcome outcome, int tokens,
 			Optional<RecordedAnswer> answer) implements RequestEvent {
 	}
 
--- a/src/test/java/sycamorehill/logic/admission/FakeNodeView.java
+++ b/src/test/java/sycamorehill/logic/admission/FakeNodeView.java
@@ -38,11 +38,11 @@
 
 	private final Set<Fingerprint> quarantined = new HashSet<>();
 
-	private final Map<VmName, VmObservation> sights = new HashMap<>();
+	private final Map<VmName, VmObservation> observations = new HashMap<>();
 
 	private List<ServingTarget> targets = List.of();
 
-	private Optional<DesiredState> truth = Optional.empty();
+	private Optional<DesiredState> desiredState = Optional.empty();
 
 	private LiveNodes liveNodes = LiveNodes.empty();
 
@@ -65,7 +65,7 @@
 		for (Item item : more) {
 			this.items.add(new AppliedItem(item, 1));
 		}
-		this.truth = Optional.of(DesiredState.of(1, this.items));
+		this.desiredState = Optional.of(DesiredState.of(1, this.items));
 		return this;
 	}
 
@@ -89,8 +89,8 @@
 		return this;
 	}
 
-	public FakeNodeView sight(VmObservation sight) {
-		this.sights.put(sight.report().vm(), sight);
+	public FakeNodeView withObservation(VmObservation observation) {
+		this.observations.put(observation.report().vm(), observation);
 		return this;
 	}
 
@@ -106,7 +106,7 @@
 
 	@Override
 	public Optional<DesiredState> desiredState() {
-		return this.truth;
+		return this.desiredState;
 	}
 
 	@Override
@@ -131,7 +131,7 @@
 
 	@Override
 	public Optional<VmObservation> observation(VmName vm) {
-		return Optional.ofNullable(this.sights.get(vm));
+		return Optional.ofNullable(this.observations.get(vm));
 	}
 
 	@Override
--- a/src/test/java/sycamorehill/logic/admission/LimitSharingSimulation.java
+++ b/src/test/java/sycamorehill/logic/admission/LimitSharingSimulation.java
@@ -199,7 +199,7 @@
 
 	private void finish(SimulatedNode node, int incarnation, RequestEvent.Admitted admitted) {
 		if (node.alive && node.incarnation == incarnation) {
-			apply(node, new RequestEvent.Finished(admitted.request(), admitted.handling(),
+			apply(node, new RequestEvent.Finished(admitted.request(), admitted.idempotency(),
 					new RequestOutcome.Completed(), 10, Optional.empty()));
 		}
 	}
--- a/src/test/java/sycamorehill/logic/admission/RequestCheckTests.java
+++ b/src/test/java/sycamorehill/logic/admission/RequestCheckTests.java
@@ -45,25 +45,25 @@
 
 	@Test
 	void aModelServicesCallsAreRepeatable() {
-		assertThat(RequestCheck.of(CHAT, this.view).handling()).isEqualTo(Idempotency.REPEATABLE);
+		assertThat(RequestCheck.of(CHAT, this.view).idempotency()).isEqualTo(Idempotency.REPEATABLE);
 	}
 
 	@Test
 	void aPlainCallWithoutRepeatRuleIsSentOnce() {
 		RequestDescription order = RequestFixtures.order(1, "large", "POST", Optional.empty());
-		assertThat(RequestCheck.of(order, this.view).handling()).isEqualTo(Idempotency.ONCE_WITHOUT_KEY);
+		assertThat(RequestCheck.of(order, this.view).idempotency()).isEqualTo(Idempotency.ONCE_WITHOUT_KEY);
 	}
 
 	@Test
 	void aPlainCallWithKeyIsClaimedFirst() {
 		RequestDescription order = RequestFixtures.order(1, "large", "POST", Optional.of(new OrderKey(1, 2)));
-		assertThat(RequestCheck.of(order, this.view).handling()).isEqualTo(Idempotency.ONCE_WITH_KEY);
+		assertThat(RequestCheck.of(order, this.view).idempotency()).isEqualTo(Idempotency.ONCE_WITH_KEY);
 	}
 
 	@Test
 	void aPlainCallWithIdempotentRepeatRuleIsRepeatable() {
 		RequestDescription order = RequestFixtures.order(1, "large", "GET", Optional.empty());
-		assertThat(RequestCheck.of(order, this.view).handling()).isEqualTo(Idempotency.REPEATABLE);
+		assertThat(RequestCheck.of(order, this.view).idempotency()).isEqualTo(Idempotency.REPEATABLE);
 	}
 
 	private static Optional<RefusalReason> reason(RequestDescription request, FakeNodeView view) {
--- a/src/test/java/sycamorehill/logic/order/ClaimRulesTests.java
+++ b/src/test/java/sycamorehill/logic/order/ClaimRulesTests.java
@@ -48,12 +48,12 @@
 		// A duplicate of the claim request arrives after the claim was released. If
 		// it were granted, no node would run or settle the order.
 		ClaimRules.Decision decision = RULES.decide(claim(OrderStatus.RELEASED), claimOperation("m1"));
-		Assertions.assertThat(verdict(decision)).isEqualTo(OrderClaimDecision.NOT_TAKEN);
+		Assertions.assertThat(claimDecision(decision)).isEqualTo(OrderClaimDecision.NOT_TAKEN);
 	}
 
 	@Test
 	void releasedKeyIsGrantedToNextCall() {
-		Assertions.assertThat(verdict(RULES.decide(claim(OrderStatus.RELEASED), claimOperation("m2"))))
+		Assertions.assertThat(claimDecision(RULES.decide(claim(OrderStatus.RELEASED), claimOperation("m2"))))
 			.isEqualTo(OrderClaimDecision.GRANTED);
 	}
 
@@ -65,7 +65,7 @@
 
 	@Test
 	void unknownClaimIsNeverGranted() {
-		Assertions.assertThat(verdict(RULES.decide(claim(OrderStatus.UNKNOWN), claimOperation("m2"))))
+		Assertions.assertThat(claimDecision(RULES.decide(claim(OrderStatus.UNKNOWN), claimOperation("m2"))))
 			.isEqualTo(OrderClaimDecision.UNKNOWN);
 	}
 
@@ -81,7 +81,7 @@
 		return new ShardOperation.Settle(KEY, "m1", status, Optional.empty(), HOLDER, Instant.EPOCH);
 	}
 
-	private static OrderClaimDecision verdict(ClaimRules.Decision decision) {
+	private static OrderClaimDecision claimDecision(ClaimRules.Decision decision) {
 		return ((OrderClaimReply) decision.reply()).verdict();
 	}
 
--- a/src/test/java/sycamorehill/logic/quarantine/QuarantineReducerTests.java
+++ b/src/test/java/sycamorehill/logic/quarantine/QuarantineReducerTests.java
@@ -149,7 +149,7 @@
 		loseConnection(start(CRASHING, group), CRASHING, group);
 		advance(Duration.ofSeconds(1));
 		VmReport report = new VmReport(member, "i1", EngineState.READY, Optional.empty(), false, 0, 0, 0, 0, 1);
-		this.view.sights().put(member, new VmObservation(report, this.now));
+		this.view.observations().put(member, new VmObservation(report, this.now));
 		advance(Duration.ofSeconds(2));
 		assertThat(this.state.isSuspect(CRASHING, this.now)).isFalse();
 	}
--- a/src/test/java/sycamorehill/logic/request/RequestHarness.java
+++ b/src/test/java/sycamorehill/logic/request/RequestHarness.java
@@ -70,8 +70,8 @@
 		return this;
 	}
 
-	RequestHarness clear(RequestDescription request, Idempotency handling) {
-		return feed(new RequestEvent.Arrived(request)).feed(new RequestEvent.Cleared(request, handling));
+	RequestHarness clear(RequestDescription request, Idempotency idempotency) {
+		return feed(new RequestEvent.Arrived(request)).feed(new RequestEvent.Cleared(request, idempotency));
 	}
 
 	RequestHarness advance(Duration duration) {
--- a/src/test/java/sycamorehill/logic/request/RequestReducerTests.java
+++ b/src/test/java/sycamorehill/logic/request/RequestReducerTests.java
@@ -194,7 +194,7 @@
 		assertThat(this.run.starts()).isEmpty();
 		assertThat(this.run.finished()).last()
 			.satisfies((finished) -> assertThat(finished.outcome()).isInstanceOf(RequestOutcome.NotRun.class))
-			.satisfies((finished) -> assertThat(finished.handling()).isEqualTo(Idempotency.ONCE_WITH_KEY));
+			.satisfies((finished) -> assertThat(finished.idempotency()).isEqualTo(Idempotency.ONCE_WITH_KEY));
 	}
 
 	@Test
--- a/src/test/java/sycamorehill/logic/routing/TargetChooserTests.java
+++ b/src/test/java/sycamorehill/logic/routing/TargetChooserTests.java
@@ -214,7 +214,7 @@
 		GroupIdentity group = GroupIdentity.of(GroupName.of(GroupSetName.of("set"), number), 1);
 		VmReport report = new VmReport(vm, "life", EngineState.READY, Optional.of(group), false, running, queued, 0, 0,
 				1);
-		this.view.sight(new VmObservation(report, this.now.plus(Duration.ofMillis(1))));
+		this.view.withObservation(new VmObservation(report, this.now.plus(Duration.ofMillis(1))));
 		return new ServingTarget(group.name().targetName(), RequestFixtures.CHAT, DataCentreName.of(dataCentre),
 				Address.of("127.0.0.1", 1), Optional.of(group), List.of(vm));
 	}
--- a/src/test/java/sycamorehill/support/FixedView.java
+++ b/src/test/java/sycamorehill/support/FixedView.java
@@ -39,7 +39,7 @@
 
 	private final Set<Fingerprint> quarantine = new HashSet<>();
 
-	private final Map<VmName, VmObservation> sights = new HashMap<>();
+	private final Map<VmName, VmObservation> observations = new HashMap<>();
 
 	private LiveNodes liveNodes = LiveNodes.empty();
 
@@ -78,8 +78,8 @@
 	 * The last sights of VMs.
 	 * @return the sights, to be changed by tests
 	 */
-	public Map<VmName, VmObservation> sights() {
-		return this.sights;
+	public Map<VmName, VmObservation> observations() {
+		return this.observations;
 	}
 
 	/**
@@ -129,7 +129,7 @@
 
 	@Override
 	public Optional<VmObservation> observation(VmName vm) {
-		return Optional.ofNullable(this.sights.get(vm));
+		return Optional.ofNullable(this.observations.get(vm));
 	}
 
 	@Override
