--- a/src/main/java/sycamorehill/logic/dispatch/Placement.java
+++ b/src/main/java/sycamorehill/logic/dispatch/Placement.java
@@ -204,7 +204,7 @@
 	 * Returns the time that a target needs for the prefill of a prompt.
 	 * @param engines the parameters of the engines
 	 * @param model the model
-	 * @param size the sizes of prompt and answer; if empty, a prompt of usual size is
+	 * @param size the sizes of prompt and answer; if empty, a prompt of mean size is
 	 * assumed
 	 * @return the prefill time
 	 */
--- a/src/main/java/sycamorehill/logic/entry/EntryReducer.java
+++ b/src/main/java/sycamorehill/logic/entry/EntryReducer.java
@@ -501,7 +501,7 @@
 
 	/**
 	 * Returns whether the store answered the last call for targets, from this node or
-	 * from the reader that it follows.
+	 * from the reader whose store updates it receives.
 	 * @return true if it did
 	 */
 	public boolean isStoreReachable() {
--- a/src/main/java/sycamorehill/logic/entry/StoreRelay.java
+++ b/src/main/java/sycamorehill/logic/entry/StoreRelay.java
@@ -304,7 +304,7 @@
 	/**
 	 * Describes what to do with another node's update.
 	 *
-	 * @param accepted whether this node follows its sender
+	 * @param accepted whether this node receives its store updates from the sender
 	 * @param readConfiguration whether a newer configuration must be read
 	 * @param readTargets whether changes were missed and must be read
 	 * @param applyChanges whether the changes in the update are the next ones to apply
--- a/src/main/java/sycamorehill/logic/health/HealthStep.java
+++ b/src/main/java/sycamorehill/logic/health/HealthStep.java
@@ -180,7 +180,7 @@
 		Duration maximum = (doubled.compareTo(this.policy.asideLongest()) < 0) ? doubled : this.policy.asideLongest();
 		Duration time = this.state.random().jittered(maximum);
 		this.state = this.state.withRandom(this.state.random().next());
-		log(LogEvent.TARGET_ASIDE, name + " is put aside for " + time.toMillis() + " ms: " + reason);
+		log(LogEvent.TARGET_ASIDE, name + " is ejected for " + time.toMillis() + " ms: " + reason);
 		return health.withEjection(new Ejection(reason, this.now.plus(time)), this.policy.returnAllowance());
 	}
 
--- a/src/main/java/sycamorehill/logic/layout/GroupDisbander.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupDisbander.java
@@ -25,9 +25,9 @@
  * Members may be reused once the head has confirmed that it left the group, or has been
  * restarted. A head that no node reaches may continue to serve behind a partition for any
  * length of time. A refused connection proves nothing either, because partitions refuse
- * connections too. One of the members is then told to leave: a head that lost a member
- * stalls, and is certainly broken after the stall time, whether it is reachable or not.
- * Only then are the members reused.
+ * connections too. One of the members then receives the command to leave: a head that
+ * lost a member stalls, and is certainly broken after the stall time, whether it is
+ * reachable or not. Only then are the members reused.
  */
 final class GroupDisbander {
 
@@ -38,7 +38,7 @@
 	private static final Duration COMMAND_RETRY_DELAY = Duration.ofSeconds(2);
 
 	/**
-	 * Time after which the next member is told to leave if the previous one did not
+	 * Time after which the next member is commanded to leave if the previous one did not
 	 * answer.
 	 */
 	private static final Duration DETACH_RETRY_DELAY = Duration.ofMillis(400);
--- a/src/main/java/sycamorehill/logic/layout/GroupLeaseManager.java
+++ b/src/main/java/sycamorehill/logic/layout/GroupLeaseManager.java
@@ -150,8 +150,8 @@
 		}
 	}
 
-	// The store rejects the calls of this node and serves other nodes. They are told that
-	// they need not wait until the lease expires.
+	// The store rejects the calls of this node and serves other nodes. The broadcast
+	// lets them acquire the lease before it expires.
 	private void handOver(Instant now, Effects effects) {
 		lose("the store answers other nodes", effects);
 		this.failedRenewals = 0;
--- a/src/main/java/sycamorehill/model/event/Event.java
+++ b/src/main/java/sycamorehill/model/event/Event.java
@@ -1,8 +1,8 @@
 package sycamorehill.model.event;
 
 /**
- * Input of the reducer. Events come from outside, or are raised by one part of the
- * reducer for the other parts within the same step.
+ * Input of the reducers. Events come from outside, or are raised by one reducer for the
+ * other reducers within the same step.
  */
 public sealed interface Event permits NodeEvent, RequestEvent, PlatformEvent, PeerEvent, TargetEvent, OperatorEvent {
 
--- a/src/main/java/sycamorehill/model/event/RequestEvent.java
+++ b/src/main/java/sycamorehill/model/event/RequestEvent.java
@@ -130,7 +130,7 @@
 	}
 
 	/**
-	 * Raised by the request part after the other parts have handled the end of an
+	 * Raised by the request reducer after the other reducers have handled the end of an
 	 * attempt: a further attempt is due.
 	 *
 	 * @param request the request
--- a/src/main/java/sycamorehill/model/policy/TicketPolicy.java
+++ b/src/main/java/sycamorehill/model/policy/TicketPolicy.java
@@ -12,7 +12,8 @@
  * @param longestUnsynchronised maximum time between two reads of the log by a delegate
  * @param firstBackoff delay after the first failed platform call
  * @param longestBackoff maximum delay between failed platform calls
- * @param filingPatience time after which the filer is told that the outcome is unknown
+ * @param filingPatience time after which the operator receives the answer that the
+ * outcome is unknown
  * @param filingAttempts maximum number of create calls for one filing
  * @param historyTickets number of tickets that a node keeps for readers and for its peers
  * @param keptTickets number of tickets before the snapshot that stay in the platform
--- a/src/test/java/sycamorehill/logic/dispatch/RequestDispatcherTests.java
+++ b/src/test/java/sycamorehill/logic/dispatch/RequestDispatcherTests.java
@@ -92,7 +92,7 @@
 	}
 
 	// The target reports that it did not run the order, which may be sent to one target
-	// only. The caller is told so, with a Retry-After.
+	// only. The answer to the caller says so and has a Retry-After.
 	@Test
 	void anOrderThatWasNotRunIsRefusedWithRetryAfter() {
 		arrive(1, "/once/x");
--- a/src/test/java/sycamorehill/logic/layout/GroupControllerTests.java
+++ b/src/test/java/sycamorehill/logic/layout/GroupControllerTests.java
@@ -254,7 +254,8 @@
 	}
 
 	// The head of each pair is partitioned from the nodes and continues to serve. Its
-	// member is told to leave, and then the controller is paused. The next controller
+	// member receives the command to leave, and then the controller is paused. The next
+	// controller
 	// sees an engine without a group, and must not use it before the head that it left
 	// has broken.
 	@Test
--- a/src/test/java/sycamorehill/support/FixedView.java
+++ b/src/test/java/sycamorehill/support/FixedView.java
@@ -75,8 +75,8 @@
 	}
 
 	/**
-	 * The last sights of VMs.
-	 * @return the sights, to be changed by tests
+	 * Returns the latest observations of VMs.
+	 * @return the observations, to be changed by tests
 	 */
 	public Map<VmName, VmObservation> observations() {
 		return this.observations;
