--- a/src/main/java/sycamorehill/logic/entry/StoreRelay.java
+++ b/src/main/java/sycamorehill/logic/entry/StoreRelay.java
@@ -166,10 +166,10 @@
 		return createUpdate(previousChange, batch.since(), batch.changes(), now);
 	}
 
-	private NodeMessage.StoreNews createUpdate(long changedBefore, long since, List<TargetChange> changes,
+	private NodeMessage.StoreNews createUpdate(long previousChangeRevision, long since, List<TargetChange> changes,
 			Instant now) {
-		return new NodeMessage.StoreNews(this.self, this.dataCentre, this.configurationVersion, changedBefore, since,
-				this.revision, changes, Optional.empty(), age(now));
+		return new NodeMessage.StoreNews(this.self, this.dataCentre, this.configurationVersion, previousChangeRevision,
+				since, this.revision, changes, Optional.empty(), age(now));
 	}
 
 	private Duration age(Instant now) {
@@ -304,7 +304,7 @@
 	/**
 	 * Describes what to do with another node's update.
 	 *
-	 * @param accepted whether this node follows its sender
+	 * @param accepted whether this node receives its store updates from the sender
 	 * @param readConfiguration whether a newer configuration must be read
 	 * @param readTargets whether changes were missed and must be read
 	 * @param applyChanges whether the changes in the update are the next ones to apply
