--- a/src/main/java/sycamorehill/engine/AttemptFailures.java
+++ b/src/main/java/sycamorehill/engine/AttemptFailures.java
@@ -16,16 +16,16 @@
 	private AttemptFailures() {
 	}
 
-	static AttemptResult result(Throwable failure) {
+	static AttemptResult toResult(Throwable failure) {
 		Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
-		Throwable sorted = BufferedHttpClient.classifyFailure(cause);
-		if (sorted instanceof NotSentException) {
-			return new AttemptResult.NotSent(sorted.getMessage());
+		Throwable classified = BufferedHttpClient.classifyFailure(cause);
+		if (classified instanceof NotSentException) {
+			return new AttemptResult.NotSent(classified.getMessage());
 		}
-		if (sorted instanceof TimeoutException) {
+		if (classified instanceof TimeoutException) {
 			return new AttemptResult.Interrupted(false, "no byte came for too long");
 		}
-		return new AttemptResult.Interrupted(true, String.valueOf(sorted));
+		return new AttemptResult.Interrupted(true, String.valueOf(classified));
 	}
 
 }
--- a/src/main/java/sycamorehill/engine/AttemptListener.java
+++ b/src/main/java/sycamorehill/engine/AttemptListener.java
@@ -12,12 +12,12 @@
 	 * @param index its place in the answer, from 0
 	 * @param token its text
 	 */
-	void token(int index, String token);
+	void handleToken(int index, String token);
 
 	/**
 	 * The attempt is over.
 	 * @param result how it ended
 	 */
-	void ended(AttemptResult result);
+	void handleEnd(AttemptResult result);
 
 }
--- a/src/main/java/sycamorehill/engine/CompletionCall.java
+++ b/src/main/java/sycamorehill/engine/CompletionCall.java
@@ -14,9 +14,9 @@
  * @param maximumTokens most tokens of the whole answer
  * @param resumeFrom index of the first token wanted
  * @param priority urgency
- * @param patience the longest wait for the next byte
+ * @param readTimeout the longest wait for the next byte
  */
 public record CompletionCall(AttemptIdentifier attempt, long generation, String prompt, int maximumTokens,
-		int resumeFrom, Priority priority, Duration patience) {
+		int resumeFrom, Priority priority, Duration readTimeout) {
 
 }
--- a/src/main/java/sycamorehill/engine/CompletionStream.java
+++ b/src/main/java/sycamorehill/engine/CompletionStream.java
@@ -27,7 +27,7 @@
 
 	private static final int OK = 200;
 
-	private static final int MOST_REFUSAL_BYTES = 16 * 1024;
+	private static final int MAXIMUM_REFUSAL_BYTES = 16 * 1024;
 
 	private final ObjectMapper json;
 
@@ -35,7 +35,7 @@
 
 	private final EventStreamReader reader = EventStreamReader.create();
 
-	private final AtomicBoolean over = new AtomicBoolean();
+	private final AtomicBoolean finished = new AtomicBoolean();
 
 	private volatile Cancellable cancellable = Cancellable.IGNORE_CANCEL;
 
@@ -50,13 +50,13 @@
 		stream.cancellable = client.request(BufferedHttpClient.request(client, call))
 			.flatMapPublisher(stream::payload)
 			.timeout(call.timeout())
-			.whenFinally(stream.terminal())
+			.whenFinally(stream.terminalSignals())
 			.forEach(stream::read);
 		return stream;
 	}
 
 	void cancel() {
-		this.over.set(true);
+		this.finished.set(true);
 		this.cancellable.cancel();
 	}
 
@@ -64,7 +64,7 @@
 		if (response.status().code() == OK) {
 			return response.payloadBody();
 		}
-		return BodyReader.readText(response.payloadBody(), MOST_REFUSAL_BYTES).flatMapPublisher((body) -> {
+		return BodyReader.readText(response.payloadBody(), MAXIMUM_REFUSAL_BYTES).flatMapPublisher((body) -> {
 			end(refusal(response, body));
 			return Publisher.<Buffer>empty();
 		});
@@ -79,11 +79,11 @@
 
 	private void read(Buffer buffer) {
 		for (String data : this.reader.read(buffer)) {
-			take(data);
+			handleEvent(data);
 		}
 	}
 
-	private void take(String data) {
+	private void handleEvent(String data) {
 		JsonNode event;
 		try {
 			event = this.json.readTree(data);
@@ -96,18 +96,18 @@
 		if (event.path("end").asBoolean()) {
 			end(new AttemptResult.Completed(event.path("tokens").asInt(), Optional.empty()));
 		}
-		else if (!this.over.get()) {
-			this.listener.token(event.path("index").asInt(), event.path("token").asText());
+		else if (!this.finished.get()) {
+			this.listener.handleToken(event.path("index").asInt(), event.path("token").asText());
 		}
 	}
 
 	private void end(AttemptResult result) {
-		if (this.over.compareAndSet(false, true)) {
-			this.listener.ended(result);
+		if (this.finished.compareAndSet(false, true)) {
+			this.listener.handleEnd(result);
 		}
 	}
 
-	private TerminalSignalConsumer terminal() {
+	private TerminalSignalConsumer terminalSignals() {
 		return new TerminalSignalConsumer() {
 
 			@Override
@@ -117,7 +117,7 @@
 
 			@Override
 			public void onError(Throwable throwable) {
-				end(AttemptFailures.result(throwable));
+				end(AttemptFailures.toResult(throwable));
 			}
 
 			@Override
--- a/src/main/java/sycamorehill/engine/EngineClient.java
+++ b/src/main/java/sycamorehill/engine/EngineClient.java
@@ -18,15 +18,15 @@
 	 * @return the report; fails with {@link sycamorehill.http.NotSentException} if the
 	 * address refused the connection
 	 */
-	CompletableFuture<VmReport> report(Address address);
+	CompletableFuture<VmReport> readReport(Address address);
 
 	/**
 	 * Gives an order, once.
 	 * @param address where it listens
-	 * @param order the order
+	 * @param command the order
 	 * @return how it ended; the future itself never fails
 	 */
-	CompletableFuture<EngineCommandResult> order(Address address, EngineCommand order);
+	CompletableFuture<EngineCommandResult> sendCommand(Address address, EngineCommand command);
 
 	/**
 	 * Sends a completion and reads its tokens.
--- a/src/main/java/sycamorehill/engine/EngineOrderBody.java
+++ b/src/main/java/sycamorehill/engine/EngineCommandBody.java
@@ -19,17 +19,17 @@
  * @param fencingNumber fencing number of the controller
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
-record EngineOrderBody(String type, GroupBody group, List<String> members, String model, String modelVersion,
+record EngineCommandBody(String type, GroupBody group, List<String> members, String model, String modelVersion,
 		long fencingNumber) {
 
-	static EngineOrderBody of(EngineCommand order) {
-		if (order instanceof EngineCommand.Join join) {
+	static EngineCommandBody of(EngineCommand command) {
+		if (command instanceof EngineCommand.Join join) {
 			List<String> members = join.members().stream().map(VmName::value).toList();
-			return new EngineOrderBody("join", GroupBody.of(join.group()), members, join.model(), join.modelVersion(),
+			return new EngineCommandBody("join", GroupBody.of(join.group()), members, join.model(), join.modelVersion(),
 					join.fencingNumber());
 		}
-		GroupIdentity left = ((EngineCommand.Leave) order).group();
-		return new EngineOrderBody("leave", GroupBody.of(left), null, null, null, order.fencingNumber());
+		GroupIdentity left = ((EngineCommand.Leave) command).group();
+		return new EngineCommandBody("leave", GroupBody.of(left), null, null, null, command.fencingNumber());
 	}
 
 }
--- a/src/main/java/sycamorehill/engine/HttpEngine.java
+++ b/src/main/java/sycamorehill/engine/HttpEngine.java
@@ -27,7 +27,7 @@
 
 	private static final Duration REPORT_TIMEOUT = Duration.ofSeconds(1);
 
-	private static final Duration ORDER_TIMEOUT = Duration.ofSeconds(2);
+	private static final Duration COMMAND_TIMEOUT = Duration.ofSeconds(2);
 
 	private static final Duration CANCEL_TIMEOUT = Duration.ofSeconds(2);
 
@@ -41,13 +41,13 @@
 
 	private final HttpClientPool pool;
 
-	private final BufferedHttpClient caller;
+	private final BufferedHttpClient client;
 
 	private final ObjectMapper json;
 
 	private HttpEngine(HttpClientPool pool, ObjectMapper json) {
 		this.pool = pool;
-		this.caller = BufferedHttpClient.create(pool);
+		this.client = BufferedHttpClient.create(pool);
 		this.json = json;
 	}
 
@@ -62,44 +62,45 @@
 	}
 
 	@Override
-	public CompletableFuture<VmReport> report(Address address) {
-		return this.caller.call(HttpCall.of(address, "GET", "/engine/report", REPORT_TIMEOUT)).thenApply(this::report);
+	public CompletableFuture<VmReport> readReport(Address address) {
+		return this.client.call(HttpCall.of(address, "GET", "/engine/report", REPORT_TIMEOUT))
+			.thenApply(this::parseReport);
 	}
 
 	@Override
-	public CompletableFuture<EngineCommandResult> order(Address address, EngineCommand order) {
-		HttpCall call = HttpCall.of(address, "POST", "/engine/orders", ORDER_TIMEOUT)
-			.withBody(written(EngineOrderBody.of(order)), JSON_TYPE);
-		return this.caller.call(call).thenApply(HttpEngine::orderResult).exceptionally(HttpEngine::orderFailure);
+	public CompletableFuture<EngineCommandResult> sendCommand(Address address, EngineCommand command) {
+		HttpCall call = HttpCall.of(address, "POST", "/engine/orders", COMMAND_TIMEOUT)
+			.withBody(serialize(EngineCommandBody.of(command)), JSON_TYPE);
+		return this.client.call(call).thenApply(HttpEngine::commandResult).exceptionally(HttpEngine::commandFailure);
 	}
 
 	@Override
 	public AttemptHandle complete(Address address, CompletionCall call, AttemptListener listener) {
-		HttpCall http = HttpCall.of(address, "POST", "/engine/completions", call.patience())
-			.withBody(written(CompletionBody.of(call)), JSON_TYPE)
+		HttpCall httpCall = HttpCall.of(address, "POST", "/engine/completions", call.readTimeout())
+			.withBody(serialize(CompletionBody.of(call)), JSON_TYPE)
 			.withHeader(TargetHeaders.ATTEMPT, call.attempt().toString())
 			.withHeader(TargetHeaders.GENERATION, Long.toString(call.generation()));
-		CompletionStream stream = CompletionStream.start(this.pool.client(address), http, this.json, listener);
+		CompletionStream stream = CompletionStream.start(this.pool.client(address), httpCall, this.json, listener);
 		return () -> {
 			stream.cancel();
 			String attempt = URLEncoder.encode(call.attempt().toString(), StandardCharsets.UTF_8);
-			this.caller.call(HttpCall.of(address, "DELETE", "/engine/completions/" + attempt, CANCEL_TIMEOUT));
+			this.client.call(HttpCall.of(address, "DELETE", "/engine/completions/" + attempt, CANCEL_TIMEOUT));
 		};
 	}
 
-	private VmReport report(HttpAnswer answer) {
+	private VmReport parseReport(HttpAnswer answer) {
 		if (answer.status() != OK) {
 			throw new IllegalStateException("the engine answered " + answer.status() + " to a report");
 		}
 		try {
-			return this.json.readValue(answer.body(), VmReportBody.class).report();
+			return this.json.readValue(answer.body(), VmReportBody.class).toReport();
 		}
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
 		}
 	}
 
-	private String written(Object body) {
+	private String serialize(Object body) {
 		try {
 			return this.json.writeValueAsString(body);
 		}
@@ -108,7 +109,7 @@
 		}
 	}
 
-	private static EngineCommandResult orderResult(HttpAnswer answer) {
+	private static EngineCommandResult commandResult(HttpAnswer answer) {
 		if (answer.status() == ACCEPTED) {
 			return EngineCommandResult.ACCEPTED;
 		}
@@ -118,7 +119,7 @@
 		return EngineCommandResult.NOT_KNOWN;
 	}
 
-	private static EngineCommandResult orderFailure(Throwable failure) {
+	private static EngineCommandResult commandFailure(Throwable failure) {
 		return (failure.getCause() instanceof NotSentException) ? EngineCommandResult.REFUSED
 				: EngineCommandResult.NOT_KNOWN;
 	}
--- a/src/main/java/sycamorehill/engine/HttpPlainService.java
+++ b/src/main/java/sycamorehill/engine/HttpPlainService.java
@@ -16,50 +16,50 @@
  */
 public final class HttpPlainService implements PlainServiceClient {
 
-	private static final String DEFAULT_TYPE = "application/octet-stream";
+	private static final String DEFAULT_CONTENT_TYPE = "application/octet-stream";
 
-	private static final int MOST_RECORDED_CHARACTERS = 16 * 1024;
+	private static final int MAXIMUM_RECORDED_CHARACTERS = 16 * 1024;
 
-	private final BufferedHttpClient caller;
+	private final BufferedHttpClient client;
 
-	private HttpPlainService(BufferedHttpClient caller) {
-		this.caller = caller;
+	private HttpPlainService(BufferedHttpClient client) {
+		this.client = client;
 	}
 
 	/**
 	 * Creates the adapter.
-	 * @param caller makes the calls
+	 * @param client makes the calls
 	 * @return the adapter
 	 */
-	public static HttpPlainService create(BufferedHttpClient caller) {
-		return new HttpPlainService(caller);
+	public static HttpPlainService create(BufferedHttpClient client) {
+		return new HttpPlainService(client);
 	}
 
 	@Override
 	public CompletableFuture<PlainAnswer> send(Address address, PlainCall call) {
-		HttpCall http = HttpCall.of(address, call.method(), call.path(), call.patience());
+		HttpCall httpCall = HttpCall.of(address, call.method(), call.path(), call.timeout());
 		if (call.body().isPresent()) {
-			http = http.withBody(call.body().get(), call.contentType().orElse(DEFAULT_TYPE));
+			httpCall = httpCall.withBody(call.body().get(), call.contentType().orElse(DEFAULT_CONTENT_TYPE));
 		}
 		if (call.idempotencyKey().isPresent()) {
-			http = http.withHeader("Idempotency-Key", call.idempotencyKey().get());
+			httpCall = httpCall.withHeader("Idempotency-Key", call.idempotencyKey().get());
 		}
-		return this.caller.call(http)
-			.thenApply(HttpPlainService::answer)
-			.exceptionally((failure) -> new PlainAnswer(AttemptFailures.result(failure), Optional.empty()));
+		return this.client.call(httpCall)
+			.thenApply(HttpPlainService::toPlainAnswer)
+			.exceptionally((failure) -> new PlainAnswer(AttemptFailures.toResult(failure), Optional.empty()));
 	}
 
-	private static PlainAnswer answer(HttpAnswer answer) {
+	private static PlainAnswer toPlainAnswer(HttpAnswer answer) {
 		String detail = answer.status() + " " + answer.body();
 		Optional<AttemptResult> refusal = TargetRefusal.read(answer::header, detail);
 		if (refusal.isPresent()) {
 			return new PlainAnswer(refusal.get(), Optional.empty());
 		}
-		RecordedAnswer whole = new RecordedAnswer(answer.status(), answer.header("Content-Type").orElse(DEFAULT_TYPE),
-				answer.body());
-		Optional<RecordedAnswer> recorded = Optional.of(whole)
-			.filter((found) -> found.body().length() <= MOST_RECORDED_CHARACTERS);
-		return new PlainAnswer(new AttemptResult.Completed(0, recorded), Optional.of(whole));
+		RecordedAnswer complete = new RecordedAnswer(answer.status(),
+				answer.header("Content-Type").orElse(DEFAULT_CONTENT_TYPE), answer.body());
+		Optional<RecordedAnswer> recorded = Optional.of(complete)
+			.filter((found) -> found.body().length() <= MAXIMUM_RECORDED_CHARACTERS);
+		return new PlainAnswer(new AttemptResult.Completed(0, recorded), Optional.of(complete));
 	}
 
 }
--- a/src/main/java/sycamorehill/engine/PlainCall.java
+++ b/src/main/java/sycamorehill/engine/PlainCall.java
@@ -11,9 +11,9 @@
  * @param contentType media type of the body, empty for none
  * @param idempotencyKey the caller's key, empty for none
  * @param body the body, empty for none
- * @param patience the longest wait for the whole answer
+ * @param timeout the longest wait for the whole answer
  */
 public record PlainCall(String method, String path, Optional<String> contentType, Optional<String> idempotencyKey,
-		Optional<String> body, Duration patience) {
+		Optional<String> body, Duration timeout) {
 
 }
--- a/src/main/java/sycamorehill/engine/PromptPrefixes.java
+++ b/src/main/java/sycamorehill/engine/PromptPrefixes.java
@@ -16,7 +16,7 @@
 	 */
 	public static final int BLOCK_CHARACTERS = 256;
 
-	private static final int MOST_BLOCKS = 64;
+	private static final int MAXIMUM_BLOCKS = 64;
 
 	private PromptPrefixes() {
 	}
@@ -28,7 +28,7 @@
 	 * shortest first
 	 */
 	public static List<Long> hashes(String prompt) {
-		int blocks = Math.min(MOST_BLOCKS, prompt.length() / BLOCK_CHARACTERS);
+		int blocks = Math.min(MAXIMUM_BLOCKS, prompt.length() / BLOCK_CHARACTERS);
 		List<Long> hashes = new ArrayList<>(blocks);
 		HashStream64 stream = Hashing.xxh3_64().hashStream();
 		for (int block = 0; block < blocks; block++) {
--- a/src/main/java/sycamorehill/engine/TargetRefusal.java
+++ b/src/main/java/sycamorehill/engine/TargetRefusal.java
@@ -22,7 +22,7 @@
 		}
 		boolean leaving = isTrue(headers.apply(TargetHeaders.LEAVING));
 		Duration retryAfter = headers.apply(TargetHeaders.RETRY_AFTER)
-			.map(TargetRefusal::seconds)
+			.map(TargetRefusal::parseSeconds)
 			.orElse(Duration.ZERO);
 		return Optional.of(new AttemptResult.RefusedBeforeRunning(leaving, retryAfter, detail));
 	}
@@ -31,7 +31,7 @@
 		return header.filter(TRUE::equalsIgnoreCase).isPresent();
 	}
 
-	private static Duration seconds(String text) {
+	private static Duration parseSeconds(String text) {
 		try {
 			return Duration.ofSeconds(Long.parseLong(text.strip()));
 		}
--- a/src/main/java/sycamorehill/engine/VmReportBody.java
+++ b/src/main/java/sycamorehill/engine/VmReportBody.java
@@ -23,7 +23,7 @@
 record VmReportBody(String vm, String instance, EngineState state, GroupBody group, boolean leaving, int running,
 		int queued, double tokensPerSecond, long freeCacheTokens, long sequence) {
 
-	VmReport report() {
+	VmReport toReport() {
 		return new VmReport(VmName.of(this.vm), this.instance, this.state,
 				Optional.ofNullable(this.group).map(GroupBody::identity), this.leaving, this.running, this.queued,
 				this.tokensPerSecond, this.freeCacheTokens, this.sequence);
--- a/src/main/java/sycamorehill/experiment/GatewayExperiment.java
+++ b/src/main/java/sycamorehill/experiment/GatewayExperiment.java
@@ -91,7 +91,7 @@
 
 	private Head head(LocalSystem system, HttpEngine engines) {
 		for (var entry : system.standIns().engines()) {
-			VmReport report = engines.report(entry.address()).join();
+			VmReport report = engines.readReport(entry.address()).join();
 			if (report.state() == EngineState.READY && report.group().isPresent()
 					&& isHead(engines, entry.address(), report)) {
 				return new Head(entry.address(), report.group().get());
@@ -114,12 +114,12 @@
 		engines.complete(head.address(), call, new AttemptListener() {
 
 			@Override
-			public void token(int index, String token) {
+			public void handleToken(int index, String token) {
 				first.complete(Duration.between(start, GatewayExperiment.this.clock.instant()));
 			}
 
 			@Override
-			public void ended(AttemptResult result) {
+			public void handleEnd(AttemptResult result) {
 				whole.complete(result instanceof AttemptResult.Completed);
 			}
 
--- a/src/main/java/sycamorehill/gateway/ChatExchange.java
+++ b/src/main/java/sycamorehill/gateway/ChatExchange.java
@@ -81,7 +81,7 @@
 			private boolean begun;
 
 			@Override
-			public void token(int index, String token) {
+			public void handleToken(int index, String token) {
 				if (take(attempt, index, token) && !this.begun) {
 					this.begun = true;
 					ChatExchange.this.events.post(new RequestEvent.FirstToken(attempt));
@@ -89,7 +89,7 @@
 			}
 
 			@Override
-			public void ended(AttemptResult result) {
+			public void handleEnd(AttemptResult result) {
 				end(attempt, result);
 			}
 
--- a/src/main/java/sycamorehill/runtime/EffectRunner.java
+++ b/src/main/java/sycamorehill/runtime/EffectRunner.java
@@ -119,7 +119,7 @@
 	private void askReport(TargetEffect.AskReport ask) {
 		count("engine.reports-asked");
 		Instant askedAt = this.clock.instant();
-		this.engines.report(ask.address()).whenComplete((report, failure) -> {
+		this.engines.readReport(ask.address()).whenComplete((report, failure) -> {
 			if (failure == null) {
 				this.events.post(new TargetEvent.ReportReceived(report, askedAt));
 			}
@@ -137,7 +137,7 @@
 			this.events.post(new TargetEvent.OrderAnswered(order.call(), EngineCommandResult.NOT_KNOWN));
 			return;
 		}
-		this.engines.order(order.address(), order.command())
+		this.engines.sendCommand(order.address(), order.command())
 			.thenAccept((result) -> this.events.post(new TargetEvent.OrderAnswered(order.call(), result)));
 	}
 
