--- a/src/main/java/sycamorehill/engine/AttemptFailures.java
+++ b/src/main/java/sycamorehill/engine/AttemptFailures.java
@@ -8,8 +8,8 @@
 import sycamorehill.model.request.AttemptResult;
 
 /**
- * Sorts the failure of an attempt: only where no byte was written is it certain that
- * nothing ran.
+ * Maps the failure of a call to the result of the attempt. Only a request of which no
+ * byte was written is certain not to have run.
  */
 final class AttemptFailures {
 
--- a/src/main/java/sycamorehill/engine/AttemptHandle.java
+++ b/src/main/java/sycamorehill/engine/AttemptHandle.java
@@ -1,14 +1,14 @@
 package sycamorehill.engine;
 
 /**
- * An attempt under way.
+ * Cancels a running attempt.
  */
 @FunctionalInterface
 public interface AttemptHandle {
 
 	/**
-	 * Drops what still comes and cancels the work at the target, as far as it can be told
-	 * to.
+	 * Closes the stream without reporting its end to the listener, and asks the target to
+	 * cancel the request. Whether the target does so is not checked.
 	 */
 	void cancel();
 
--- a/src/main/java/sycamorehill/engine/AttemptListener.java
+++ b/src/main/java/sycamorehill/engine/AttemptListener.java
@@ -3,20 +3,20 @@
 import sycamorehill.model.request.AttemptResult;
 
 /**
- * Hears what an attempt brings, on a traffic thread.
+ * Receives the tokens and the result of an attempt, on a traffic thread.
  */
 public interface AttemptListener {
 
 	/**
-	 * A token arrived.
-	 * @param index its place in the answer, from 0
-	 * @param token its text
+	 * Handles a token of the answer.
+	 * @param index the index of the token in the complete answer, from 0
+	 * @param token the text of the token
 	 */
 	void handleToken(int index, String token);
 
 	/**
-	 * The attempt is over.
-	 * @param result how it ended
+	 * Handles the end of the attempt.
+	 * @param result the result of the attempt
 	 */
 	void handleEnd(AttemptResult result);
 
--- a/src/main/java/sycamorehill/engine/CompletionBody.java
+++ b/src/main/java/sycamorehill/engine/CompletionBody.java
@@ -3,12 +3,12 @@
 import sycamorehill.model.request.Priority;
 
 /**
- * Body of a completion on the wire.
+ * The JSON body of a completion request.
  *
  * @param prompt the prompt
- * @param maximumTokens most tokens of the whole answer
- * @param resumeFrom index of the first token wanted
- * @param priority urgency
+ * @param maximumTokens the maximum number of tokens in the complete answer
+ * @param resumeFrom the index of the first token to send
+ * @param priority the priority of the request
  */
 record CompletionBody(String prompt, int maximumTokens, int resumeFrom, Priority priority) {
 
--- a/src/main/java/sycamorehill/engine/CompletionStream.java
+++ b/src/main/java/sycamorehill/engine/CompletionStream.java
@@ -20,8 +20,9 @@
 import sycamorehill.model.request.AttemptResult;
 
 /**
- * Reads the tokens of one completion. The listener hears the end exactly once: a stream
- * that ends without its end mark is broken, however quietly it ended.
+ * Reads the token events of one completion and reports its end to the listener at most
+ * once. A stream that ends without its end mark counts as interrupted, even if the
+ * connection was closed without an error.
  */
 final class CompletionStream {
 
--- a/src/main/java/sycamorehill/engine/EngineClient.java
+++ b/src/main/java/sycamorehill/engine/EngineClient.java
@@ -8,32 +8,34 @@
 import sycamorehill.model.identity.Address;
 
 /**
- * A model engine on one target VM.
+ * Sends requests to the model engines on target VMs.
  */
 public interface EngineClient {
 
 	/**
-	 * Asks for the engine's report of itself.
-	 * @param address where it listens
-	 * @return the report; fails with {@link sycamorehill.http.NotSentException} if the
-	 * address refused the connection
+	 * Requests the report of an engine.
+	 * @param address the address of the engine
+	 * @return the report. Fails with {@link sycamorehill.http.NotSentException} if the
+	 * connection was refused
 	 */
 	CompletableFuture<VmReport> readReport(Address address);
 
 	/**
-	 * Gives an order, once.
-	 * @param address where it listens
-	 * @param command the order
-	 * @return how it ended; the future itself never fails
+	 * Sends a command without retrying it.
+	 * @param address the address of the engine
+	 * @param command the command
+	 * @return the result of the command. A failed call gives a result as well, not a
+	 * failed future
 	 */
 	CompletableFuture<EngineCommandResult> sendCommand(Address address, EngineCommand command);
 
 	/**
-	 * Sends a completion and reads its tokens.
-	 * @param address the head of the group
-	 * @param call what to complete
-	 * @param listener hears the tokens in order, then the end, exactly once
-	 * @return stops the stream and cancels the work at the engine
+	 * Sends a completion request and reads the tokens of its answer.
+	 * @param address the address of the head of the group
+	 * @param call the completion request
+	 * @param listener receives the tokens in order and then, unless the attempt is
+	 * cancelled, the result exactly once
+	 * @return a handle that closes the stream and cancels the request at the engine
 	 */
 	AttemptHandle complete(Address address, CompletionCall call, AttemptListener listener);
 
--- a/src/main/java/sycamorehill/engine/EngineCommandBody.java
+++ b/src/main/java/sycamorehill/engine/EngineCommandBody.java
@@ -9,14 +9,14 @@
 import sycamorehill.model.identity.VmName;
 
 /**
- * Body of an order on the wire.
+ * The JSON body of a command to an engine.
  *
- * @param type join or leave
- * @param group the group
- * @param members all members, the head first; null for leave
- * @param model the model; null for leave
- * @param modelVersion its version; null for leave
- * @param fencingNumber fencing number of the controller
+ * @param type the type of the command, {@code join} or {@code leave}
+ * @param group the group to join or leave
+ * @param members all members, the head first, or null for {@code leave}
+ * @param model the model to load, or null for {@code leave}
+ * @param modelVersion the version of the model, or null for {@code leave}
+ * @param fencingNumber the fencing number of the controller
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 record EngineCommandBody(String type, GroupBody group, List<String> members, String model, String modelVersion,
--- a/src/main/java/sycamorehill/engine/GroupBody.java
+++ b/src/main/java/sycamorehill/engine/GroupBody.java
@@ -5,11 +5,11 @@
 import sycamorehill.model.identity.GroupSetName;
 
 /**
- * A group on the wire.
+ * A group in a JSON body.
  *
- * @param set the set
- * @param ordinal place in the set
- * @param generation the generation
+ * @param set the name of the group set
+ * @param ordinal the number of the group within its set
+ * @param generation the generation of the group
  */
 record GroupBody(String set, int ordinal, long generation) {
 
--- a/src/main/java/sycamorehill/engine/HttpEngine.java
+++ b/src/main/java/sycamorehill/engine/HttpEngine.java
@@ -21,7 +21,7 @@
 import sycamorehill.model.identity.Address;
 
 /**
- * Model engines over HTTP, as docs/WIRE.md gives it.
+ * Calls model engines over HTTP, as described in docs/WIRE.md.
  */
 public final class HttpEngine implements EngineClient {
 
@@ -52,10 +52,10 @@
 	}
 
 	/**
-	 * Creates the adapter.
-	 * @param pool the clients to use
-	 * @param json reads and writes bodies
-	 * @return the adapter
+	 * Creates a client of model engines.
+	 * @param pool provides the HTTP client of each address
+	 * @param json maps request and answer bodies
+	 * @return the client
 	 */
 	public static HttpEngine create(HttpClientPool pool, ObjectMapper json) {
 		return new HttpEngine(pool, json);
@@ -105,7 +105,7 @@
 			return this.json.writeValueAsString(body);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("a body of ours can't be written", ex);
+			throw new IllegalStateException("a request body can't be serialized", ex);
 		}
 	}
 
--- a/src/main/java/sycamorehill/engine/HttpPlainService.java
+++ b/src/main/java/sycamorehill/engine/HttpPlainService.java
@@ -11,8 +11,8 @@
 import sycamorehill.model.request.RecordedAnswer;
 
 /**
- * Plain services over HTTP. Any whole answer that is no refusal is the caller's answer,
- * whatever its status.
+ * Calls plain services over HTTP. Every complete answer that is not a refusal is the
+ * caller's answer, whatever its status.
  */
 public final class HttpPlainService implements PlainServiceClient {
 
@@ -27,9 +27,9 @@
 	}
 
 	/**
-	 * Creates the adapter.
-	 * @param client makes the calls
-	 * @return the adapter
+	 * Creates a client of plain services.
+	 * @param client sends the HTTP requests
+	 * @return the client
 	 */
 	public static HttpPlainService create(BufferedHttpClient client) {
 		return new HttpPlainService(client);
--- a/src/main/java/sycamorehill/engine/PlainAnswer.java
+++ b/src/main/java/sycamorehill/engine/PlainAnswer.java
@@ -6,10 +6,10 @@
 import sycamorehill.model.request.RecordedAnswer;
 
 /**
- * How a call to a plain service ended.
+ * The result of a call to a plain service.
  *
- * @param result the result for the decisions
- * @param answer the whole answer for the caller, if there is one
+ * @param result the result of the attempt
+ * @param answer the complete answer for the caller, if there is one
  */
 public record PlainAnswer(AttemptResult result, Optional<RecordedAnswer> answer) {
 
--- a/src/main/java/sycamorehill/engine/PlainServiceClient.java
+++ b/src/main/java/sycamorehill/engine/PlainServiceClient.java
@@ -5,16 +5,16 @@
 import sycamorehill.model.identity.Address;
 
 /**
- * A plain service at one address.
+ * Sends requests to plain services.
  */
 public interface PlainServiceClient {
 
 	/**
-	 * Sends a call, once.
-	 * @param address where the target listens
-	 * @param call the call
-	 * @return how it ended; the future itself never fails, and cancelling it closes the
-	 * connection
+	 * Sends a request without retrying it.
+	 * @param address the address of the target
+	 * @param call the request
+	 * @return the result of the request. A failed request gives a result as well, not a
+	 * failed future. Cancelling the future closes the connection
 	 */
 	CompletableFuture<PlainAnswer> send(Address address, PlainCall call);
 
--- a/src/main/java/sycamorehill/engine/PromptPrefixes.java
+++ b/src/main/java/sycamorehill/engine/PromptPrefixes.java
@@ -7,12 +7,13 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * Hashes of a prompt up to each whole block, by which engines name what they cache.
+ * Computes hashes of the prefixes of a prompt. Each prefix ends with a complete block,
+ * and engines identify cached prefixes by these hashes.
  */
 public final class PromptPrefixes {
 
 	/**
-	 * Characters in one block.
+	 * The number of characters in a block.
 	 */
 	public static final int BLOCK_CHARACTERS = 256;
 
@@ -22,10 +23,10 @@
 	}
 
 	/**
-	 * The hashes of a prompt.
+	 * Returns the hashes of the prefixes of a prompt, up to a maximum number of blocks.
 	 * @param prompt the prompt
-	 * @return one hash for each whole block, each over all text up to the block's end,
-	 * shortest first
+	 * @return one hash for each complete block, over the text from the start of the
+	 * prompt to the end of the block, the shortest prefix first
 	 */
 	public static List<Long> hashes(String prompt) {
 		int blocks = Math.min(MAXIMUM_BLOCKS, prompt.length() / BLOCK_CHARACTERS);
--- a/src/main/java/sycamorehill/engine/TargetHeaders.java
+++ b/src/main/java/sycamorehill/engine/TargetHeaders.java
@@ -1,7 +1,8 @@
 package sycamorehill.engine;
 
 /**
- * Headers between us and targets, as docs/WIRE.md gives them.
+ * Names of the HTTP headers that the load balancer and targets exchange, as described in
+ * docs/WIRE.md.
  */
 final class TargetHeaders {
 
--- a/src/main/java/sycamorehill/engine/TargetRefusal.java
+++ b/src/main/java/sycamorehill/engine/TargetRefusal.java
@@ -7,7 +7,8 @@
 import sycamorehill.model.request.AttemptResult;
 
 /**
- * Reads the refusal of a target out of an answer's headers.
+ * Detects from the headers of an answer that the target refused the request before
+ * running it.
  */
 final class TargetRefusal {
 
--- a/src/main/java/sycamorehill/engine/package-info.java
+++ b/src/main/java/sycamorehill/engine/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Adapters to targets: model engines and plain services.
+ * Clients of the targets: model engines and plain services.
  */
 package sycamorehill.engine;
