--- a/src/main/java/sycamorehill/engine/AttemptFailures.java
+++ b/src/main/java/sycamorehill/engine/AttemptFailures.java
@@ -8,24 +8,24 @@
 import sycamorehill.model.request.AttemptResult;
 
 /**
- * Sorts the failure of an attempt: only where no byte was written is it certain that
- * nothing ran.
+ * Maps the failure of a call to the result of the attempt. Only a request of which no
+ * byte was written is certain not to have run.
  */
 final class AttemptFailures {
 
 	private AttemptFailures() {
 	}
 
-	static AttemptResult result(Throwable failure) {
+	static AttemptResult toResult(Throwable failure) {
 		Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
-		Throwable sorted = BufferedHttpClient.classifyFailure(cause);
-		if (sorted instanceof NotSentException) {
-			return new AttemptResult.NotSent(sorted.getMessage());
+		Throwable classified = BufferedHttpClient.classifyFailure(cause);
+		if (classified instanceof NotSentException) {
+			return new AttemptResult.NotSent(classified.getMessage());
 		}
-		if (sorted instanceof TimeoutException) {
+		if (classified instanceof TimeoutException) {
 			return new AttemptResult.Interrupted(false, "no byte came for too long");
 		}
-		return new AttemptResult.Interrupted(true, String.valueOf(sorted));
+		return new AttemptResult.Interrupted(true, String.valueOf(classified));
 	}
 
 }
--- a/src/main/java/sycamorehill/engine/CompletionStream.java
+++ b/src/main/java/sycamorehill/engine/CompletionStream.java
@@ -20,14 +20,15 @@
 import sycamorehill.model.request.AttemptResult;
 
 /**
- * Reads the tokens of one completion. The listener hears the end exactly once: a stream
- * that ends without its end mark is broken, however quietly it ended.
+ * Reads the token events of one completion and reports its end to the listener at most
+ * once. A stream that ends without its end mark counts as interrupted, even if the
+ * connection was closed without an error.
  */
 final class CompletionStream {
 
 	private static final int OK = 200;
 
-	private static final int MOST_REFUSAL_BYTES = 16 * 1024;
+	private static final int MAXIMUM_REFUSAL_BYTES = 16 * 1024;
 
 	private final ObjectMapper json;
 
@@ -35,7 +36,7 @@
 
 	private final EventStreamReader reader = EventStreamReader.create();
 
-	private final AtomicBoolean over = new AtomicBoolean();
+	private final AtomicBoolean finished = new AtomicBoolean();
 
 	private volatile Cancellable cancellable = Cancellable.IGNORE_CANCEL;
 
@@ -50,13 +51,13 @@
 		stream.cancellable = client.request(BufferedHttpClient.request(client, call))
 			.flatMapPublisher(stream::payload)
 			.timeout(call.timeout())
-			.whenFinally(stream.terminal())
+			.whenFinally(stream.terminalSignals())
 			.forEach(stream::read);
 		return stream;
 	}
 
 	void cancel() {
-		this.over.set(true);
+		this.finished.set(true);
 		this.cancellable.cancel();
 	}
 
@@ -64,7 +65,7 @@
 		if (response.status().code() == OK) {
 			return response.payloadBody();
 		}
-		return BodyReader.readText(response.payloadBody(), MOST_REFUSAL_BYTES).flatMapPublisher((body) -> {
+		return BodyReader.readText(response.payloadBody(), MAXIMUM_REFUSAL_BYTES).flatMapPublisher((body) -> {
 			end(refusal(response, body));
 			return Publisher.<Buffer>empty();
 		});
@@ -79,11 +80,11 @@
 
 	private void read(Buffer buffer) {
 		for (String data : this.reader.read(buffer)) {
-			take(data);
+			handleEvent(data);
 		}
 	}
 
-	private void take(String data) {
+	private void handleEvent(String data) {
 		JsonNode event;
 		try {
 			event = this.json.readTree(data);
@@ -96,18 +97,18 @@
 		if (event.path("end").asBoolean()) {
 			end(new AttemptResult.Completed(event.path("tokens").asInt(), Optional.empty()));
 		}
-		else if (!this.over.get()) {
-			this.listener.token(event.path("index").asInt(), event.path("token").asText());
+		else if (!this.finished.get()) {
+			this.listener.handleToken(event.path("index").asInt(), event.path("token").asText());
 		}
 	}
 
 	private void end(AttemptResult result) {
-		if (this.over.compareAndSet(false, true)) {
-			this.listener.ended(result);
+		if (this.finished.compareAndSet(false, true)) {
+			this.listener.handleEnd(result);
 		}
 	}
 
-	private TerminalSignalConsumer terminal() {
+	private TerminalSignalConsumer terminalSignals() {
 		return new TerminalSignalConsumer() {
 
 			@Override
@@ -117,7 +118,7 @@
 
 			@Override
 			public void onError(Throwable throwable) {
-				end(AttemptFailures.result(throwable));
+				end(AttemptFailures.toResult(throwable));
 			}
 
 			@Override
--- a/src/main/java/sycamorehill/engine/TargetRefusal.java
+++ b/src/main/java/sycamorehill/engine/TargetRefusal.java
@@ -7,7 +7,8 @@
 import sycamorehill.model.request.AttemptResult;
 
 /**
- * Reads the refusal of a target out of an answer's headers.
+ * Detects from the headers of an answer that the target refused the request before
+ * running it.
  */
 final class TargetRefusal {
 
@@ -22,7 +23,7 @@
 		}
 		boolean leaving = isTrue(headers.apply(TargetHeaders.LEAVING));
 		Duration retryAfter = headers.apply(TargetHeaders.RETRY_AFTER)
-			.map(TargetRefusal::seconds)
+			.map(TargetRefusal::parseSeconds)
 			.orElse(Duration.ZERO);
 		return Optional.of(new AttemptResult.RefusedBeforeRunning(leaving, retryAfter, detail));
 	}
@@ -31,7 +32,7 @@
 		return header.filter(TRUE::equalsIgnoreCase).isPresent();
 	}
 
-	private static Duration seconds(String text) {
+	private static Duration parseSeconds(String text) {
 		try {
 			return Duration.ofSeconds(Long.parseLong(text.strip()));
 		}
