--- a/src/main/java/sycamorehill/entry/CallerExchange.java
+++ b/src/main/java/sycamorehill/entry/CallerExchange.java
@@ -112,7 +112,7 @@
 		return this.streamStarted;
 	}
 
-	void limitTime(Duration timeout, EventLoop loop, EventSink eventSink) {
+	void limitTime(Duration timeout, EventLoop loop, EntryEventSink eventSink) {
 		this.timeLimit = Optional.of(timeout);
 		long left = timeout.toNanos() - (System.nanoTime() - this.arrivedNanos);
 		this.timer = loop.schedule(() -> eventSink.post(new EntryEvent.TimedOut(this.number)), Math.max(0, left),
@@ -124,7 +124,7 @@
 	}
 
 	void startAttempt(EntryEffect.StartAttempt start, TargetConnectionPool connections, TargetActivity activity,
-			EventSink eventSink) {
+			EntryEventSink eventSink) {
 		if (this.finished) {
 			return;
 		}
@@ -264,7 +264,7 @@
 	}
 
 	// Cancels the attempt after the caller disconnected.
-	void handleCallerDisconnected(EventSink eventSink) {
+	void handleCallerDisconnected(EntryEventSink eventSink) {
 		if (!this.finished) {
 			cancelAttempt();
 			finish();
--- a/src/main/java/sycamorehill/entry/CallerServer.java
+++ b/src/main/java/sycamorehill/entry/CallerServer.java
@@ -49,7 +49,7 @@
 
 	private final ExchangeCodec codec;
 
-	private final EventSink eventSink;
+	private final EntryEventSink eventSink;
 
 	private final TargetConnectionPool connectionPool;
 
@@ -65,14 +65,16 @@
 
 	private boolean stopping;
 
-	private CallerServer(EventLoop loop, ExchangeCodec codec, EventSink eventSink, TargetConnectionPool connections) {
+	private CallerServer(EventLoop loop, ExchangeCodec codec, EntryEventSink eventSink,
+			TargetConnectionPool connections) {
 		this.loop = loop;
 		this.codec = codec;
 		this.eventSink = eventSink;
 		this.connectionPool = connections;
 	}
 
-	static CallerServer of(EventLoop loop, ExchangeCodec codec, EventSink eventSink, TargetConnectionPool connections) {
+	static CallerServer of(EventLoop loop, ExchangeCodec codec, EntryEventSink eventSink,
+			TargetConnectionPool connections) {
 		return new CallerServer(loop, codec, eventSink, connections);
 	}
 
@@ -200,7 +202,7 @@
 				LogLine.of(LogEvent.REQUEST_FAILED, "a caller's connection failed cause='" + cause.getMessage() + "'"));
 	}
 
-	EventSink eventSink() {
+	EntryEventSink eventSink() {
 		return this.eventSink;
 	}
 
--- a/src/main/java/sycamorehill/entry/EventSink.java
+++ b/src/main/java/sycamorehill/entry/EntryEventSink.java
@@ -5,7 +5,7 @@
 /**
  * Receives events for the reducer, which processes them one at a time.
  */
-interface EventSink {
+interface EntryEventSink {
 
 	/**
 	 * Posts an event without blocking.
--- a/src/main/java/sycamorehill/entry/EntryNode.java
+++ b/src/main/java/sycamorehill/entry/EntryNode.java
@@ -33,7 +33,7 @@
  * decisions: small VMs have less than one processor, and events need no hand-over to a
  * second thread.
  */
-public final class EntryNode implements EventSink {
+public final class EntryNode implements EntryEventSink {
 
 	private static final String METRICS_PATH = "/metrics";
 
--- a/src/main/java/sycamorehill/entry/NodeMessenger.java
+++ b/src/main/java/sycamorehill/entry/NodeMessenger.java
@@ -36,7 +36,7 @@
 
 	private final EventLoop loop;
 
-	private final EventSink eventSink;
+	private final EntryEventSink eventSink;
 
 	private final NodeMessageCodec codec = NodeMessageCodec.create();
 
@@ -50,12 +50,12 @@
 
 	private Channel channel;
 
-	private NodeMessenger(EventLoop loop, EventSink eventSink) {
+	private NodeMessenger(EventLoop loop, EntryEventSink eventSink) {
 		this.loop = loop;
 		this.eventSink = eventSink;
 	}
 
-	static NodeMessenger of(EventLoop loop, EventSink eventSink) {
+	static NodeMessenger of(EventLoop loop, EntryEventSink eventSink) {
 		return new NodeMessenger(loop, eventSink);
 	}
 
--- a/src/main/java/sycamorehill/entry/TargetAttempt.java
+++ b/src/main/java/sycamorehill/entry/TargetAttempt.java
@@ -52,7 +52,7 @@
 
 	private final ExchangeCodec codec;
 
-	private final EventSink eventSink;
+	private final EntryEventSink eventSink;
 
 	private TargetConnection connection;
 
@@ -77,7 +77,7 @@
 	private boolean allEventsNumbered = true;
 
 	private TargetAttempt(EntryEffect.StartAttempt start, CallerExchange exchange, TargetConnectionPool connections,
-			TargetActivity activity, ExchangeCodec codec, EventSink eventSink) {
+			TargetActivity activity, ExchangeCodec codec, EntryEventSink eventSink) {
 		this.start = start;
 		this.exchange = exchange;
 		this.connectionPool = connections;
@@ -87,7 +87,7 @@
 	}
 
 	static TargetAttempt start(EntryEffect.StartAttempt start, CallerExchange exchange,
-			TargetConnectionPool connections, TargetActivity activity, ExchangeCodec codec, EventSink eventSink) {
+			TargetConnectionPool connections, TargetActivity activity, ExchangeCodec codec, EntryEventSink eventSink) {
 		TargetAttempt attempt = new TargetAttempt(start, exchange, connections, activity, codec, eventSink);
 		attempt.start();
 		return attempt;
