--- a/src/main/java/sycamorehill/logic/ticket/Synchronisation.java
+++ b/src/main/java/sycamorehill/logic/ticket/Synchronisation.java
@@ -22,7 +22,7 @@
  * @param budget limits the calls to the platform
  * @param watching whether a watch call is open
  * @param nextWatch the earliest time of the next watch
- * @param lastSuccess the monotonic time of the last successful synchronisation
+ * @param lastSuccess the monotonic time at which a synchronisation last completed
  */
 public record Synchronisation(long begun, boolean running, boolean wanted, long anchor, List<Ticket> listed,
 		boolean pageFull, long version, boolean behind, CallBudget budget, boolean watching, Instant nextWatch,
