--- a/src/test/java/sycamorehill/logic/admission/WorkspaceLimitTests.java
+++ b/src/test/java/sycamorehill/logic/admission/WorkspaceLimitTests.java
@@ -93,7 +93,7 @@
 	}
 
 	@Test
-	void aRestartedNodeOwnsNothingUntilEarlierLoansHaveExpired() {
+	void aStartedNodeOwnsNothingUntilEarlierLoansMustHaveExpired() {
 		LimitSharingSimulation simulation = LimitSharingSimulation.create(1, 1, 1);
 		simulation.request(0);
 		simulation.run(Duration.ofSeconds(1));
